--- a/drumbay/routing/__init__.py
+++ b/drumbay/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a back end: selectors, subsets, load and prefix affinity."""
+"""Load balancing over backends: label selectors, subsetting, load and prefix affinity."""
--- a/drumbay/routing/directory.py
+++ b/drumbay/routing/directory.py
@@ -1,7 +1,7 @@
-"""Directory of back ends as one node knows them: configuration, reports and own attempts.
+"""Directory of the backends that one node knows, from configuration, status reports and attempts.
 
-Pure: events and ``now`` come in, changes of a back end's availability go out as records,
-so that each can be explained afterwards.
+Does no I/O and reads no clock: the caller passes in events and the current time, and gets
+changes of availability back as records for the decision log.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,21 +16,22 @@
 from drumbay.limits.circuit_breaker import CircuitBreaker, CircuitPermit, CircuitPolicy
 from drumbay.resources.schema import BackendKind
 from drumbay.routing.engine_choice import BackendView
-from drumbay.routing.load_view import BackendFlags, LoadView
+from drumbay.routing.load_tracker import BackendAvailability, LoadTracker
 from drumbay.routing.prefix_index import PrefixIndex
 from drumbay.routing.selectors import MODEL_LABEL, LabelPredicate, compile_selector, labels_of
 
-REPORT_FAILURES_TO_UNREACHABLE = 3
+MAX_REPORT_FAILURES = 3
+"""Failed status requests in a row after which a backend is unreachable."""
 
 
 class AvailabilityChange(msgspec.Struct, frozen=True, kw_only=True):
-    """A back end stopped or started to be eligible for one reason.
+    """A backend became unavailable, or available again, with respect to one reason.
 
     Attributes:
-        backend_id: The back end.
-        reason: Why work stopped or may go on.
-        available: Whether this reason no longer holds.
-        detail: One sentence for a person.
+        backend_id: The backend.
+        reason: The reason that began or ceased to apply.
+        available: Whether the reason ceased to apply.
+        detail: Human-readable explanation.
     """
 
     backend_id: BackendId
@@ -40,34 +41,36 @@
 
 
 class AttemptOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """How an attempt ended, as the circuit breaker counts it; ``None``: says nothing."""
+    """Outcome of an attempt for the circuit breaker; ``None`` counts as neither result."""
 
     succeeded: bool | None
 
 
 @dataclass
 class _Entry:
+    """State of one backend."""
+
     address: BackendAddress
     kind: BackendKind
     zone: str
     labels: Mapping[str, str]
     breaker: CircuitBreaker
     boot_id: BootId | None = None
-    report_failures: int = 0
-    drained_by: str | None = None
+    consecutive_report_failures: int = 0
+    active_drain: str | None = None
     is_leaving: bool = False
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether recent reports could be had."""
-        return self.report_failures < REPORT_FAILURES_TO_UNREACHABLE
+        """Return whether too few status requests failed in a row to give the backend up."""
+        return self.consecutive_report_failures < MAX_REPORT_FAILURES
 
 
 class BackendDirectory:
-    """What one node knows of the back ends, and which of them may get work.
+    """Tracks the backends of one node and their availability.
 
     Args:
-        circuit_policy: When circuit breakers open and close.
+        circuit_policy: Thresholds of the circuit breakers.
     """
 
     def __init__(self, circuit_policy: CircuitPolicy | None = None) -> None:
@@ -77,28 +80,28 @@
         self._leaving: frozenset[BackendId] = frozenset()
         self._watched: frozenset[BackendId] | None = None
         self._watched_entries: dict[BackendId, _Entry] = self._entries
-        self._load = LoadView()
+        self._load = LoadTracker()
         self._revision = 0
         self.prefixes = PrefixIndex()
 
     @property
     def revision(self) -> int:
-        """Return a number that grows whenever addresses or labels may have changed."""
+        """Return a counter that increases whenever addresses or labels may have changed."""
         return self._revision
 
     def apply_configuration(
         self, view: ConfigurationView, now: float
     ) -> tuple[AvailabilityChange, ...]:
-        """Take in the groups and drains in force."""
+        """Apply the backend groups and drains of a configuration."""
         self._revision += 1
-        wanted = {
+        configured = {
             BackendId(backend.id): (group, backend)
             for _, group in sorted(view.groups.items())
             for backend in group.backends
         }
-        for backend_id in [known for known in self._entries if known not in wanted]:
+        for backend_id in [known for known in self._entries if known not in configured]:
             self._remove(backend_id)
-        for backend_id, (group, backend) in wanted.items():
+        for backend_id, (group, backend) in configured.items():
             entry = self._entries.get(backend_id)
             breaker = entry.breaker if entry else CircuitBreaker(self._circuit_policy, now)
             labels = labels_of(group, backend)
@@ -112,11 +115,11 @@
             )
             if entry is not None:
                 replacement.boot_id = entry.boot_id
-                replacement.report_failures = entry.report_failures
-                replacement.drained_by = entry.drained_by
+                replacement.consecutive_report_failures = entry.consecutive_report_failures
+                replacement.active_drain = entry.active_drain
             self._entries[backend_id] = replacement
             self._load.set_backend(backend_id, labels, backend.zone)
-        self._select_watched()
+        self._update_watched_entries()
         return self._apply_drains(view)
 
     def _remove(self, backend_id: BackendId) -> None:
@@ -130,19 +133,19 @@
         ]
         changes: list[AvailabilityChange] = []
         for backend_id, entry in self._entries.items():
-            matching = [name for name, selects in drains if selects(entry.labels)]
-            drained_by = matching[0] if matching else None
-            if (drained_by is None) != (entry.drained_by is None):
+            matching_drains = [name for name, selects in drains if selects(entry.labels)]
+            active_drain = matching_drains[0] if matching_drains else None
+            if (active_drain is None) != (entry.active_drain is None):
                 changes.append(
-                    _drain_change(
-                        backend_id, drained_by or entry.drained_by or "", drained_by is None
+                    _drain_availability_change(
+                        backend_id, active_drain or entry.active_drain or "", active_drain is None
                     )
                 )
-            entry.drained_by = drained_by
+            entry.active_drain = active_drain
         return tuple(changes)
 
     def set_leaving(self, leaving: Iterable[BackendId]) -> tuple[AvailabilityChange, ...]:
-        """Take in which back ends the machine list names as leaving."""
+        """Set the backends that the machine list marks as leaving."""
         self._leaving = frozenset(leaving)
         changes: list[AvailabilityChange] = []
         for backend_id, entry in self._entries.items():
@@ -154,17 +157,17 @@
                         backend_id=backend_id,
                         reason=RejectionReason.LEAVING,
                         available=not is_leaving,
-                        detail="named by the machine list",
+                        detail="marked as leaving by the machine list",
                     )
                 )
         return tuple(changes)
 
     def is_leaving(self, backend_id: BackendId) -> bool:
-        """Return whether the machine list names a back end as leaving."""
+        """Return whether the machine list marks a backend as leaving."""
         return backend_id in self._leaving
 
     def record_report(self, status: EngineStatus, now: float) -> tuple[AvailabilityChange, ...]:
-        """Take in a back end's report of itself."""
+        """Apply a status report of a backend."""
         entry = self._entries.get(status.backend_id)
         if entry is None:
             return ()
@@ -173,28 +176,34 @@
         entry.boot_id = status.boot_id
         self._load.record_report(status, now)
         was_reachable = entry.is_reachable
-        entry.report_failures = 0
-        return () if was_reachable else (_reachability_change(status.backend_id, True),)
+        entry.consecutive_report_failures = 0
+        return (
+            () if was_reachable else (_reachability_availability_change(status.backend_id, True),)
+        )
 
     def record_report_failure(self, backend_id: BackendId) -> tuple[AvailabilityChange, ...]:
-        """Count a report that could not be had."""
+        """Count a failed status request."""
         entry = self._entries.get(backend_id)
         if entry is None:
             return ()
         was_reachable = entry.is_reachable
-        entry.report_failures += 1
-        lost = was_reachable and not entry.is_reachable
-        return (_reachability_change(backend_id, False),) if lost else ()
+        entry.consecutive_report_failures += 1
+        became_unreachable = was_reachable and not entry.is_reachable
+        return (_reachability_availability_change(backend_id, False),) if became_unreachable else ()
 
     def is_failing(self, backend_id: BackendId) -> bool:
-        """Return whether reports failed lately, but not often enough to give up."""
+        """Return whether recent status requests failed, but too few to mark it unreachable."""
         entry = self._entries.get(backend_id)
-        return entry is not None and 0 < entry.report_failures < REPORT_FAILURES_TO_UNREACHABLE
+        return entry is not None and 0 < entry.consecutive_report_failures < MAX_REPORT_FAILURES
 
     def start_attempt(
         self, backend_id: BackendId, attempt_id: AttemptId, now: float
     ) -> CircuitPermit | None:
-        """Count an attempt as outstanding; ``None`` if the circuit breaker refuses it."""
+        """Count an attempt as outstanding.
+
+        Returns:
+            The permit of the circuit breaker; ``None`` if it refuses the attempt.
+        """
         entry = self._entries.get(backend_id)
         permit = entry.breaker.try_acquire(now) if entry else None
         if permit is not None:
@@ -209,7 +218,7 @@
         outcome: AttemptOutcome,
         now: float,
     ) -> None:
-        """Count an attempt as ended."""
+        """Record the end of an attempt."""
         succeeded = outcome.succeeded is True
         self._load.finish_attempt(backend_id, attempt_id, now, succeeded=succeeded)
         entry = self._entries.get(backend_id)
@@ -223,16 +232,16 @@
             entry.breaker.record_failure(permit, now)
 
     def set_watched(self, watched: frozenset[BackendId] | None) -> None:
-        """Set which back ends this node watches and chooses from; ``None``: all.
+        """Set the backends that this node polls and sends requests to; ``None``: all.
 
-        The owner of a weight rollout or a sample stream must watch all engines of its
-        policy besides its own set.
+        The owner of a weight rollout or a sample stream has to watch all engines of its
+        policy in addition to the node's subset.
         """
         self._watched = watched
-        self._select_watched()
+        self._update_watched_entries()
 
-    def _select_watched(self) -> None:
-        """Pick the watched entries, in the order of the configuration."""
+    def _update_watched_entries(self) -> None:
+        """Update the watched entries, in configuration order."""
         watched = self._watched
         if watched is None:
             self._watched_entries = self._entries
@@ -244,43 +253,43 @@
             }
 
     def is_watched(self, backend_id: BackendId) -> bool:
-        """Return whether this node watches a back end."""
+        """Return whether this node watches a backend."""
         return self._watched is None or backend_id in self._watched
 
     def views(self, now: float) -> list[BackendView]:
-        """Return every back end as this node sees it at ``now``, watched or not."""
-        return self._views_of(self._entries, now)
+        """Return the views of all backends at ``now``, watched or not."""
+        return self._build_views(self._entries, now)
 
     def watched_views(self, now: float) -> list[BackendView]:
-        """Return the watched back ends as a choice sees them at ``now``."""
-        return self._views_of(self._watched_entries, now)
+        """Return the views of the watched backends at ``now``."""
+        return self._build_views(self._watched_entries, now)
 
     def views_for(self, addresses: Iterable[BackendAddress], now: float) -> list[BackendView]:
-        """Return these back ends as this node sees them at ``now``, watched or not."""
+        """Return the views of the given backends at ``now``, watched or not; skips unknown ones."""
         entries = {
             address.backend_id: self._entries[address.backend_id]
             for address in addresses
             if address.backend_id in self._entries
         }
-        return self._views_of(entries, now)
+        return self._build_views(entries, now)
 
-    def _views_of(self, entries: Mapping[BackendId, _Entry], now: float) -> list[BackendView]:
+    def _build_views(self, entries: Mapping[BackendId, _Entry], now: float) -> list[BackendView]:
         views: list[BackendView] = []
         for backend_id, entry in entries.items():
-            flags = BackendFlags(
+            availability = BackendAvailability(
                 is_reachable=entry.is_reachable,
                 circuit_admits=entry.breaker.admits(now),
-                is_draining=entry.drained_by is not None,
+                is_draining=entry.active_drain is not None,
                 is_leaving=entry.is_leaving,
             )
-            self._load.set_flags(backend_id, flags)
+            self._load.set_availability(backend_id, availability)
             view = self._load.view(backend_id)
             if view is not None:
                 views.append(view)
         return views
 
     def select(self, selects: LabelPredicate, model: str) -> tuple[BackendAddress, ...]:
-        """Return the addresses of a model's back ends by their labels, watched or not."""
+        """Return the addresses of a model's backends that match a selector, watched or not."""
         return tuple(
             entry.address
             for entry in self._entries.values()
@@ -288,22 +297,22 @@
         )
 
     def reported_version(self, backend_id: BackendId) -> WeightVersion | None:
-        """Return the version that a back end last reported; ``None`` if it has not."""
+        """Return the weight version that a backend last reported; ``None`` without a report."""
         return self._load.reported_version(backend_id)
 
     def address(self, backend_id: BackendId) -> BackendAddress | None:
-        """Return where a back end is reached; ``None`` if it is not known."""
+        """Return the address of a backend; ``None`` if it is unknown."""
         entry = self._entries.get(backend_id)
         return entry.address if entry else None
 
     def watched_addresses(self, kind: BackendKind) -> tuple[BackendAddress, ...]:
-        """Return the addresses of the watched back ends of one kind, sorted."""
+        """Return the addresses of the watched backends of one kind, sorted."""
         return tuple(
             address for address in self.addresses(kind) if self.is_watched(address.backend_id)
         )
 
     def addresses(self, kind: BackendKind | None = None) -> tuple[BackendAddress, ...]:
-        """Return the addresses of all back ends, of one kind if given, sorted."""
+        """Return the addresses of all backends, or of those of one kind, sorted."""
         return tuple(
             sorted(
                 entry.address
@@ -313,17 +322,19 @@
         )
 
 
-def _drain_change(backend_id: BackendId, drain: str, available: bool) -> AvailabilityChange:
+def _drain_availability_change(
+    backend_id: BackendId, drain: str, available: bool
+) -> AvailabilityChange:
     return AvailabilityChange(
         backend_id=backend_id,
         reason=RejectionReason.DRAINED,
         available=available,
-        detail=f"drain {drain} {'ended' if available else 'in force'}",
+        detail=f"drain {drain} {'ended' if available else 'in effect'}",
     )
 
 
-def _reachability_change(backend_id: BackendId, available: bool) -> AvailabilityChange:
-    detail = "it reports again" if available else "its reports could not be had"
+def _reachability_availability_change(backend_id: BackendId, available: bool) -> AvailabilityChange:
+    detail = "status requests succeed again" if available else "status requests failed repeatedly"
     return AvailabilityChange(
         backend_id=backend_id,
         reason=RejectionReason.UNREACHABLE,
--- a/drumbay/routing/engine_choice.py
+++ b/drumbay/routing/engine_choice.py
@@ -1,15 +1,15 @@
-"""Choice of the back end that serves one attempt.
-
-Candidates that may not serve the request are removed, each with its reason. Among the
-eligible ones the cheapest of a few random samples is taken: the power of d choices
-(Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12(10),
-2001). The eligible candidate with the best prefix affinity is sampled in addition.
-
-Nodes that share the same old reports tend to send their work to the same few back ends
-(Mitzenmacher, "How Useful Is Old Information?", IEEE TPDS 11(1), 2000). A reported load is
-therefore drawn towards the mean of the eligible back ends as it ages, at the pace at which
-requests end there; see ``docs/design/routing.md`` for what this and the number of samples
-were measured to do.
+"""Selects the backend for one attempt.
+
+Candidates that cannot serve the request are filtered out, each with a rejection reason. Of
+the eligible ones, a few random candidates are compared and the cheapest is selected: the
+power of d choices (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
+IEEE TPDS 12(10), 2001). The eligible candidate with the best prefix affinity is always
+compared as well.
+
+Nodes that act on the same stale reports overload the same few backends (Mitzenmacher, "How
+Useful Is Old Information?", IEEE TPDS 11(1), 2000). As a report ages, its load is therefore
+shrunk towards the mean of the eligible backends, at the rate at which requests finish there;
+see ``docs/design/routing.md``.
 """
 
 import math
@@ -25,23 +25,24 @@
 
 
 class BackendView(msgspec.Struct, frozen=True, kw_only=True):
-    """What this node knows of one back end.
+    """Snapshot of what this node knows about one backend.
 
     Attributes:
-        backend_id: The back end.
-        labels: Its labels, implied ones included.
+        backend_id: The backend.
+        labels: Its labels, including the implied ones.
         zone: Its zone.
-        running: Requests in its batch by its last report.
-        waiting: Requests in its queue by its last report.
-        reported_at: Monotonic time to which the report refers; ``None`` without a report.
-        own_outstanding: This node's attempts that have not ended.
-        own_started_since_report: Those of them that the report cannot contain.
-        own_finished_since_report: This node's attempts that the report still counts.
+        running: Requests in its batch, from its last report.
+        waiting: Requests in its queue, from its last report.
+        reported_at: Monotonic time at which the report was taken; ``None`` without a report.
+        own_outstanding: Unfinished attempts of this node.
+        own_started_since_report: Those of them that started after the report was taken.
+        own_finished_since_report: Attempts of this node that finished after the report was
+            taken.
         mean_service_seconds: Mean duration of this node's attempts on it; ``None`` if unknown.
         weight_version: Version that serves new requests; ``None`` if unknown.
-        highest_fence: Newest fence the back end is known to have seen.
-        unavailability: Why it may not be used at all (drained, leaving, unreachable, circuit
-            open); ``None`` if it may.
+        highest_fence: Highest fencing token that the backend is known to have seen.
+        unavailability: Why it must not be used (drained, leaving, unreachable, circuit open);
+            ``None`` if it is available.
     """
 
     backend_id: BackendId
@@ -60,20 +61,20 @@
 
 
 class ChoiceRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What one attempt needs.
+    """Requirements of one attempt.
 
     Attributes:
         now: Monotonic time in seconds.
         zone: Zone of this node.
-        selects: Compiled selector of the route.
+        selects: Compiled label selector of the route.
         model: Model that must be loaded; ``None`` for applications.
         required_version: The only version accepted.
         oldest_version: Oldest version accepted.
         newest_version: Newest version accepted.
-        already_tried: Back ends of earlier attempts, not to be taken again.
-        priority: Larger is served first.
-        prefix_affinity: Estimated share of the prompt, 0 to 1, that each back end holds in
-            its prefix cache; absent back ends hold none.
+        already_tried: Backends of earlier attempts, which are excluded.
+        priority: Requests of higher priority are served first.
+        prefix_affinity: Estimated share of the prompt, 0 to 1, in the prefix cache of each
+            backend; absent backends count as 0.
     """
 
     now: float
@@ -89,44 +90,44 @@
 
 
 class ChoicePolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Weights and limits of the choice; costs are in units of one outstanding request.
+    """Cost weights and load limits; one outstanding request costs 1.
 
     Attributes:
-        sample_count: Random candidates compared, the d of the power of d choices.
-        old_report_seconds: Median age of the reports from which they count as old.
-        sample_count_when_old: Random candidates compared on old reports. Nodes that compare
-            many by the same old reports send their work to the same few.
-        max_load: Estimated load from which a back end is overloaded.
-        reserved_load: Part of ``max_load`` kept for prioritized requests.
-        reserved_priority: Priority from which a request may use the reserved part.
-        priority_waiting_weight: Cost of a queued request to a prioritized one; engines
-            honour priorities, so it overtakes most of the queue.
-        other_zone_cost: Cost of leaving this node's zone.
-        prefix_affinity_gain: Cost saved when the whole prompt is cached.
-        report_memory_services: Mean service times after which a reported load has lost all
-            but 1/e of its distance from the mean.
+        sample_count: Random candidates to compare, the d of the power of d choices.
+        stale_report_seconds: Median report age above which reports count as stale.
+        stale_sample_count: Random candidates to compare on stale reports; fewer, so that
+            nodes do not all select the same backend.
+        max_load: Estimated load at which a backend is overloaded.
+        reserved_load: Part of ``max_load`` reserved for prioritized requests.
+        reserved_priority: Lowest priority that may use the reserved part.
+        prioritized_waiting_weight: Cost of a queued request to a prioritized one, which
+            overtakes most of the queue.
+        cross_zone_cost: Cost of a backend in another zone.
+        prefix_affinity_discount: Cost saved when the whole prompt is cached.
+        report_decay_service_times: Time constant, in mean service times, with which a reported
+            load decays towards the mean load.
     """
 
     sample_count: int = 4
-    old_report_seconds: float = 5.0
-    sample_count_when_old: int = 2
+    stale_report_seconds: float = 5.0
+    stale_sample_count: int = 2
     max_load: int = 256
     reserved_load: int = 32
     reserved_priority: int = 1
-    priority_waiting_weight: float = 0.25
-    other_zone_cost: float = 1.0
-    prefix_affinity_gain: float = 2.0
-    report_memory_services: float = 1.0
+    prioritized_waiting_weight: float = 0.25
+    cross_zone_cost: float = 1.0
+    prefix_affinity_discount: float = 2.0
+    report_decay_service_times: float = 1.0
 
 
-class Choice(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of a choice.
+class BackendChoice(msgspec.Struct, frozen=True, kw_only=True):
+    """Result of a backend selection.
 
     Attributes:
-        chosen: The back end to use; ``None`` if no candidate is eligible.
-        candidates: The candidates as the choice saw them.
-        rejections: Per candidate, why it was not taken; ``None`` for the chosen one.
-        costs: Costs by index of the candidates that were compared.
+        chosen: The selected backend; ``None`` if no candidate is eligible.
+        candidates: All candidates.
+        rejections: Why each candidate was rejected; ``None`` for the selected one.
+        costs: Costs of the compared candidates, by index.
     """
 
     chosen: BackendView | None
@@ -135,7 +136,7 @@
     costs: Mapping[int, float]
 
     def verdicts(self) -> tuple[CandidateVerdict, ...]:
-        """Return one verdict per candidate, the chosen one first."""
+        """Return one verdict per candidate, the selected one first."""
         verdicts = [
             CandidateVerdict(
                 backend_id=view.backend_id,
@@ -151,34 +152,34 @@
 
 
 def estimated_load(view: BackendView) -> int:
-    """Return the requests a back end is thought to hold now.
+    """Return the estimated number of requests on a backend.
 
-    The lagging report is corrected by what this node itself started and finished since;
-    this node's own outstanding attempts are a lower bound.
+    Corrects the last report by the attempts that this node started and finished since. The
+    node's own outstanding attempts are a lower bound.
     """
     correction = view.own_started_since_report - view.own_finished_since_report
     return max(view.own_outstanding, view.running + view.waiting + correction)
 
 
-def believed_load(
+def decayed_load(
     *,
     reported: float,
     mean_reported: float,
-    memory: float,
+    report_weight: float,
     correction: int,
     own_outstanding: int,
 ) -> float:
-    """Return the load by which back ends are compared.
+    """Return the load by which backends are compared.
 
     Args:
         reported: Load in the last report.
-        mean_reported: Mean of the last reports of the back ends that may be chosen.
-        memory: How much of the report still holds, 0 to 1.
-        correction: Own attempts started, less those ended, since the report's moment.
-        own_outstanding: Own attempts that have not ended, a lower bound.
+        mean_reported: Mean reported load of the eligible backends.
+        report_weight: Weight of the report against the mean, 0 to 1.
+        correction: Attempts of this node started minus those finished since the report.
+        own_outstanding: Unfinished attempts of this node, a lower bound.
     """
-    believed = mean_reported + (reported - mean_reported) * memory
-    return max(own_outstanding, believed + correction)
+    decayed = mean_reported + (reported - mean_reported) * report_weight
+    return max(own_outstanding, decayed + correction)
 
 
 def choose_backend(
@@ -186,28 +187,28 @@
     candidates: Sequence[BackendView],
     policy: ChoicePolicy,
     random: random_module.Random,
-) -> Choice:
-    """Choose the back end of one attempt.
+) -> BackendChoice:
+    """Select the backend for one attempt.
 
     Args:
-        request: What the attempt needs.
-        candidates: Back ends this node knows, in any fixed order.
-        policy: Weights and limits.
-        random: Source of the samples.
+        request: Requirements of the attempt.
+        candidates: Backends that this node knows, in any fixed order.
+        policy: Cost weights and load limits.
+        random: Random number generator.
 
     Returns:
-        The chosen back end, and why each other candidate was not taken.
+        The selected backend, and why each other candidate was rejected.
     """
     load_limit = policy.max_load
     if request.priority < policy.reserved_priority:
         load_limit -= policy.reserved_load
-    rejections = [_rejection(request, view, load_limit) for view in candidates]
+    rejections = [_rejection_reason(request, view, load_limit) for view in candidates]
     eligible = [index for index, reason in enumerate(rejections) if reason is None]
     if not eligible:
-        return Choice(chosen=None, candidates=candidates, rejections=rejections, costs={})
+        return BackendChoice(chosen=None, candidates=candidates, rejections=rejections, costs={})
     eligible_views = [candidates[index] for index in eligible]
     sample_count = _sample_count(request.now, eligible_views, policy)
-    sampled = _sample(request, candidates, eligible, sample_count, random)
+    sampled = _sample_candidates(request, candidates, eligible, sample_count, random)
     mean_load = _mean_reported_load(eligible_views)
     costs = {index: _cost(request, candidates[index], policy, mean_load) for index in sampled}
     chosen = min(sampled, key=costs.__getitem__)
@@ -216,12 +217,12 @@
     for index in sampled:
         rejections[index] = RejectionReason.HIGHER_COST
     rejections[chosen] = None
-    return Choice(
+    return BackendChoice(
         chosen=candidates[chosen], candidates=candidates, rejections=rejections, costs=costs
     )
 
 
-def _rejection(
+def _rejection_reason(
     request: ChoiceRequest, view: BackendView, load_limit: int
 ) -> RejectionReason | None:
     labels = view.labels
@@ -241,7 +242,7 @@
 
 
 def accepts_version(request: ChoiceRequest, version: WeightVersion | None) -> bool:
-    """Return whether a request may be served by a version; an unknown one only if any may."""
+    """Return whether a request accepts a version; an unknown one only if it accepts any."""
     required = request.required_version
     oldest = request.oldest_version
     newest = request.newest_version
@@ -255,15 +256,15 @@
 
 
 def _sample_count(now: float, views: Sequence[BackendView], policy: ChoicePolicy) -> int:
-    """Return how many candidates to compare, given how old the reports are."""
+    """Return how many candidates to compare, depending on the age of the reports."""
     ages = [now - view.reported_at for view in views if view.reported_at is not None]
-    # The median, so that one back end that stopped to report does not decide for the others.
-    if not ages or statistics.median_low(ages) <= policy.old_report_seconds:
+    # The median is robust against a single backend that stopped reporting.
+    if not ages or statistics.median_low(ages) <= policy.stale_report_seconds:
         return policy.sample_count
-    return policy.sample_count_when_old
+    return policy.stale_sample_count
 
 
-def _sample(
+def _sample_candidates(
     request: ChoiceRequest,
     candidates: Sequence[BackendView],
     eligible: list[int],
@@ -271,22 +272,22 @@
     random: random_module.Random,
 ) -> list[int]:
     if len(eligible) <= sample_count:
-        # NOTE: min() takes the first of equal costs, so the order must be random too.
+        # Shuffled, because min() returns the first of several equal costs.
         return random.sample(eligible, len(eligible))
     sampled = random.sample(eligible, sample_count)
     affinity = request.prefix_affinity
     if not affinity:
         return sampled
-    holders = [index for index in eligible if candidates[index].backend_id in affinity]
-    if holders:
-        best = max(holders, key=lambda index: affinity[candidates[index].backend_id])
+    cache_holders = [index for index in eligible if candidates[index].backend_id in affinity]
+    if cache_holders:
+        best = max(cache_holders, key=lambda index: affinity[candidates[index].backend_id])
         if best not in sampled:
             sampled.append(best)
     return sampled
 
 
 def _mean_reported_load(views: Sequence[BackendView]) -> float:
-    """Return the mean over the back ends that reported, 0 if none did."""
+    """Return the mean reported load; 0 without any report."""
     loads = [view.running + view.waiting for view in views if view.reported_at is not None]
     return sum(loads) / len(loads) if loads else 0.0
 
@@ -295,28 +296,30 @@
     request: ChoiceRequest, view: BackendView, policy: ChoicePolicy, mean_load: float
 ) -> float:
     is_prioritized = request.priority >= policy.reserved_priority
-    waiting_weight = policy.priority_waiting_weight if is_prioritized else 1.0
+    waiting_weight = policy.prioritized_waiting_weight if is_prioritized else 1.0
     reported = view.running + waiting_weight * view.waiting
-    memory = _report_memory(request.now, view, policy)
-    cost = believed_load(
+    report_weight = _report_weight(request.now, view, policy)
+    cost = decayed_load(
         reported=reported,
         mean_reported=mean_load,
-        memory=memory,
+        report_weight=report_weight,
         correction=view.own_started_since_report - view.own_finished_since_report,
         own_outstanding=view.own_outstanding,
     )
     if view.zone != request.zone:
-        cost += policy.other_zone_cost
-    return cost - policy.prefix_affinity_gain * request.prefix_affinity.get(view.backend_id, 0.0)
+        cost += policy.cross_zone_cost
+    return cost - policy.prefix_affinity_discount * request.prefix_affinity.get(
+        view.backend_id, 0.0
+    )
 
 
-def _report_memory(now: float, view: BackendView, policy: ChoicePolicy) -> float:
-    """Return how much of a report still holds, from 1 (new) to 0 (old or missing)."""
+def _report_weight(now: float, view: BackendView, policy: ChoicePolicy) -> float:
+    """Return the weight of a report, from 1 (new) to 0 (stale or missing)."""
     if view.reported_at is None:
         return 0.0
     if view.mean_service_seconds is None:
         return 1.0
-    memory_seconds = policy.report_memory_services * view.mean_service_seconds
-    if memory_seconds <= 0:
+    decay_seconds = policy.report_decay_service_times * view.mean_service_seconds
+    if decay_seconds <= 0:
         return 0.0
-    return math.exp(min(0.0, view.reported_at - now) / memory_seconds)
+    return math.exp(min(0.0, view.reported_at - now) / decay_seconds)
--- a/drumbay/routing/load_view.py
+++ b/drumbay/routing/load_tracker.py
@@ -1,8 +1,8 @@
-"""What this node knows of each back end: its reports, and this node's own attempts.
+"""Load of each backend, from its status reports and this node's own attempts.
 
-A report lags. The view therefore counts which of this node's attempts a report cannot
-contain (started after the moment it refers to) and which ended since, so that a choice can
-correct the reported load. Time is passed in; nothing here does I/O.
+Status reports lag behind. The tracker counts this node's attempts that started or finished
+after a report was taken, so that the reported load can be corrected. The caller passes in the
+time; nothing here does I/O.
 """
 
 from collections import deque
@@ -17,22 +17,22 @@
 from drumbay.routing.engine_choice import BackendView
 
 MAX_FINISHED_ATTEMPTS = 1024
-"""Ended attempts remembered per back end until a report that knows of them arrives."""
+"""Finished attempts kept per backend until a report covers them."""
 
-SERVICE_TIME_WEIGHT = 0.1
-"""Weight of the newest attempt in the moving mean of the service time."""
+SERVICE_TIME_EMA_WEIGHT = 0.1
+"""Weight of the newest sample in the moving average of the service time."""
 
 _NO_FENCE = Fence(0)
 
 
-class BackendFlags(msgspec.Struct, frozen=True, kw_only=True):
-    """Whether a back end may be used at all, as other parts of the node know it.
+class BackendAvailability(msgspec.Struct, frozen=True, kw_only=True):
+    """Whether a backend may be used, as determined by other components of the node.
 
     Attributes:
-        is_reachable: Whether the back end answers.
+        is_reachable: Whether the backend answers status requests.
         circuit_admits: Whether its circuit breaker admits a request.
-        is_draining: An operator's drain covers it.
-        is_leaving: It is leaving the cluster.
+        is_draining: Whether a drain applies to it.
+        is_leaving: Whether it is about to leave the cluster.
     """
 
     is_reachable: bool = True
@@ -41,7 +41,7 @@
     is_leaving: bool = False
 
     def unavailability(self) -> RejectionReason | None:
-        """Return why the back end may not be used, or ``None``."""
+        """Return why the backend must not be used; ``None`` if it is available."""
         if self.is_draining:
             return RejectionReason.DRAINED
         if self.is_leaving:
@@ -54,7 +54,7 @@
 
 
 class _FinishedAttempt(msgspec.Struct, frozen=True, kw_only=True):
-    """Monotonic times between which one of this node's attempts ran."""
+    """Start and end of one of this node's attempts, in monotonic time."""
 
     started_at: float
     finished_at: float
@@ -62,11 +62,11 @@
 
 @dataclass
 class _Entry:
-    """Mutable state of one back end."""
+    """Mutable state of one backend."""
 
     labels: Mapping[str, str]
     zone: str
-    flags: BackendFlags = field(default_factory=BackendFlags)
+    availability: BackendAvailability = field(default_factory=BackendAvailability)
     running: int = 0
     waiting: int = 0
     reported_at: float | None = None
@@ -82,34 +82,36 @@
     mean_service_seconds: float | None = None
     view: BackendView | None = None
 
-    def observe_service(self, seconds: float) -> None:
-        """Take in the duration of one of this node's attempts."""
+    def record_service_time(self, seconds: float) -> None:
+        """Update the moving average with the duration of an attempt."""
         if self.mean_service_seconds is None:
             self.mean_service_seconds = seconds
         else:
-            self.mean_service_seconds += SERVICE_TIME_WEIGHT * (seconds - self.mean_service_seconds)
+            self.mean_service_seconds += SERVICE_TIME_EMA_WEIGHT * (
+                seconds - self.mean_service_seconds
+            )
 
-    def correct_from(self, refers_to: float) -> None:
-        """Count anew what a report that refers to a moment cannot know."""
-        while self.finished and self.finished[0].finished_at <= refers_to:
+    def recount_attempts(self, report_time: float) -> None:
+        """Recount the attempts that started or finished after a report was taken."""
+        while self.finished and self.finished[0].finished_at <= report_time:
             self.finished.popleft()
         self.started_since_report = sum(
-            1 for started_at in self.started_at.values() if started_at > refers_to
+            1 for started_at in self.started_at.values() if started_at > report_time
         )
         self.finished_since_report = sum(
-            1 for attempt in self.finished if attempt.started_at <= refers_to
+            1 for attempt in self.finished if attempt.started_at <= report_time
         )
 
 
-class LoadView:
-    """Back ends assigned to this node, with their load as this node sees it."""
+class LoadTracker:
+    """Tracks the load of the backends that this node knows."""
 
     def __init__(self) -> None:
-        """Create a view without back ends."""
+        """Create a tracker without backends."""
         self._entries: dict[BackendId, _Entry] = {}
 
     def set_backend(self, backend_id: BackendId, labels: Mapping[str, str], zone: str) -> None:
-        """Add a back end or change its labels; its load is kept."""
+        """Add a backend, or update its labels and zone without resetting its load."""
         entry = self._entries.get(backend_id)
         if entry is None:
             self._entries[backend_id] = _Entry(labels=labels, zone=zone)
@@ -119,18 +121,18 @@
         entry.view = None
 
     def remove_backend(self, backend_id: BackendId) -> None:
-        """Forget a back end; attempts that are still running on it may end later."""
+        """Remove a backend; its running attempts may still finish later."""
         self._entries.pop(backend_id, None)
 
-    def set_flags(self, backend_id: BackendId, flags: BackendFlags) -> None:
-        """Set whether a back end may be used."""
+    def set_availability(self, backend_id: BackendId, availability: BackendAvailability) -> None:
+        """Set whether a backend may be used."""
         entry = self._entries.get(backend_id)
-        if entry is not None and entry.flags != flags:
-            entry.flags = flags
+        if entry is not None and entry.availability != availability:
+            entry.availability = availability
             entry.view = None
 
     def start_attempt(self, backend_id: BackendId, attempt_id: AttemptId, now: float) -> None:
-        """Count an attempt as outstanding from now on."""
+        """Record the start of an attempt."""
         entry = self._entries.get(backend_id)
         if entry is None or attempt_id in entry.started_at:
             return
@@ -141,10 +143,10 @@
     def finish_attempt(
         self, backend_id: BackendId, attempt_id: AttemptId, now: float, *, succeeded: bool = True
     ) -> None:
-        """Count an attempt as ended, however it ended; a second call has no effect.
+        """Record the end of an attempt, whatever its outcome; a second call has no effect.
 
-        Only the duration of one that succeeded counts towards the mean service time: a
-        refusal within a millisecond says nothing about it.
+        Only successful attempts count towards the mean service time, since a refused one
+        ends almost immediately.
         """
         entry = self._entries.get(backend_id)
         if entry is None:
@@ -153,7 +155,7 @@
         if started_at is None:
             return
         if succeeded:
-            entry.observe_service(now - started_at)
+            entry.record_service_time(now - started_at)
         entry.finished.append(_FinishedAttempt(started_at=started_at, finished_at=now))
         if entry.reported_at is None or started_at > entry.reported_at:
             entry.started_since_report -= 1
@@ -162,55 +164,55 @@
         entry.view = None
 
     def record_report(self, status: EngineStatus, received_at: float) -> bool:
-        """Take in a back end's report.
+        """Apply a status report of a backend.
 
         Args:
             status: The report.
-            received_at: Monotonic time of its arrival.
+            received_at: Monotonic time at which it arrived.
 
         Returns:
-            False if the report was ignored: the back end is not in the view, the report
-            refers to an earlier moment than one already taken in, or its fence is older
-            than one the same run of the back end is known to have seen.
+            False if the report was ignored: the backend is unknown, the report is older than
+            the last one applied, or its fence is lower than one that the same process of the
+            backend has already reported.
         """
         entry = self._entries.get(status.backend_id)
         if entry is None:
             return False
-        refers_to = received_at - status.observed_age_seconds
-        is_same_run = entry.boot_id == status.boot_id
-        if entry.reported_at is not None and refers_to < entry.reported_at:
+        report_time = received_at - status.observed_age_seconds
+        is_same_process = entry.boot_id == status.boot_id
+        if entry.reported_at is not None and report_time < entry.reported_at:
             return False
-        if is_same_run and status.highest_fence < entry.highest_fence:
+        if is_same_process and status.highest_fence < entry.highest_fence:
             return False
         entry.boot_id = status.boot_id
         entry.running = status.running
         entry.waiting = status.waiting
         entry.weight_version = status.weight_version
         entry.highest_fence = status.highest_fence
-        entry.reported_at = refers_to
-        entry.correct_from(refers_to)
+        entry.reported_at = report_time
+        entry.recount_attempts(report_time)
         entry.view = None
         return True
 
     def reported_version(self, backend_id: BackendId) -> WeightVersion | None:
-        """Return the version that a back end last reported."""
+        """Return the weight version that a backend last reported."""
         entry = self._entries.get(backend_id)
         return None if entry is None else entry.weight_version
 
     def outstanding(self, backend_id: BackendId) -> int:
-        """Return this node's attempts on a back end that have not ended."""
+        """Return the number of this node's unfinished attempts on a backend."""
         entry = self._entries.get(backend_id)
         return 0 if entry is None else len(entry.started_at)
 
     def view(self, backend_id: BackendId) -> BackendView | None:
-        """Return the view of one back end; ``None`` if it is not known."""
+        """Return the view of one backend; ``None`` if it is unknown."""
         entry = self._entries.get(backend_id)
         if entry is None:
             return None
         return entry.view or _build_view(backend_id, entry)
 
     def views(self) -> list[BackendView]:
-        """Return the views of all back ends, in the order they were added."""
+        """Return the views of all backends, in the order they were added."""
         return [
             entry.view or _build_view(backend_id, entry)
             for backend_id, entry in self._entries.items()
@@ -231,6 +233,6 @@
         mean_service_seconds=entry.mean_service_seconds,
         weight_version=entry.weight_version,
         highest_fence=entry.highest_fence,
-        unavailability=entry.flags.unavailability(),
+        unavailability=entry.availability.unavailability(),
     )
     return entry.view
--- a/drumbay/routing/policy_engines.py
+++ b/drumbay/routing/policy_engines.py
@@ -1,4 +1,4 @@
-"""The engines that weight policies select, looked up again only when something changed."""
+"""Caches which engines each weight policy selects."""
 
 import msgspec
 
@@ -8,32 +8,36 @@
 from drumbay.routing.selectors import compile_selector
 
 
-class _Selected(msgspec.Struct, frozen=True, kw_only=True):
+class _CachedSelection(msgspec.Struct, frozen=True, kw_only=True):
+    """Engines selected for a policy at a revision of the directory."""
+
     policy: WeightPolicy
     revision: int
     engines: tuple[BackendAddress, ...]
 
 
 class PolicyEngines:
-    """Selects over hundreds of back ends several times a second, at the cost of a look-up.
+    """Evaluates the selectors of weight policies, and caches the result until an input changes.
 
     Args:
-        directory: Back ends as this node knows them.
+        directory: The backends that this node knows.
     """
 
     def __init__(self, directory: BackendDirectory) -> None:
-        """Create an empty memory."""
+        """Create an empty cache."""
         self._directory = directory
-        self._selected: dict[str, _Selected] = {}
+        self._cache: dict[str, _CachedSelection] = {}
 
     def of(self, policy: WeightPolicy) -> tuple[BackendAddress, ...]:
         """Return the addresses of a policy's engines, watched or not."""
-        known = self._selected.get(policy.name)
+        cached = self._cache.get(policy.name)
         revision = self._directory.revision
-        # NOTE: resources that did not change are the same objects in the next view.
-        if known is not None and known.policy is policy and known.revision == revision:
-            return known.engines
+        # Unchanged resources are the same objects in successive configuration views.
+        if cached is not None and cached.policy is policy and cached.revision == revision:
+            return cached.engines
         selects = compile_selector(policy.selector)
         engines = self._directory.select(selects, policy.model)
-        self._selected[policy.name] = _Selected(policy=policy, revision=revision, engines=engines)
+        self._cache[policy.name] = _CachedSelection(
+            policy=policy, revision=revision, engines=engines
+        )
         return engines
--- a/drumbay/routing/prefix_index.py
+++ b/drumbay/routing/prefix_index.py
@@ -1,8 +1,8 @@
-"""Which prompt prefixes each engine is thought to hold in its cache.
+"""Estimates which prompt prefixes each engine holds in its prefix cache.
 
-A prompt is known by the hashes of its prefixes (``drumbay.backends.prefix_hash``). Engines
-publish which of them they stored and evicted, late and with gaps. The index is a guess: a
-wrong entry costs only speed.
+Prompts are identified by the hashes of their prefixes (``drumbay.backends.prefix_hash``).
+Engines publish cache events when they store or evict a prefix; events may be late or missing.
+A wrong entry costs performance, not correctness.
 """
 
 from collections import OrderedDict
@@ -15,15 +15,16 @@
 
 MAX_AFFINITY_BLOCKS = 64
 DEFAULT_MAX_ENTRIES_PER_BACKEND = 512
-"""An entry takes 366 bytes, and a node may watch a hundred engines; see docs/CAPACITY.md."""
-_NO_SEQUENCE = -1
+"""Bounds the memory per engine."""
+_NO_EVENT = -1
 
 
 def affinity_hashes(model: str | None, prompt: str) -> tuple[str, ...]:
-    """Return the hashes of a prompt's first blocks, as engines name them; shortest first.
+    """Return the prefix hashes of a prompt's first blocks, shortest prefix first.
 
-    Only whole blocks count, and at most ``MAX_AFFINITY_BLOCKS`` of them, so that the cost
-    of a choice does not grow with the prompt. A request without a model has none.
+    Uses the same hashes as the engines. Only whole blocks count, and at most
+    ``MAX_AFFINITY_BLOCKS`` of them, which bounds the cost of routing long prompts. A request
+    without a model has no hashes.
     """
     if model is None:
         return ()
@@ -31,43 +32,42 @@
 
 
 @dataclass
-class _EngineCache:
-    """Guess of one engine's cache: prefix hash to version, least recently stored first."""
+class _EngineCacheEstimate:
+    """Estimated cache of one engine: prefix hash to version, least recently stored first."""
 
     versions: OrderedDict[str, WeightVersion] = field(default_factory=OrderedDict)
-    last_sequence: int = _NO_SEQUENCE
+    last_sequence: int = _NO_EVENT
 
 
 class PrefixIndex:
-    """Guess of the prefix caches of the engines assigned to this node."""
+    """Estimated prefix caches of the engines that this node watches."""
 
     def __init__(self, max_entries_per_backend: int = DEFAULT_MAX_ENTRIES_PER_BACKEND) -> None:
         """Create an empty index that keeps at most this many prefixes per engine."""
         self._max_entries = max_entries_per_backend
-        self._caches: dict[BackendId, _EngineCache] = {}
+        self._caches: dict[BackendId, _EngineCacheEstimate] = {}
         self._holders: dict[str, dict[BackendId, WeightVersion]] = {}
 
     def last_sequence(self, backend_id: BackendId) -> int:
-        """Return the newest event taken in, to ask the engine for later ones; -1 if none."""
+        """Return the sequence number of the last event applied; -1 if none."""
         cache = self._caches.get(backend_id)
-        return _NO_SEQUENCE if cache is None else cache.last_sequence
+        return _NO_EVENT if cache is None else cache.last_sequence
 
     def apply_events(self, backend_id: BackendId, events: Iterable[CacheEvent]) -> int:
-        """Take in cache events of one engine.
+        """Apply cache events of one engine.
 
-        Events already seen are ignored. After a gap in the sequence numbers everything
-        known of the engine is dropped and learned anew from the later events, because an
-        eviction may have been lost.
+        Events already applied are ignored. A gap in the sequence numbers clears the engine's
+        entries, because an eviction may have been lost.
 
         Returns:
-            The number of gaps met.
+            The number of gaps found.
         """
-        cache = self._caches.setdefault(backend_id, _EngineCache())
+        cache = self._caches.setdefault(backend_id, _EngineCacheEstimate())
         gap_count = 0
         for event in sorted(events, key=lambda entry: entry.sequence):
             if event.sequence <= cache.last_sequence:
                 continue
-            is_first = cache.last_sequence == _NO_SEQUENCE
+            is_first = cache.last_sequence == _NO_EVENT
             if not is_first and event.sequence > cache.last_sequence + 1:
                 gap_count += 1
                 self._clear(backend_id, cache)
@@ -78,13 +78,13 @@
     def record_dispatch(
         self, backend_id: BackendId, hashes: tuple[str, ...], weight_version: WeightVersion
     ) -> None:
-        """Expect an engine to hold a prompt that is being sent to it, ahead of its events."""
-        cache = self._caches.setdefault(backend_id, _EngineCache())
+        """Assume that an engine caches a prompt sent to it, before its events arrive."""
+        cache = self._caches.setdefault(backend_id, _EngineCacheEstimate())
         for prefix_hash in hashes:
             self._store(backend_id, cache, prefix_hash, weight_version)
 
     def remove_backend(self, backend_id: BackendId) -> None:
-        """Forget an engine, e.g. because it restarted."""
+        """Remove the entries of an engine, e.g. after it restarted."""
         cache = self._caches.pop(backend_id, None)
         if cache is not None:
             self._clear(backend_id, cache)
@@ -92,14 +92,14 @@
     def affinities(
         self, hashes: tuple[str, ...], weight_version: WeightVersion | None = None
     ) -> dict[BackendId, float]:
-        """Return the share of a prompt's prefix blocks that each engine is thought to hold.
+        """Return the estimated share of a prompt's prefix blocks that each engine caches.
 
         Args:
             hashes: Result of :func:`affinity_hashes`.
             weight_version: Count only prefixes computed with this version; ``None``: any.
 
         Returns:
-            Shares above 0 and up to 1 by engine; engines that hold none are absent.
+            Shares above 0 and up to 1 by engine; engines without a cached block are absent.
         """
         shares: dict[BackendId, float] = {}
         for position in range(len(hashes), 0, -1):
@@ -112,7 +112,7 @@
                     shares.setdefault(backend_id, share)
         return shares
 
-    def _apply(self, backend_id: BackendId, cache: _EngineCache, event: CacheEvent) -> None:
+    def _apply(self, backend_id: BackendId, cache: _EngineCacheEstimate, event: CacheEvent) -> None:
         if event.kind is CacheEventKind.STORED:
             self._store(backend_id, cache, event.prefix_hash, event.weight_version)
         elif cache.versions.get(event.prefix_hash) == event.weight_version:
@@ -122,7 +122,7 @@
     def _store(
         self,
         backend_id: BackendId,
-        cache: _EngineCache,
+        cache: _EngineCacheEstimate,
         prefix_hash: str,
         weight_version: WeightVersion,
     ) -> None:
@@ -133,7 +133,7 @@
             oldest, _ = cache.versions.popitem(last=False)
             self._remove_holder(oldest, backend_id)
 
-    def _clear(self, backend_id: BackendId, cache: _EngineCache) -> None:
+    def _clear(self, backend_id: BackendId, cache: _EngineCacheEstimate) -> None:
         for prefix_hash in cache.versions:
             self._remove_holder(prefix_hash, backend_id)
         cache.versions.clear()
--- a/drumbay/routing/selectors.py
+++ b/drumbay/routing/selectors.py
@@ -1,8 +1,7 @@
-"""Labels of back ends, and selectors compiled to predicates over them.
+"""Labels of backends, and label selectors compiled to predicates.
 
-A selector has the semantics of Kubernetes label selectors: equality requirements and
-set-based requirements, all of which must hold. ``NotIn`` and ``DoesNotExist`` hold when
-the label is absent.
+Selectors have the semantics of Kubernetes label selectors: all equality-based and set-based
+requirements must hold. ``NotIn`` and ``DoesNotExist`` hold when the label is absent.
 """
 
 from collections.abc import Callable, Mapping
@@ -29,16 +28,16 @@
 
 
 class InvalidSelectorError(ConfigurationError):
-    """A set-based requirement has values where none may stand, or lacks them."""
+    """A set-based requirement lacks values, or has values that its operator does not take."""
 
     code = "invalid_selector"
 
 
 def labels_of(group: BackendGroup, backend: Backend) -> dict[str, str]:
-    """Return the labels of one back end.
+    """Return the labels of one backend.
 
-    The back end's labels override the group's. The implied ``drumbay.io/`` labels override
-    both, so that an operator's label cannot contradict where a back end really stands.
+    Labels of the backend override those of its group. The implied ``drumbay.io/`` labels
+    override both, so that configured labels cannot contradict the actual zone, group or model.
     """
     labels = {**group.labels, **backend.labels}
     labels[ZONE_LABEL] = backend.zone
@@ -52,14 +51,14 @@
 
 
 def compile_selector(selector: Selector) -> LabelPredicate:
-    """Compile a selector to a predicate over the labels of a back end.
+    """Compile a selector to a predicate over the labels of a backend.
 
     Raises:
         InvalidSelectorError: ``In``/``NotIn`` without values, or
             ``Exists``/``DoesNotExist`` with values.
     """
     equalities = tuple(selector.match_labels.items())
-    requirements = tuple(_compile_expression(entry) for entry in selector.match_expressions)
+    requirements = tuple(_compile_expression(item) for item in selector.match_expressions)
     if not requirements:
         return _compile_equalities(equalities)
 
@@ -67,7 +66,7 @@
         for key, value in equalities:
             if labels.get(key) != value:
                 return False
-        for requirement in requirements:  # noqa: SIM110 - a generator doubles the cost
+        for requirement in requirements:  # noqa: SIM110 - a generator is slower
             if not requirement(labels):
                 return False
         return True
--- a/drumbay/routing/subsets.py
+++ b/drumbay/routing/subsets.py
@@ -1,23 +1,23 @@
-"""Which workers each node watches and may choose from.
+"""Deterministic subsetting: assigns each node the workers that it polls and routes to.
 
-At 410 nodes and 700 workers not every node can hear every worker's load. Each node
-therefore gets a limited set, computed by every node alone from the same lists of members,
-without messages. Four designs stand for comparison (``drumbay.bench.subsets``):
+Polling every worker from every node does not scale. Each node therefore gets a subset, which
+it computes locally from the shared membership lists without exchanging messages. There are
+four designs (compared by ``drumbay.bench.subsets``):
 
-* all: every node to every worker;
+* all: every node is connected to every worker;
 * zone-modular and random modular: disjoint clusters of nodes and workers (Tsitsiklis and
-  Xu, "Flexible Queueing Architectures", Operations Research 65(5), 2017, section 3.3).
-  Theorem 3.5 there: some demands within a small fluctuation cannot be carried;
+  Xu, "Flexible Queueing Architectures", Operations Research 65(5), 2017, section 3.3). By
+  their Theorem 3.5, some demands with small fluctuations cannot be served;
 * random regular: a random bipartite graph, which is an expander with high probability
-  (remark after Lemma 3.3 there). Lemma 3.2: an expander carries every demand whose
-  fluctuation is within its expansion. That policy's batches and virtual queues (section 4)
+  (remark after their Lemma 3.3). By Lemma 3.2, an expander can serve every demand whose
+  fluctuation is within its expansion. The batching and virtual queues of their section 4
   are not used here.
 
-The random regular graph comes from rendezvous hashing (Thaler and Ravishankar, IEEE/ACM
-Transactions on Networking 6(1), 1998): every pair of node and worker has a score. A node
-watches a worker if the worker is among its ``degree`` best or if it is itself among the
-worker's best nodes. The first rule bounds the node's work, the second one guarantees that
-every worker is watched. A member that joins or leaves moves only pairs around its own.
+The random regular graph is built by rendezvous hashing (Thaler and Ravishankar, IEEE/ACM
+Transactions on Networking 6(1), 1998), which gives every pair of node and worker a score. A node
+watches a worker if the worker is among the node's ``degree`` best, or the node among the
+worker's best. The first rule bounds the load of a node, the second guarantees that every
+worker is watched. A membership change affects only the pairs of the member and a few others.
 """
 
 import math
@@ -38,7 +38,7 @@
 
 
 class SubsetDesign(StrEnum):
-    """How sets of workers are formed."""
+    """How worker subsets are formed."""
 
     ALL = "all"
     ZONE_MODULAR = "zone_modular"
@@ -61,14 +61,14 @@
 
 
 class SubsetPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """How large the sets are.
+    """Parameters of subsetting.
 
     Attributes:
-        design: How sets are formed.
-        degree: Workers per node; more where fewer would leave workers without nodes.
-        same_zone_weight: How much likelier a pair within one zone is than one across
+        design: How subsets are formed.
+        degree: Workers per node; exceeded where workers would otherwise have too few nodes.
+        same_zone_weight: Weight of pairs within one zone relative to pairs across zones
             (random regular only).
-        salt: Makes the sets of different groups of workers independent.
+        salt: Hash salt that makes the subsets of different worker groups independent.
     """
 
     design: SubsetDesign = SubsetDesign.RANDOM_REGULAR
@@ -89,17 +89,17 @@
         node_id: The node.
         nodes: All live nodes, in any order.
         workers: All workers of one group, in any order.
-        policy: Design and degree.
+        policy: Parameters of subsetting.
     """
-    own = next((node for node in nodes if node.node_id == node_id), None)
-    if own is None:
+    this_node = next((node for node in nodes if node.node_id == node_id), None)
+    if this_node is None:
         return ()
     if policy.design is SubsetDesign.ALL or policy.degree >= len(workers):
         return tuple(sorted(worker.backend_id for worker in workers))
     if policy.design is SubsetDesign.RANDOM_REGULAR:
-        chosen = _random_regular_set(own, nodes, workers, policy)
+        chosen = _random_regular_set(this_node, nodes, workers, policy)
     else:
-        chosen = _modular_set(own, nodes, workers, policy)
+        chosen = _modular_set(this_node, nodes, workers, policy)
     return tuple(sorted(chosen))
 
 
@@ -111,8 +111,8 @@
 ) -> frozenset[BackendId]:
     """Return the workers of one node over all groups.
 
-    Each group is assigned on its own and in full degree, so that a small group is not
-    missed by the nodes because a large one stands beside it.
+    Each group is assigned separately with the full degree, so that a large group does not
+    displace the workers of a small one.
     """
     assigned: list[BackendId] = []
     for group in groups:
@@ -120,16 +120,16 @@
             WorkerMember(backend_id=BackendId(backend.id), zone=backend.zone)
             for backend in group.backends
         ]
-        own_policy = msgspec.structs.replace(policy, salt=f"{policy.salt}{group.name}")
-        assigned.extend(assign_workers(node_id, nodes, workers, own_policy))
+        group_policy = msgspec.structs.replace(policy, salt=f"{policy.salt}{group.name}")
+        assigned.extend(assign_workers(node_id, nodes, workers, group_policy))
     return frozenset(assigned)
 
 
 def nodes_per_worker(node_count: int, worker_count: int, degree: int) -> int:
-    """Return how many nodes are guaranteed to watch each worker (random regular).
+    """Return the minimum number of nodes that watch each worker (random regular).
 
-    It is the largest power of two within the mean, so that it changes only when the number
-    of nodes or workers doubles or halves, and at least ``MIN_NODES_PER_WORKER``.
+    The mean is rounded down to a power of two, so that small membership changes do not change
+    the result, and is at least ``MIN_NODES_PER_WORKER``.
     """
     mean = node_count * degree / max(1, worker_count)
     power_of_two: int = 1 << math.floor(math.log2(max(1.0, mean)))
@@ -137,37 +137,42 @@
 
 
 def _random_regular_set(
-    own: NodeMember,
+    this_node: NodeMember,
     nodes: Sequence[NodeMember],
     workers: Sequence[WorkerMember],
     policy: SubsetPolicy,
 ) -> list[BackendId]:
-    own_seed = _node_seed(own, policy)
-    scored = [(_score(own_seed, own, worker, policy), worker) for worker in workers]
-    scored.sort(key=lambda pair: (-pair[0], pair[1].backend_id))
+    this_seed = _node_seed(this_node, policy)
+    scored = [(_score(this_seed, this_node, worker, policy), worker) for worker in workers]
+    scored.sort(key=lambda scored_worker: (-scored_worker[0], scored_worker[1].backend_id))
     chosen = [worker.backend_id for _, worker in scored[: policy.degree]]
-    required = nodes_per_worker(len(nodes), len(workers), policy.degree)
-    others = [(_node_seed(node, policy), node) for node in nodes if node.node_id != own.node_id]
+    min_watchers = nodes_per_worker(len(nodes), len(workers), policy.degree)
+    other_nodes = [
+        (_node_seed(node, policy), node) for node in nodes if node.node_id != this_node.node_id
+    ]
     for score, worker in scored[policy.degree :]:
-        if _count_better(score, worker, own, others, policy, limit=required) < required:
+        if (
+            _count_higher_scores(score, worker, this_node, other_nodes, policy, limit=min_watchers)
+            < min_watchers
+        ):
             chosen.append(worker.backend_id)
     return chosen
 
 
-def _count_better(
-    own_score: float,
+def _count_higher_scores(
+    this_score: float,
     worker: WorkerMember,
-    own: NodeMember,
-    others: Sequence[tuple[int, NodeMember]],
+    this_node: NodeMember,
+    other_nodes: Sequence[tuple[int, NodeMember]],
     policy: SubsetPolicy,
     *,
     limit: int,
 ) -> int:
-    """Return how many nodes score higher with a worker than ``own``, at most ``limit``."""
+    """Return how many other nodes score higher than ``this_node`` for a worker, up to ``limit``."""
     count = 0
-    for seed, node in others:
+    for seed, node in other_nodes:
         score = _score(seed, node, worker, policy)
-        if score > own_score or (score == own_score and node.node_id < own.node_id):
+        if score > this_score or (score == this_score and node.node_id < this_node.node_id):
             count += 1
             if count == limit:
                 break
@@ -179,9 +184,10 @@
 
 
 def _score(seed: int, node: NodeMember, worker: WorkerMember, policy: SubsetPolicy) -> float:
-    """Return the rendezvous score of a pair; larger is better.
+    """Return the weighted rendezvous score of a pair; the highest wins.
 
-    ``log(u) / weight`` with uniform ``u`` wins with a probability proportional to the weight.
+    With uniform ``u``, ``log(u) / weight`` is the highest with a probability proportional to
+    the weight.
     """
     uniform = (xxhash.xxh3_64_intdigest(worker.backend_id.encode(), seed) + 0.5) / _HASH_RANGE
     weight = policy.same_zone_weight if node.zone == worker.zone else 1.0
@@ -189,39 +195,43 @@
 
 
 def _modular_set(
-    own: NodeMember,
+    this_node: NodeMember,
     nodes: Sequence[NodeMember],
     workers: Sequence[WorkerMember],
     policy: SubsetPolicy,
 ) -> list[BackendId]:
     if policy.design is SubsetDesign.ZONE_MODULAR:
-        home_of = _home_zones(nodes, workers)
-        zone = home_of(own.zone)
-        nodes = [node for node in nodes if home_of(node.zone) == zone]
-        workers = [worker for worker in workers if home_of(worker.zone) == zone]
+        cluster_zone_of = _cluster_zones(nodes, workers)
+        zone = cluster_zone_of(this_node.zone)
+        nodes = [node for node in nodes if cluster_zone_of(node.zone) == zone]
+        workers = [worker for worker in workers if cluster_zone_of(worker.zone) == zone]
     cluster_count = max(1, min(round(len(workers) / policy.degree), len(nodes)))
     node_ids = _shuffled([node.node_id for node in nodes], policy.salt)
     worker_ids = _shuffled([worker.backend_id for worker in workers], policy.salt)
-    own_cluster = node_ids.index(own.node_id) % cluster_count
-    return worker_ids[own_cluster::cluster_count]
+    cluster_index = node_ids.index(this_node.node_id) % cluster_count
+    return worker_ids[cluster_index::cluster_count]
 
 
-def _home_zones(
+def _cluster_zones(
     nodes: Sequence[NodeMember], workers: Sequence[WorkerMember]
 ) -> Callable[[str], str]:
-    """Return the zone in which members of each zone are put into clusters.
+    """Return a function that maps each zone to the zone whose clusters its members join.
 
-    A zone without nodes or without workers cannot stand alone; its members join the first
-    zone that can.
+    A zone that lacks nodes or workers cannot form clusters; its members join the first zone
+    that can.
     """
     worker_zones = {worker.zone for worker in workers}
-    homes = sorted({node.zone for node in nodes if node.zone in worker_zones})
-    fallback = homes[0] if homes else ""
-    return lambda zone: zone if zone in homes else fallback
+    usable_zones = sorted({node.zone for node in nodes if node.zone in worker_zones})
+    fallback = usable_zones[0] if usable_zones else ""
+    return lambda zone: zone if zone in usable_zones else fallback
 
 
 def _shuffled(ids: Sequence[IdT], salt: str) -> list[IdT]:
-    """Return ids in an order that is random but the same on every node."""
+    """Return ids in a pseudo-random order that is the same on every node."""
     return sorted(
-        ids, key=lambda entry: (xxhash.xxh3_64_intdigest(f"{salt}\0{entry}".encode()), entry)
+        ids,
+        key=lambda member_id: (
+            xxhash.xxh3_64_intdigest(f"{salt}\0{member_id}".encode()),
+            member_id,
+        ),
     )
--- a/tests/test_policy_engines.py
+++ b/tests/test_policy_engines.py
@@ -1,4 +1,4 @@
-"""A policy's engines follow the configuration without a look at every back end each time."""
+"""The engines of a policy are cached, and updated when groups or the policy change."""
 
 import unittest
 from unittest import mock
@@ -27,7 +27,7 @@
 
 
 class PolicyEnginesTest(unittest.TestCase):
-    def test_the_engines_follow_groups_and_policy(self) -> None:
+    def test_cache_is_invalidated_by_group_and_policy_changes(self) -> None:
         directory = BackendDirectory()
         directory.apply_configuration(make_view(4), 0.0)
         engines = PolicyEngines(directory)
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -1,4 +1,4 @@
-"""The choice never takes an ineligible back end, and spreads load under lagging reports."""
+"""Backend selection: eligibility, load balancing under stale reports, and prefix affinity."""
 
 import random
 import unittest
@@ -20,7 +20,7 @@
     choose_backend,
     estimated_load,
 )
-from drumbay.routing.load_view import BackendFlags, LoadView
+from drumbay.routing.load_tracker import BackendAvailability, LoadTracker
 from drumbay.routing.prefix_index import MAX_AFFINITY_BLOCKS, PrefixIndex, affinity_hashes
 from drumbay.routing.selectors import MODEL_LABEL
 
@@ -39,19 +39,19 @@
 
 
 def view(name: str, **changes: object) -> BackendView:
-    plain = BackendView(
+    default = BackendView(
         backend_id=BackendId(name),
         labels={"tier": "gold", MODEL_LABEL: "m"},
         zone="z1",
         reported_at=0.0,
         weight_version=WeightVersion(5),
     )
-    return msgspec.structs.replace(plain, **changes)
+    return msgspec.structs.replace(default, **changes)
 
 
 def choice_request(**changes: object) -> ChoiceRequest:
-    plain = ChoiceRequest(now=1.0, zone="z1", selects=is_selected, model="m")
-    return msgspec.structs.replace(plain, **changes)
+    default = ChoiceRequest(now=1.0, zone="z1", selects=is_selected, model="m")
+    return msgspec.structs.replace(default, **changes)
 
 
 VIEWS = st.lists(
@@ -134,21 +134,23 @@
                 [entry.rejection for entry in choice.verdicts()], [None, reason], reason
             )
 
-    def test_an_old_report_counts_less(self) -> None:
-        """An old report of an idle back end must not draw every node's requests."""
-        old = view("old", running=0, reported_at=-30.0, mean_service_seconds=1.0)
-        new = view("new", running=2, reported_at=0.9, mean_service_seconds=1.0)
+    def test_stale_reports_count_less(self) -> None:
+        """A stale report of an idle backend must not attract the requests of all nodes."""
+        stale = view("old", running=0, reported_at=-30.0, mean_service_seconds=1.0)
+        fresh = view("new", running=2, reported_at=0.9, mean_service_seconds=1.0)
         busy = view("busy", running=5, reported_at=0.9, mean_service_seconds=1.0)
 
         def chosen(policy: ChoicePolicy) -> str:
-            choice = choose_backend(choice_request(), [old, new, busy], policy, random.Random(1))
+            choice = choose_backend(
+                choice_request(), [stale, fresh, busy], policy, random.Random(1)
+            )
             assert choice.chosen is not None
             return choice.chosen.backend_id
 
         self.assertEqual(chosen(ChoicePolicy()), "new")
-        self.assertEqual(chosen(ChoicePolicy(report_memory_services=1e9)), "old")
+        self.assertEqual(chosen(ChoicePolicy(report_decay_service_times=1e9)), "old")
 
-    def test_fewer_candidates_are_compared_on_old_reports(self) -> None:
+    def test_fewer_candidates_are_compared_on_stale_reports(self) -> None:
         def compared(reported_at: float, missing: int = 0) -> int:
             views = [view(f"e{n}", reported_at=reported_at) for n in range(9)]
             views += [view(f"m{n}", reported_at=None) for n in range(missing)]
@@ -162,7 +164,7 @@
         choice = choose_backend(choice_request(), views, ChoicePolicy(), random.Random(1))
         self.assertEqual(len(choice.costs), 4)
 
-    def test_prefix_holder_is_compared_even_if_not_sampled(self) -> None:
+    def test_backend_with_cached_prefix_is_always_compared(self) -> None:
         views = [view(f"e{index}", running=1) for index in range(50)]
         request = choice_request(prefix_affinity={BackendId("e33"): 1.0})
         choice = choose_backend(request, views, POLICY, random.Random(2))
@@ -170,38 +172,38 @@
         self.assertEqual(choice.chosen.backend_id, "e33")
 
 
-class LoadViewWithoutFlags(LoadView):
-    """Test-only fault: what other parts of the node know of a back end is lost."""
+class LoadTrackerWithoutAvailability(LoadTracker):
+    """Injected fault: availability updates are ignored."""
 
-    def set_flags(self, backend_id: BackendId, flags: BackendFlags) -> None:
-        del backend_id, flags
+    def set_availability(self, backend_id: BackendId, availability: BackendAvailability) -> None:
+        del backend_id, availability
 
 
 class LeavingBackendTest(unittest.TestCase):
-    def work_after_leaving(self, loads: LoadView) -> int:
-        """Return how many attempts a back end received after it was seen to leave."""
-        received: dict[str, int] = {}
+    def attempts_on_leaving_backend(self, load_tracker: LoadTracker) -> int:
+        """Return how many attempts a backend receives after it was marked as leaving."""
+        attempt_counts: dict[str, int] = {}
         for name in ("staying", "leaving"):
-            loads.set_backend(BackendId(name), {"tier": "gold", MODEL_LABEL: "m"}, "z1")
-        loads.set_flags(BackendId("leaving"), BackendFlags(is_leaving=True))
+            load_tracker.set_backend(BackendId(name), {"tier": "gold", MODEL_LABEL: "m"}, "z1")
+        load_tracker.set_availability(BackendId("leaving"), BackendAvailability(is_leaving=True))
         for seed in range(20):
             choice = choose_backend(
-                choice_request(), loads.views(), ChoicePolicy(), random.Random(seed)
+                choice_request(), load_tracker.views(), ChoicePolicy(), random.Random(seed)
             )
             assert choice.chosen is not None
             name = choice.chosen.backend_id
-            received[name] = received.get(name, 0) + 1
-        return received.get("leaving", 0)
+            attempt_counts[name] = attempt_counts.get(name, 0) + 1
+        return attempt_counts.get("leaving", 0)
 
-    def test_leaving_back_end_gets_no_new_work(self) -> None:
-        self.assertEqual(self.work_after_leaving(LoadView()), 0)
-        self.assertGreater(self.work_after_leaving(LoadViewWithoutFlags()), 0)
+    def test_leaving_backend_gets_no_new_attempts(self) -> None:
+        self.assertEqual(self.attempts_on_leaving_backend(LoadTracker()), 0)
+        self.assertGreater(self.attempts_on_leaving_backend(LoadTrackerWithoutAvailability()), 0)
 
 
-class LoadViewTest(unittest.TestCase):
+class LoadTrackerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.loads = LoadView()
-        self.loads.set_backend(ENGINE, {}, "z1")
+        self.load_tracker = LoadTracker()
+        self.load_tracker.set_backend(ENGINE, {}, "z1")
 
     def report(self, *, running: int, received_at: float, age: float, fence: int = 1) -> bool:
         status = EngineStatus(
@@ -214,70 +216,70 @@
             waiting=0,
             observed_age_seconds=age,
         )
-        return self.loads.record_report(status, received_at)
+        return self.load_tracker.record_report(status, received_at)
 
     def test_report_is_corrected_by_own_attempts(self) -> None:
-        self.loads.start_attempt(ENGINE, AttemptId("before"), 1.0)
-        self.loads.start_attempt(ENGINE, AttemptId("after"), 3.0)
+        self.load_tracker.start_attempt(ENGINE, AttemptId("before"), 1.0)
+        self.load_tracker.start_attempt(ENGINE, AttemptId("after"), 3.0)
         self.report(running=10, received_at=4.0, age=2.0)
-        self.assertEqual(estimated_load(self.loads.views()[0]), 11)
-        self.loads.finish_attempt(ENGINE, AttemptId("before"), 4.5)
-        self.assertEqual(estimated_load(self.loads.views()[0]), 10)
-        self.loads.finish_attempt(ENGINE, AttemptId("after"), 4.6)
-        self.loads.finish_attempt(ENGINE, AttemptId("after"), 4.6)
-        self.assertEqual(estimated_load(self.loads.views()[0]), 9)
-        mean_seconds = self.loads.views()[0].mean_service_seconds
+        self.assertEqual(estimated_load(self.load_tracker.views()[0]), 11)
+        self.load_tracker.finish_attempt(ENGINE, AttemptId("before"), 4.5)
+        self.assertEqual(estimated_load(self.load_tracker.views()[0]), 10)
+        self.load_tracker.finish_attempt(ENGINE, AttemptId("after"), 4.6)
+        self.load_tracker.finish_attempt(ENGINE, AttemptId("after"), 4.6)
+        self.assertEqual(estimated_load(self.load_tracker.views()[0]), 9)
+        mean_seconds = self.load_tracker.views()[0].mean_service_seconds
         self.assertAlmostEqual(mean_seconds or 0.0, 0.9 * 3.5 + 0.1 * 1.6)
-        self.loads.start_attempt(ENGINE, AttemptId("refused"), 5.0)
-        self.loads.finish_attempt(ENGINE, AttemptId("refused"), 5.0, succeeded=False)
-        self.assertEqual(self.loads.views()[0].mean_service_seconds, mean_seconds)
+        self.load_tracker.start_attempt(ENGINE, AttemptId("refused"), 5.0)
+        self.load_tracker.finish_attempt(ENGINE, AttemptId("refused"), 5.0, succeeded=False)
+        self.assertEqual(self.load_tracker.views()[0].mean_service_seconds, mean_seconds)
 
-    def test_attempt_that_ended_before_the_report_arrived(self) -> None:
-        self.loads.start_attempt(ENGINE, AttemptId("a"), 1.0)
-        self.loads.finish_attempt(ENGINE, AttemptId("a"), 3.0)
+    def test_attempt_that_finished_before_the_report_arrived(self) -> None:
+        self.load_tracker.start_attempt(ENGINE, AttemptId("a"), 1.0)
+        self.load_tracker.finish_attempt(ENGINE, AttemptId("a"), 3.0)
         self.report(running=10, received_at=4.0, age=2.0)
-        self.assertEqual(estimated_load(self.loads.views()[0]), 9)
+        self.assertEqual(estimated_load(self.load_tracker.views()[0]), 9)
         self.report(running=9, received_at=5.0, age=1.0)
-        self.assertEqual(estimated_load(self.loads.views()[0]), 9)
+        self.assertEqual(estimated_load(self.load_tracker.views()[0]), 9)
 
     def test_older_reports_are_ignored(self) -> None:
         self.assertTrue(self.report(running=1, received_at=4.0, age=0.0, fence=2))
         self.assertFalse(self.report(running=9, received_at=5.0, age=2.0, fence=2))
         self.assertFalse(self.report(running=9, received_at=6.0, age=0.0, fence=1))
-        self.assertEqual(self.loads.views()[0].running, 1)
-        self.assertEqual(self.loads.views()[0].weight_version, 2)
+        self.assertEqual(self.load_tracker.views()[0].running, 1)
+        self.assertEqual(self.load_tracker.views()[0].weight_version, 2)
 
-    def test_flags_make_a_back_end_unavailable(self) -> None:
+    def test_availability_is_reflected_in_the_view(self) -> None:
         cases = {
-            RejectionReason.DRAINED: BackendFlags(is_draining=True),
-            RejectionReason.LEAVING: BackendFlags(is_leaving=True),
-            RejectionReason.UNREACHABLE: BackendFlags(is_reachable=False),
-            RejectionReason.CIRCUIT_OPEN: BackendFlags(circuit_admits=False),
+            RejectionReason.DRAINED: BackendAvailability(is_draining=True),
+            RejectionReason.LEAVING: BackendAvailability(is_leaving=True),
+            RejectionReason.UNREACHABLE: BackendAvailability(is_reachable=False),
+            RejectionReason.CIRCUIT_OPEN: BackendAvailability(circuit_admits=False),
         }
-        for reason, flags in cases.items():
-            self.loads.set_flags(ENGINE, flags)
-            self.assertEqual(self.loads.views()[0].unavailability, reason)
-        self.loads.set_flags(ENGINE, BackendFlags())
-        self.assertIsNone(self.loads.views()[0].unavailability)
+        for reason, availability in cases.items():
+            self.load_tracker.set_availability(ENGINE, availability)
+            self.assertEqual(self.load_tracker.views()[0].unavailability, reason)
+        self.load_tracker.set_availability(ENGINE, BackendAvailability())
+        self.assertIsNone(self.load_tracker.views()[0].unavailability)
 
-    def test_own_attempts_spread_load_between_reports(self) -> None:
-        """Without the correction one lagging report draws every request to one engine."""
+    def test_own_attempts_balance_load_between_reports(self) -> None:
+        """Without the correction, a stale report sends every request to the same engine."""
 
         def most_loaded(*, counts_own_attempts: bool) -> int:
-            loads = LoadView()
+            load_tracker = LoadTracker()
             for index in range(4):
-                loads.set_backend(BackendId(f"e{index}"), {"tier": "gold"}, "z1")
+                load_tracker.set_backend(BackendId(f"e{index}"), {"tier": "gold"}, "z1")
             generator = random.Random(5)
             counts = dict.fromkeys(range(4), 0)
             for number in range(40):
                 choice = choose_backend(
-                    choice_request(model=None), loads.views(), ChoicePolicy(), generator
+                    choice_request(model=None), load_tracker.views(), ChoicePolicy(), generator
                 )
                 assert choice.chosen is not None
                 counts[int(choice.chosen.backend_id[1:])] += 1
                 if counts_own_attempts:
                     attempt = AttemptId(str(number))
-                    loads.start_attempt(choice.chosen.backend_id, attempt, 0.0)
+                    load_tracker.start_attempt(choice.chosen.backend_id, attempt, 0.0)
             return max(counts.values())
 
         self.assertLessEqual(most_loaded(counts_own_attempts=True), 11)
@@ -298,8 +300,8 @@
 
 
 class PrefixIndexTest(unittest.TestCase):
-    def test_hashes_are_those_of_engines(self) -> None:
-        """An engine and a node must name the same prefix alike, or affinity never holds."""
+    def test_hashes_match_those_of_engines(self) -> None:
+        """Prefix affinity requires that nodes and engines compute the same hashes."""
         prompt = "x" * (2 * BLOCK_CHARACTERS + 5)
         hashes = affinity_hashes("m", prompt)
         self.assertEqual(hashes, prefix_hashes("m", prompt))
@@ -307,7 +309,7 @@
         self.assertEqual(len(affinity_hashes("m", prompt * 100)), MAX_AFFINITY_BLOCKS)
         self.assertNotEqual(affinity_hashes("other", prompt), hashes)
 
-    def test_share_of_the_longest_prefix(self) -> None:
+    def test_affinity_is_the_share_of_the_longest_cached_prefix(self) -> None:
         index = PrefixIndex()
         index.apply_events(ENGINE, [stored(0, "h1"), stored(1, "h2")])
         self.assertEqual(index.affinities(("h1", "h2", "h3", "h4")), {ENGINE: 0.5})
@@ -315,7 +317,7 @@
         index.apply_events(ENGINE, [evicted(2, "h2"), stored(1, "h2")])
         self.assertEqual(index.affinities(("h1", "h2", "h3", "h4")), {ENGINE: 0.25})
 
-    def test_a_gap_drops_what_was_known(self) -> None:
+    def test_a_sequence_gap_clears_the_entries(self) -> None:
         index = PrefixIndex()
         self.assertEqual(index.apply_events(ENGINE, [stored(4, "h1"), stored(5, "h2")]), 0)
         self.assertEqual(index.apply_events(ENGINE, [stored(7, "h3")]), 1)
--- a/tests/test_routing_selectors.py
+++ b/tests/test_routing_selectors.py
@@ -1,4 +1,4 @@
-"""Compiled selectors agree with the definition of Kubernetes label selectors."""
+"""Compiled selectors have the semantics of Kubernetes label selectors."""
 
 import unittest
 
@@ -53,16 +53,16 @@
         expected = expected and all(reference_holds(entry, labels) for entry in requirements)
         self.assertEqual(compile_selector(selector)(labels), expected)
 
-    def test_values_where_none_may_stand(self) -> None:
-        wrong = [
+    def test_rejects_missing_or_unexpected_values(self) -> None:
+        invalid_expressions = [
             SelectorExpression(key="a", operator=SelectorOperator.IN),
             SelectorExpression(key="a", operator=SelectorOperator.EXISTS, values=("b",)),
         ]
-        for expression in wrong:
+        for expression in invalid_expressions:
             with self.assertRaises(InvalidSelectorError):
                 compile_selector(Selector(match_expressions=(expression,)))
 
-    def test_labels_of_a_back_end(self) -> None:
+    def test_labels_of_a_backend(self) -> None:
         backend = Backend(
             id="e1", url="http://127.0.0.1:1", zone="north", labels={"tier": "own", "x": "y"}
         )
--- a/tests/test_routing_subsets.py
+++ b/tests/test_routing_subsets.py
@@ -1,4 +1,4 @@
-"""Sets of workers: the same on every node, covering, bounded, and stable under changes."""
+"""Worker subsets: deterministic, complete, bounded, and stable under membership changes."""
 
 import math
 import random
@@ -86,17 +86,17 @@
         shuffler.shuffle(workers)
         self.assertEqual(all_sets(nodes, workers, policy), sets)
 
-    def test_mean_degree_stays_near_the_one_asked_for(self) -> None:
+    def test_mean_degree_is_near_the_requested_degree(self) -> None:
         for degree in (4, 8, 16, 32):
             sets = all_sets(make_nodes(41), make_workers(70), SubsetPolicy(degree=degree))
             mean = sum(len(chosen) for chosen in sets.values()) / len(sets)
             self.assertLessEqual(mean, degree * 1.25)
             self.assertLessEqual(max(map(len, sets.values())), degree + 4 * math.sqrt(degree))
 
-    def test_a_member_that_joins_or_leaves_moves_few_pairs(self) -> None:
-        """Random regular sets keep all but a few pairs; modular ones move many more."""
+    def test_membership_changes_move_few_pairs(self) -> None:
+        """A membership change affects few pairs of random regular subsets, many of modular ones."""
 
-        def moved(design: SubsetDesign) -> int:
+        def moved_pairs(design: SubsetDesign) -> int:
             policy = SubsetPolicy(design=design, degree=8)
             nodes, workers = make_nodes(41), make_workers(70)
             full = all_sets(nodes, workers, policy)
@@ -105,23 +105,23 @@
                 left = all_sets(nodes[:index] + nodes[index + 1 :], workers, policy)
                 total += sum(len(chosen ^ full[node_id]) for node_id, chosen in left.items())
             for index in range(0, 70, 14):
-                gone = workers[index].backend_id
+                removed = workers[index].backend_id
                 left = all_sets(nodes, workers[:index] + workers[index + 1 :], policy)
                 total += sum(
-                    len((chosen ^ full[node_id]) - {gone}) for node_id, chosen in left.items()
+                    len((chosen ^ full[node_id]) - {removed}) for node_id, chosen in left.items()
                 )
             return total
 
         changes = 11
-        self.assertLessEqual(moved(SubsetDesign.RANDOM_REGULAR), 4 * changes)
-        self.assertGreater(moved(SubsetDesign.RANDOM_MODULAR), 4 * changes)
+        self.assertLessEqual(moved_pairs(SubsetDesign.RANDOM_REGULAR), 4 * changes)
+        self.assertGreater(moved_pairs(SubsetDesign.RANDOM_MODULAR), 4 * changes)
 
     def test_unknown_node_has_no_workers(self) -> None:
         self.assertEqual(
             assign_workers(NodeId("?"), make_nodes(3), make_workers(3), SubsetPolicy()), ()
         )
 
-    def test_each_group_is_assigned_in_full_degree(self) -> None:
+    def test_each_group_is_assigned_with_full_degree(self) -> None:
         groups = [
             BackendGroup(
                 name=name,
@@ -149,10 +149,10 @@
         addresses = directory.watched_addresses(BackendKind.ENGINE)
         self.assertEqual({address.backend_id for address in addresses}, watched)
 
-    def test_same_zone_weight_prefers_the_zone(self) -> None:
+    def test_same_zone_weight_prefers_workers_of_the_same_zone(self) -> None:
         nodes, workers = make_nodes(30), make_workers(60)
 
-        def local_share(weight: float) -> float:
+        def same_zone_share(weight: float) -> float:
             sets = all_sets(nodes, workers, SubsetPolicy(degree=8, same_zone_weight=weight))
             zone_of = {worker.backend_id: worker.zone for worker in workers}
             pairs = [
@@ -160,24 +160,24 @@
             ]
             return sum(pairs) / len(pairs)
 
-        self.assertLess(local_share(1.0), 0.45)
-        self.assertGreater(local_share(4.0), 0.55)
+        self.assertLess(same_zone_share(1.0), 0.45)
+        self.assertGreater(same_zone_share(4.0), 0.55)
 
 
 class CapacityTest(unittest.TestCase):
     def test_known_capacities(self) -> None:
-        two_modules = SubsetGraph(
+        two_clusters = SubsetGraph(
             worker_sets=((0, 1), (2, 3)), node_zones=(0, 0), worker_zones=(0, 0, 0, 0)
         )
-        self.assertAlmostEqual(capacity_share(two_modules, [0.5, 0.5]), 1.0, places=3)
-        self.assertAlmostEqual(capacity_share(two_modules, [0.8, 0.2]), 0.625, places=3)
+        self.assertAlmostEqual(capacity_share(two_clusters, [0.5, 0.5]), 1.0, places=3)
+        self.assertAlmostEqual(capacity_share(two_clusters, [0.8, 0.2]), 0.625, places=3)
         chain = SubsetGraph(
             worker_sets=((0, 1), (1, 2), (2, 3)), node_zones=(0,) * 3, worker_zones=(0,) * 4
         )
         self.assertAlmostEqual(capacity_share(chain, [0.5, 0.25, 0.25]), 1.0, places=2)
         self.assertAlmostEqual(capacity_share(chain, [0.8, 0.1, 0.1]), 0.625, places=2)
 
-    def test_random_regular_carries_skew_that_modules_cannot(self) -> None:
+    def test_random_regular_subsets_serve_skewed_demand_better_than_clusters(self) -> None:
         capacities = {}
         for design in SubsetDesign:
             graph = build_graph(41, 70, SubsetPolicy(design=design, degree=16))
