--- a/drumbay/weights/capacity.py
+++ b/drumbay/weights/capacity.py
@@ -1,4 +1,4 @@
-"""How many engines a rollout may take out of service. Pure."""
+"""Computes how many engines a weight rollout may take out of service; pure functions."""
 
 import math
 from collections.abc import Collection, Iterable
@@ -8,26 +8,26 @@
 from drumbay.weights.events import VersionNeed
 
 
-def serving_floor(total: int, min_serving_share: float) -> int:
-    """Return how many of ``total`` engines must serve.
+def min_serving_engines(total: int, min_serving_share: float) -> int:
+    """Return how many of ``total`` engines must keep serving.
 
-    A group too small to spare a whole engine could never change its weights; unless the
-    policy asks for all of them, one engine at a time may then be taken.
+    In a small group the share may round up to all engines, which would block every rollout.
+    Unless the policy requires all engines, one at a time may then be taken out of service.
     """
-    floor = math.ceil(min_serving_share * total)
-    if floor == total and min_serving_share < 1.0:
+    minimum = math.ceil(min_serving_share * total)
+    if minimum == total and min_serving_share < 1.0:
         return max(0, total - 1)
-    return floor
+    return minimum
 
 
-def spare_by_version(
+def surplus_by_version(
     engines: Collection[EngineRecord], needs: Iterable[VersionNeed], now: float
 ) -> dict[WeightVersion, int]:
-    """Return how many serving engines each needed version can lose."""
-    spare: dict[WeightVersion, int] = {}
+    """Return, by needed version, how many of its serving engines can be taken out of service."""
+    surplus: dict[WeightVersion, int] = {}
     for need in needs:
         serving = sum(
             1 for record in engines if record.version == need.version and record.is_serving(now)
         )
-        spare[need.version] = serving - need.engines
-    return spare
+        surplus[need.version] = serving - need.engines
+    return surplus
--- a/drumbay/weights/fences.py
+++ b/drumbay/weights/fences.py
@@ -1,22 +1,22 @@
-"""Fences of the orders to engines.
+"""Fencing tokens of the orders to engines.
 
-A lease's fence orders the owners of a rollout. Orders of one owner can overtake each other
-too: an order whose answer never came may still be on its way when a later one is given.
-Each order therefore carries the lease's fence and, below it, a number that grows with every
-order of that owner, so that an engine refuses whatever is older than the newest it saw.
+The fence of a lease orders successive owners of a rollout. Orders of the same owner can be
+reordered as well: an order without a reply may still be in flight when the next one is sent.
+The fence of an order therefore combines the lease's fence (high bits) with a sequence number
+(low bits), and an engine refuses any order older than the newest one it has seen.
 """
 
 from drumbay.exceptions import DrumbayError
 from drumbay.identifiers import Fence
 
 SEQUENCE_BITS = 24
-"""Orders that one holder of a lease can give: 16 million."""
+"""Allows 16 million orders per lease."""
 
 _SEQUENCE_LIMIT = 1 << SEQUENCE_BITS
 
 
 class OrderSequenceExhaustedError(DrumbayError):
-    """The owner gave as many orders as its fence can number; the lease must change hands."""
+    """The sequence numbers under one lease are used up; a new lease is needed."""
 
     code = "order_sequence_exhausted"
 
@@ -24,8 +24,8 @@
 def order_fence(lease_fence: Fence, sequence: int) -> Fence:
     """Return the fence of an order.
 
-    NOTE: every fenced order to an engine must be numbered like this; the fence of a lease
-    alone is below those of all orders.
+    Every fenced order to an engine must use such a fence; the bare fence of a lease is lower
+    than those of all orders.
 
     Raises:
         OrderSequenceExhaustedError: ``sequence`` does not fit.
@@ -36,5 +36,5 @@
 
 
 def lease_fence(fence: Fence) -> Fence:
-    """Return the lease's fence that the fence of an order was made from."""
+    """Return the lease's fence that is part of the fence of an order."""
     return Fence(fence >> SEQUENCE_BITS)
--- a/drumbay/weights/http_store.py
+++ b/drumbay/weights/http_store.py
@@ -1,4 +1,4 @@
-"""Lists published versions over HTTP: ``GET /v1/models/{model}/versions``."""
+"""HTTP client of the weight store: ``GET /v1/models/{model}/versions``."""
 
 from urllib.parse import quote
 
@@ -12,7 +12,7 @@
 
 
 class _VersionList(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of the weight store."""
+    """Response of the weight store."""
 
     versions: tuple[WeightVersion, ...]
 
@@ -25,14 +25,14 @@
     """
 
     def __init__(self, url: str) -> None:
-        """Use the store at ``url``."""
+        """Create a client of the store at ``url``."""
         self._url = url.rstrip("/")
 
     async def versions(self, model: str) -> tuple[WeightVersion, ...]:
         """Return the published versions of a model, oldest first.
 
         Raises:
-            WeightStoreUnavailableError: They could not be read.
+            WeightStoreUnavailableError: The versions could not be read.
         """
         url = f"{self._url}/v1/models/{quote(model, safe='')}/versions"
         try:
--- a/drumbay/weights/order_choice.py
+++ b/drumbay/weights/order_priority.py
@@ -1,4 +1,4 @@
-"""Which engines are ordered to load the target, in which order, and why. Pure."""
+"""Prioritizes the engines that have to load the target version; pure functions."""
 
 from collections.abc import Collection, Sequence
 
@@ -9,30 +9,29 @@
 from drumbay.weights.target import is_withdrawn
 
 
-def engines_to_order(
+def prioritize_engines(
     engines: Collection[EngineRecord],
     target: WeightVersion,
     withdrawals: Sequence[Withdrawal],
     owner_fence: Fence | None,
     now: float,
 ) -> list[EngineRecord]:
-    """Return the engines that serve another version than the target, most urgent first.
+    """Return the engines that do not serve the target version, most urgent first.
 
-    Engines with a withdrawn version come first, then those without failures. Of the
-    engines that an earlier owner gave an order, the newest orders come first: these
-    engines may still be loading, and an order to them costs no more capacity. Then come
-    the oldest versions and the idlest engines.
+    Engines with a withdrawn version come first, then engines without failures, then engines
+    with the most recent orders of a previous owner: they may still be loading, so that a new
+    order costs no further capacity. Ties are broken by the oldest version and the lowest load.
     """
 
     def urgency(record: EngineRecord) -> tuple[bool, int, int, int, int, str]:
         version = WeightVersion(record.version or 0)
         allowed = not is_withdrawn(version, withdrawals)
-        is_inherited = lease_fence(record.highest_fence) != owner_fence
-        inherited_fence = record.highest_fence if is_inherited else 0
+        is_from_previous_owner = lease_fence(record.highest_fence) != owner_fence
+        previous_owner_fence = record.highest_fence if is_from_previous_owner else 0
         return (
             allowed,
             record.failures,
-            -inherited_fence,
+            -previous_owner_fence,
             version,
             record.load,
             record.engine,
@@ -51,7 +50,7 @@
 
 
 def order_reason(record: EngineRecord, target: WeightVersion, *, done: bool) -> OrderReason:
-    """Return why an engine is ordered now; ``done``: the rollout had already ended."""
+    """Return the reason of an order; ``done``: the rollout had already completed."""
     if record.failures > 0:
         return OrderReason.RETRY
     if record.version is not None and record.version > target:
--- a/drumbay/weights/planner.py
+++ b/drumbay/weights/planner.py
@@ -1,11 +1,15 @@
-"""Plans the rollout of one model's weights. Pure: events and the time in, decisions out."""
+"""Planner of the weight rollout of one model.
+
+Does no I/O and reads no clock: the caller passes in events and the time, and executes the
+returned decisions.
+"""
 
 from collections.abc import Iterator
 
 from drumbay.backends.interface import EngineStatus
 from drumbay.identifiers import BackendId, Fence, WeightVersion
-from drumbay.weights.capacity import serving_floor, spare_by_version
-from drumbay.weights.engines import EngineRecord, OpenOrder
+from drumbay.weights.capacity import min_serving_engines, surplus_by_version
+from drumbay.weights.engines import EngineRecord, PendingOrder
 from drumbay.weights.events import (
     EnginesChanged,
     LoadEngine,
@@ -15,50 +19,50 @@
     OrderSucceeded,
     OwnershipChanged,
     PolicyChanged,
-    RolloutDecision,
     RolloutDone,
-    RolloutEvent,
-    RolloutPolicy,
     RolloutStarted,
     SetAside,
-    StampObserved,
-    StatusMissed,
     StatusReported,
+    StatusRequestFailed,
     Tick,
+    TokenVersionObserved,
     VersionNeed,
     VersionPublished,
+    WeightRolloutDecision,
+    WeightRolloutEvent,
+    WeightRolloutPolicy,
     Withdrawal,
 )
 from drumbay.weights.fences import order_fence
-from drumbay.weights.order_choice import engines_to_order, order_reason
+from drumbay.weights.order_priority import order_reason, prioritize_engines
 from drumbay.weights.target import is_withdrawn, target_version
 
-ORDER_LIMIT_SECONDS = 120.0
-"""An order without any outcome for this long counts as failed."""
+ORDER_EXPIRY_SECONDS = 120.0
+"""An order without an outcome for this long counts as failed."""
 
-TAKEOVER_SECONDS = 3.0
-"""How long a new owner waits for the engines' reports before it gives orders."""
+TAKEOVER_WAIT_SECONDS = 3.0
+"""Longest time that a new owner waits for the engines' reports before it issues orders."""
 
-ARRIVAL_LIMIT_SECONDS = 10.0
-"""An engine that has not seen an order's fence by then counts as not having got it."""
+ORDER_ARRIVAL_TIMEOUT_SECONDS = 10.0
+"""An order whose fence the engine has not seen after this long counts as not received."""
 
-FIRST_RETRY_SECONDS = 1.0
-FAILURES_BEFORE_SET_ASIDE = 3
+INITIAL_RETRY_DELAY_SECONDS = 1.0
+MAX_ORDER_FAILURES = 3
 SET_ASIDE_SECONDS = 60.0
 
 
 _PLANNING_EVENTS = (Tick, VersionPublished, OwnershipChanged, OrderSucceeded, OrderFailed)
 
 
-class RolloutPlanner:
-    """Orders engines to the target version within the limits of the policy.
+class WeightRolloutPlanner:
+    """Brings engines to the target version within the limits of the policy.
 
-    Only the owner of the rollout decides anything. A new owner knows nothing of the earlier
-    one's orders; it plans from the engines' reports, and its fences are newer.
+    Only the owner of the rollout makes decisions. A new owner does not know the orders of its
+    predecessor: it plans from the engines' reports, and its orders have newer fences.
     """
 
-    def __init__(self, policy: RolloutPolicy) -> None:
-        """Create a planner without engines that is not the owner."""
+    def __init__(self, policy: WeightRolloutPolicy) -> None:
+        """Create a planner that has no engines and is not the owner."""
         self._policy = policy
         self._withdrawals: tuple[Withdrawal, ...] = ()
         self._needs: tuple[VersionNeed, ...] = ()
@@ -66,8 +70,8 @@
         self._published: list[WeightVersion] = []
         self._lease_fence: Fence | None = None
         self._owner_since = 0.0
-        self._refused_fence: Fence | None = None
-        self._numbered_fence: Fence | None = None
+        self._rejected_lease_fence: Fence | None = None
+        self._sequence_fence: Fence | None = None
         self._sequence = 0
         self._target: WeightVersion | None = None
         self._started_at = 0.0
@@ -75,7 +79,7 @@
 
     @property
     def target(self) -> WeightVersion | None:
-        """Return the version the rollout leads to; ``None`` if none is published."""
+        """Return the target version; ``None`` if none is published."""
         return self._target
 
     @property
@@ -84,160 +88,170 @@
         return self._done
 
     def busy_engines(self) -> tuple[BackendId, ...]:
-        """Return the engines that work on an order."""
+        """Return the engines that are executing an order."""
         return tuple(
-            record.engine for record in self._engines.values() if record.open_order is not None
+            record.engine for record in self._engines.values() if record.pending_order is not None
         )
 
-    def handle(self, event: RolloutEvent, now: float) -> tuple[RolloutDecision, ...]:
-        """Take in one event and return what to do now."""
-        decisions = list(self._take_in(event, now))
+    def handle(self, event: WeightRolloutEvent, now: float) -> tuple[WeightRolloutDecision, ...]:
+        """Apply an event and return the resulting decisions."""
+        decisions = list(self._apply_event(event, now))
         if self._lease_fence is None:
             return ()
-        # NOTE: a plan looks at every engine. Reports of 700 engines come 140 times a
-        # second; what they change is planned at the next tick.
+        # Planning iterates over all engines, so frequent status reports wait for the next tick.
         if not isinstance(event, _PLANNING_EVENTS):
             return tuple(decisions)
-        decisions.extend(self._move_target(now))
+        decisions.extend(self._update_target(now))
         decisions.extend(self._expire_orders(now))
         decisions.extend(self._plan_orders(now))
-        decisions.extend(self._finish(now))
+        decisions.extend(self._complete_rollout(now))
         return tuple(decisions)
 
-    def _take_in(self, event: RolloutEvent, now: float) -> Iterator[RolloutDecision]:
+    def _apply_event(
+        self, event: WeightRolloutEvent, now: float
+    ) -> Iterator[WeightRolloutDecision]:
         match event:
             case VersionPublished(version=version):
-                self._take_version(version)
+                self._add_version(version)
             case PolicyChanged(policy=policy, withdrawals=withdrawals):
                 self._policy = policy
                 self._withdrawals = withdrawals
             case NeedsChanged(needs=needs):
                 self._needs = needs
             case EnginesChanged(engines=engines):
-                self._take_engines(engines)
+                self._set_engines(engines)
             case OwnershipChanged(lease_fence=fence):
-                self._take_ownership(fence, now)
+                self._set_ownership(fence, now)
             case Tick():
                 pass
             case _:
-                yield from self._take_engine_event(event, now)
+                yield from self._apply_engine_event(event, now)
 
-    def _take_version(self, version: WeightVersion) -> None:
-        """Take in that a version exists; a new owner learns it from the engines too."""
+    def _add_version(self, version: WeightVersion) -> None:
+        """Record a published version, which a new owner may also learn from an engine's report."""
         if version not in self._published:
             self._published.append(version)
 
-    def _take_engine_event(
+    def _apply_engine_event(
         self,
-        event: StatusReported | StatusMissed | StampObserved | OrderSucceeded | OrderFailed,
+        event: StatusReported
+        | StatusRequestFailed
+        | TokenVersionObserved
+        | OrderSucceeded
+        | OrderFailed,
         now: float,
-    ) -> Iterator[RolloutDecision]:
+    ) -> Iterator[WeightRolloutDecision]:
         engine = event.status.backend_id if isinstance(event, StatusReported) else event.engine
         record = self._engines.get(engine)
         if record is None:
             return
         match event:
             case StatusReported(status=status):
-                self._take_version(status.weight_version)
-                record.take_status(status, now)
-                yield from self._settle_open_order(record, status, now)
-            case StatusMissed():
-                record.lose()
-            case StampObserved(boot_id=boot_id, version=version):
-                if record.take_stamp(boot_id, version, now):
-                    detail = f"acknowledged, but its tokens are of version {version}"
-                    yield from self._fail(record, detail, now)
+                self._add_version(status.weight_version)
+                record.record_status(status, now)
+                yield from self._resolve_pending_order(record, status, now)
+            case StatusRequestFailed():
+                record.clear_report()
+            case TokenVersionObserved(boot_id=boot_id, version=version):
+                if record.record_token_version(boot_id, version, now):
+                    detail = f"load acknowledged, but its tokens come from version {version}"
+                    yield from self._record_failure(record, detail, now)
             case OrderSucceeded(fence=fence, status=status):
-                yield from self._succeed(record, fence, status, now)
+                yield from self._complete_order(record, fence, status, now)
             case OrderFailed():
-                yield from self._take_failure(record, event, now)
+                yield from self._handle_order_failure(record, event, now)
 
-    def _take_failure(
+    def _handle_order_failure(
         self, record: EngineRecord, event: OrderFailed, now: float
-    ) -> Iterator[RolloutDecision]:
-        if record.open_order is None or record.open_order.fence != event.fence:
+    ) -> Iterator[WeightRolloutDecision]:
+        if record.pending_order is None or record.pending_order.fence != event.fence:
             return
-        if event.stale:
-            # NOTE: the newer fence is not one of this planner's, so another node owns the
-            # rollout and this one's lease has lapsed unnoticed.
-            self._refused_fence = self._lease_fence
-            self._take_ownership(None, now)
+        if event.stale_fence:
+            # Another node has issued orders under a newer fence, so this lease has expired.
+            self._rejected_lease_fence = self._lease_fence
+            self._set_ownership(None, now)
             return
-        yield from self._fail(record, event.reason, now)
-        if event.uncertain:
-            record.uncertain_until = record.retry_at
+        yield from self._record_failure(record, event.reason, now)
+        if event.outcome_unknown:
+            record.maybe_busy_until = record.retry_at
 
-    def _take_engines(self, engines: tuple[BackendId, ...]) -> None:
+    def _set_engines(self, engines: tuple[BackendId, ...]) -> None:
         self._engines = {
             engine: self._engines.get(engine) or EngineRecord(engine) for engine in engines
         }
 
-    def _take_ownership(self, fence: Fence | None, now: float) -> None:
+    def _set_ownership(self, fence: Fence | None, now: float) -> None:
         if fence == self._lease_fence:
             return
-        if fence is not None and fence == self._refused_fence:
+        if fence is not None and fence == self._rejected_lease_fence:
             return
         self._lease_fence = fence
         self._owner_since = now
         for record in self._engines.values():
-            record.lose()
-        if fence is not None and fence != self._numbered_fence:
-            self._begin_numbering(fence)
+            record.clear_report()
+        if fence is not None and fence != self._sequence_fence:
+            self._start_sequence(fence)
 
-    def _begin_numbering(self, fence: Fence) -> None:
-        """Forget the orders under an earlier fence.
+    def _start_sequence(self, fence: Fence) -> None:
+        """Discard orders and sequence numbers of an earlier lease.
 
-        NOTE: a lease whose validity was in doubt for a while comes back with the same fence.
-        Its orders are still open then, and its numbers go on: an engine refuses an order
-        with a number that it has seen.
+        Not called when a lease resumes under the same fence: its orders are still pending,
+        and reused sequence numbers would be refused.
         """
-        self._numbered_fence = fence
+        self._sequence_fence = fence
         self._sequence = 0
         self._target = None
         for record in self._engines.values():
-            record.open_order = None
+            record.pending_order = None
 
-    def _settle_open_order(
+    def _resolve_pending_order(
         self, record: EngineRecord, status: EngineStatus, now: float
-    ) -> Iterator[RolloutDecision]:
-        """End an order whose answer is missing by what the engine reports."""
-        order = record.open_order
+    ) -> Iterator[WeightRolloutDecision]:
+        """Complete or fail a pending order without a reply from the engine's report."""
+        order = record.pending_order
         if order is None:
             return
         if status.highest_fence == order.fence and record.version == order.version:
-            yield from self._succeed(record, order.fence, status, now)
-        elif status.highest_fence < order.fence and now - order.given_at > ARRIVAL_LIMIT_SECONDS:
-            yield from self._fail(record, "the order did not arrive", now)
-
-    def _succeed(
+            yield from self._complete_order(record, order.fence, status, now)
+        elif (
+            status.highest_fence < order.fence
+            and now - order.issued_at > ORDER_ARRIVAL_TIMEOUT_SECONDS
+        ):
+            yield from self._record_failure(record, "order not received", now)
+
+    def _complete_order(
         self, record: EngineRecord, fence: Fence, status: EngineStatus, now: float
-    ) -> Iterator[RolloutDecision]:
-        if record.open_order is None or record.open_order.fence != fence:
+    ) -> Iterator[WeightRolloutDecision]:
+        if record.pending_order is None or record.pending_order.fence != fence:
             return
-        ordered = record.open_order.version
-        record.take_success(status, now)
-        if record.version != ordered:
-            yield from self._fail(record, f"acknowledged, but reports {record.version}", now)
+        ordered_version = record.pending_order.version
+        record.record_success(status, now)
+        if record.version != ordered_version:
+            yield from self._record_failure(
+                record, f"load acknowledged, but the engine reports version {record.version}", now
+            )
             return
         record.failures = 0
         record.set_aside = False
 
-    def _fail(self, record: EngineRecord, reason: str, now: float) -> Iterator[RolloutDecision]:
-        record.open_order = None
+    def _record_failure(
+        self, record: EngineRecord, reason: str, now: float
+    ) -> Iterator[WeightRolloutDecision]:
+        record.pending_order = None
         record.failures += 1
         record.last_failure = reason
-        if record.failures < FAILURES_BEFORE_SET_ASIDE:
-            record.retry_at = now + FIRST_RETRY_SECONDS * 2 ** (record.failures - 1)
+        if record.failures < MAX_ORDER_FAILURES:
+            record.retry_at = now + INITIAL_RETRY_DELAY_SECONDS * 2 ** (record.failures - 1)
             return
         record.set_aside = True
         record.retry_at = now + SET_ASIDE_SECONDS
         yield SetAside(
             engine=record.engine,
             until_seconds=record.retry_at,
-            detail=f"{record.failures} orders in a row failed, the last one: {reason}",
+            detail=f"{record.failures} orders in a row failed; last failure: {reason}",
         )
 
-    def _move_target(self, now: float) -> Iterator[RolloutDecision]:
+    def _update_target(self, now: float) -> Iterator[WeightRolloutDecision]:
         target = target_version(self._published, self._withdrawals)
         if target is None or target == self._target:
             return
@@ -253,69 +267,71 @@
             detail=f"from version {previous} to {target}, {len(self._engines)} engines",
         )
 
-    def _expire_orders(self, now: float) -> Iterator[RolloutDecision]:
+    def _expire_orders(self, now: float) -> Iterator[WeightRolloutDecision]:
         for record in self._engines.values():
-            order = record.open_order
-            if order is not None and now - order.given_at > ORDER_LIMIT_SECONDS:
-                yield from self._fail(record, "no outcome in time", now)
+            order = record.pending_order
+            if order is not None and now - order.issued_at > ORDER_EXPIRY_SECONDS:
+                yield from self._record_failure(record, "timed out", now)
 
-    def _plan_orders(self, now: float) -> Iterator[RolloutDecision]:
-        if self._target is None or not self._knows_engines(now):
+    def _plan_orders(self, now: float) -> Iterator[WeightRolloutDecision]:
+        if self._target is None or not self._has_engine_reports(now):
             return
         for record in self._engines.values():
-            if record.open_order is not None and record.open_order.version != self._target:
-                yield self._order(record, OrderReason.SUPERSEDES, now)
-        free = self._free_slots(now)
-        if free <= 0:
+            if record.pending_order is not None and record.pending_order.version != self._target:
+                yield self._issue_order(record, OrderReason.SUPERSEDES, now)
+        free_slots = self._free_slots(now)
+        if free_slots <= 0:
             return
-        spare = self._spare_by_version(now)
-        waiting = engines_to_order(
+        surplus = self._surplus_by_version(now)
+        pending_engines = prioritize_engines(
             self._engines.values(), self._target, self._withdrawals, self._lease_fence, now
         )
-        for record in waiting:
-            if free <= 0:
+        for record in pending_engines:
+            if free_slots <= 0:
                 return
             assert record.version is not None
-            if spare.get(record.version, 1) <= 0:
+            if surplus.get(record.version, 1) <= 0:
                 continue
-            if record.version in spare:
-                spare[record.version] -= 1
-            free -= 1
-            yield self._order(record, order_reason(record, self._target, done=self._done), now)
-
-    def _knows_engines(self, now: float) -> bool:
-        """Tell whether the engines' reports are in, so that a new owner can plan."""
-        if now - self._owner_since >= TAKEOVER_SECONDS:
+            if record.version in surplus:
+                surplus[record.version] -= 1
+            free_slots -= 1
+            yield self._issue_order(
+                record, order_reason(record, self._target, done=self._done), now
+            )
+
+    def _has_engine_reports(self, now: float) -> bool:
+        """Return whether all engines have reported, or a new owner has waited long enough."""
+        if now - self._owner_since >= TAKEOVER_WAIT_SECONDS:
             return True
         return all(record.has_reported() for record in self._engines.values())
 
     def _free_slots(self, now: float) -> int:
         """Return how many more engines may be taken out of service."""
-        busy = len(self.busy_engines())
+        busy_count = len(self.busy_engines())
         serving = sum(1 for record in self._engines.values() if record.is_serving(now))
-        by_capacity = serving - self._serving_floor()
-        return min(by_capacity, self._policy.max_concurrent_loads - busy)
+        spare_engines = serving - self._min_serving_engines()
+        return min(spare_engines, self._policy.max_concurrent_loads - busy_count)
 
-    def _serving_floor(self) -> int:
-        return serving_floor(len(self._engines), self._policy.min_serving_share)
+    def _min_serving_engines(self) -> int:
+        return min_serving_engines(len(self._engines), self._policy.min_serving_share)
 
-    def _spare_by_version(self, now: float) -> dict[WeightVersion, int]:
+    def _surplus_by_version(self, now: float) -> dict[WeightVersion, int]:
         assert self._target is not None
         oldest = WeightVersion(self._target - self._policy.max_staleness_versions)
-        useful = [
+        relevant_needs = [
             need
             for need in self._needs
             if oldest <= need.version != self._target
             and not is_withdrawn(need.version, self._withdrawals)
         ]
-        return spare_by_version(self._engines.values(), useful, now)
+        return surplus_by_version(self._engines.values(), relevant_needs, now)
 
-    def _order(self, record: EngineRecord, reason: OrderReason, now: float) -> LoadEngine:
+    def _issue_order(self, record: EngineRecord, reason: OrderReason, now: float) -> LoadEngine:
         assert self._target is not None
         assert self._lease_fence is not None
         fence = self._next_fence(self._lease_fence)
-        record.open_order = OpenOrder(self._target, fence, now)
-        failed = f"; last failure: {record.last_failure}" if record.failures else ""
+        record.pending_order = PendingOrder(self._target, fence, now)
+        failure_note = f"; last failure: {record.last_failure}" if record.failures else ""
         return LoadEngine(
             engine=record.engine,
             version=self._target,
@@ -323,7 +339,7 @@
             reason=reason,
             detail=(
                 f"{reason.value}: from version {record.version} to {self._target}, "
-                f"{len(self.busy_engines())} of {len(self._engines)} engines loading{failed}"
+                f"{len(self.busy_engines())} of {len(self._engines)} engines loading{failure_note}"
             ),
         )
 
@@ -331,16 +347,20 @@
         self._sequence += 1
         return order_fence(owner_fence, self._sequence)
 
-    def _finish(self, now: float) -> Iterator[RolloutDecision]:
+    def _complete_rollout(self, now: float) -> Iterator[WeightRolloutDecision]:
         if self._done or self._target is None or not self._engines:
             return
-        counted = [record for record in self._engines.values() if not record.set_aside]
-        if any(record.version != self._target or not record.is_serving(now) for record in counted):
+        active_records = [record for record in self._engines.values() if not record.set_aside]
+        if any(
+            record.version != self._target or not record.is_serving(now)
+            for record in active_records
+        ):
             return
         self._done = True
-        aside = len(self._engines) - len(counted)
+        set_aside_count = len(self._engines) - len(active_records)
         yield RolloutDone(
             version=self._target,
             seconds=now - self._started_at,
-            detail=f"{len(counted)} engines serve version {self._target}, {aside} set aside",
+            detail=f"{len(active_records)} engines serve version {self._target}, "
+            f"{set_aside_count} set aside",
         )
--- a/drumbay/weights/service.py
+++ b/drumbay/weights/service.py
@@ -1,4 +1,4 @@
-"""Rollout of weights by the nodes that own it, one model at a time."""
+"""Service that rolls out model weights, one owner node per model."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,33 +30,33 @@
     OrderSucceeded,
     OwnershipChanged,
     PolicyChanged,
-    RolloutDecision,
     RolloutDone,
-    RolloutEvent,
-    RolloutPolicy,
     RolloutStarted,
     SetAside,
-    StampObserved,
-    StatusMissed,
     StatusReported,
+    StatusRequestFailed,
     Tick,
+    TokenVersionObserved,
     VersionNeed,
     VersionPublished,
+    WeightRolloutDecision,
+    WeightRolloutEvent,
+    WeightRolloutPolicy,
     Withdrawal,
 )
-from drumbay.weights.planner import RolloutPlanner
+from drumbay.weights.planner import WeightRolloutPlanner
 
 TICK_SECONDS = 0.5
-STATUS_PERIOD_SECONDS = 5.0
+STATUS_INTERVAL_SECONDS = 5.0
 STATUS_TIMEOUT_SECONDS = 2.0
-CONCURRENT_STATUS_CALLS = 64
+MAX_CONCURRENT_STATUS_CALLS = 64
 ORDER_TIMEOUT_SECONDS = 90.0
 DEFAULT_CONCURRENT_LOADS = 256
-"""With fewer, the store idles while engines load; see the design note for the figures."""
+"""Enough to keep the weight store busy."""
 
 
 def withdrawals_of(view: ConfigurationView, model: str) -> tuple[Withdrawal, ...]:
-    """Return the operators' rollbacks of a model."""
+    """Return the configured rollbacks of a model."""
     return tuple(
         Withdrawal(
             keep=WeightVersion(rollback.keep),
@@ -68,7 +68,7 @@
 
 
 class EngineStamp(Message, frozen=True, kw_only=True):
-    """Datagram to the owner of a rollout: tokens contradict what an engine reports."""
+    """Datagram to the owner of a rollout: an engine's tokens contradict its reported version."""
 
     model: str
     engine: BackendId
@@ -77,17 +77,17 @@
 
 
 class WeightRolloutService:
-    """Rolls out weights on this node's own rollouts.
+    """Runs the weight rollouts that this node owns.
 
-    Every node runs one. Only the owner of a model's rollout gives orders: the node for
-    which ``lease_fence`` returns a fence. Start with :meth:`start`; it ends with the task
-    owner.
+    Every node runs the service, but only the owner of a model's rollout issues orders: the
+    node for which ``lease_fence`` returns a fence. Call :meth:`start`; the service stops with
+    its task owner.
 
     Attributes:
         planner_type: Class of the planners.
     """
 
-    planner_type: ClassVar[type[RolloutPlanner]] = RolloutPlanner
+    planner_type: ClassVar[type[WeightRolloutPlanner]] = WeightRolloutPlanner
 
     def __init__(
         self,
@@ -108,19 +108,20 @@
         """Create the service.
 
         Args:
-            clock: Time.
-            engine_client: Operations on engines.
-            transport: Messages to and from the owner of a rollout.
+            clock: Source of time.
+            engine_client: Client of the engines.
+            transport: Messages between nodes.
             node_id: This node, for the decision records.
-            view: The configuration in force.
+            view: Returns the current configuration.
             engines_of: Returns the engines that a policy selects.
             lease_fence: Returns the fence of the lease on a model's rollout while this
                 node owns it, else ``None``.
-            owner_address: Returns where the owner of a model's rollout is reached.
+            owner_address: Returns the address of the owner of a model's rollout.
             needs: Returns the versions of a model that running samples need.
-            record: Takes each decision.
+            record: Stores a decision record.
             task_owner: Owner of the background tasks.
-            max_concurrent_loads: Most engines that read from the weight store at once.
+            max_concurrent_loads: Maximum number of engines that read from the weight store at
+                once.
         """
         self._clock = clock
         self._engine_client = engine_client
@@ -134,20 +135,20 @@
         self._record = record
         self._task_owner = task_owner
         self._max_concurrent_loads = max_concurrent_loads
-        self._planners: dict[str, RolloutPlanner] = {}
+        self._planners: dict[str, WeightRolloutPlanner] = {}
         self._published: dict[str, list[WeightVersion]] = {}
         self._addresses: dict[BackendId, BackendAddress] = {}
         self._next_status_at: dict[BackendId, float] = {}
         self._owned: dict[str, bool] = {}
-        self._status_calls = asyncio.Semaphore(CONCURRENT_STATUS_CALLS)
+        self._status_semaphore = asyncio.Semaphore(MAX_CONCURRENT_STATUS_CALLS)
 
     def start(self) -> None:
         """Register the message handler and start the background task."""
-        self._transport.handle_datagrams(EngineStamp, self._handle_stamp)
+        self._transport.handle_datagrams(EngineStamp, self._handle_engine_stamp)
         self._task_owner.spawn(self._run(), "weight rollout")
 
     def publish(self, model: str, version: WeightVersion) -> None:
-        """Take in that the trainer published a version; call it on every node."""
+        """Record that the trainer published a version; to be called on every node."""
         versions = self._published.setdefault(model, [])
         if version not in versions:
             versions.append(version)
@@ -161,42 +162,44 @@
         version: WeightVersion,
         reported_version: WeightVersion,
     ) -> None:
-        """Take in the version that a chunk of tokens names.
+        """Process the weight version of a chunk of tokens.
 
         Args:
             model: Name of the model.
             engine: The engine.
-            boot_id: Run of the engine process.
-            version: Version that the chunk names.
+            boot_id: Identifies the engine process.
+            version: Version that generated the chunk.
             reported_version: Version that the engine last reported; only a difference is
-                told to the owner.
+                sent to the owner.
         """
         if version == reported_version:
             return
         stamp = EngineStamp(model=model, engine=engine, boot_id=boot_id, version=version)
         if self._lease_fence(model) is not None:
-            self._handle_stamp(self._transport.address, stamp)
+            self._handle_engine_stamp(self._transport.address, stamp)
             return
         owner = self._owner_address(model)
         if owner is not None:
             self._transport.send_datagram(owner, stamp)
 
-    def _handle_stamp(self, _source: Address, stamp: EngineStamp) -> None:
-        observed = StampObserved(engine=stamp.engine, boot_id=stamp.boot_id, version=stamp.version)
-        self._handle(stamp.model, observed)
+    def _handle_engine_stamp(self, _source: Address, stamp: EngineStamp) -> None:
+        observation = TokenVersionObserved(
+            engine=stamp.engine, boot_id=stamp.boot_id, version=stamp.version
+        )
+        self._handle(stamp.model, observation)
 
     def target(self, model: str) -> WeightVersion | None:
-        """Return the version this node rolls out, if it owns the model's rollout."""
+        """Return the target version, if this node owns the model's rollout."""
         planner = self._planners.get(model)
         return planner.target if planner is not None else None
 
     def is_done(self, model: str) -> bool:
-        """Return whether the rollout of a model that this node owns has ended."""
+        """Return whether this node owns the model's rollout and it has completed."""
         planner = self._planners.get(model)
         return planner is not None and planner.is_done
 
     def busy_engines(self, model: str) -> tuple[BackendId, ...]:
-        """Return the engines that are loading by this node's orders."""
+        """Return the engines that are executing this node's orders."""
         planner = self._planners.get(model)
         return planner.busy_engines() if planner is not None else ()
 
@@ -204,77 +207,79 @@
         while True:
             view = self._view()
             for _name, policy in sorted(view.policies.items()):
-                self._refresh(policy, view)
+                self._update_rollout(policy, view)
             await self._clock.sleep(TICK_SECONDS)
 
-    def _refresh(self, policy: WeightPolicy, view: ConfigurationView) -> None:
+    def _update_rollout(self, policy: WeightPolicy, view: ConfigurationView) -> None:
         model = policy.model
         if model not in self._planners:
-            self._planners[model] = self.planner_type(self._limits(policy))
+            self._planners[model] = self.planner_type(self._rollout_policy(policy))
             for version in self._published.get(model, []):
                 self._handle(model, VersionPublished(version=version))
         fence = self._lease_fence(model)
         if fence is None and not self._owned.get(model, False):
-            # Most nodes own no rollout; they would tell their planner the same for ever.
+            # The planner already knows that this node is not the owner.
             return
         engines = self._engines_of(policy)
         for engine in engines:
             self._addresses[engine.backend_id] = engine
-        changed = PolicyChanged(
-            policy=self._limits(policy), withdrawals=withdrawals_of(view, model)
+        policy_changed = PolicyChanged(
+            policy=self._rollout_policy(policy), withdrawals=withdrawals_of(view, model)
+        )
+        # Ownership comes last, so that the first plan has all other inputs.
+        self._handle(model, policy_changed)
+        self._handle(
+            model, EnginesChanged(engines=tuple(backend.backend_id for backend in engines))
         )
-        # NOTE: ownership is told last, so that the first plan knows everything else.
-        self._handle(model, changed)
-        self._handle(model, EnginesChanged(engines=tuple(one.backend_id for one in engines)))
         self._handle(model, NeedsChanged(needs=self._needs(model)))
         self._handle(model, OwnershipChanged(lease_fence=fence))
         self._handle(model, Tick())
         if fence is not None:
-            self._poll(model, engines, renew=not self._owned.get(model, False))
+            self._poll_status(model, engines, force=not self._owned.get(model, False))
         self._owned[model] = fence is not None
 
-    def _limits(self, policy: WeightPolicy) -> RolloutPolicy:
-        return RolloutPolicy(
+    def _rollout_policy(self, policy: WeightPolicy) -> WeightRolloutPolicy:
+        return WeightRolloutPolicy(
             min_serving_share=policy.min_serving_share,
             max_staleness_versions=policy.max_staleness_versions,
             max_concurrent_loads=self._max_concurrent_loads,
         )
 
-    def _poll(self, model: str, engines: tuple[BackendAddress, ...], *, renew: bool) -> None:
+    def _poll_status(self, model: str, engines: tuple[BackendAddress, ...], *, force: bool) -> None:
         now = self._clock.monotonic()
         for engine in engines:
-            if renew or now >= self._next_status_at.get(engine.backend_id, 0.0):
-                self._next_status_at[engine.backend_id] = now + STATUS_PERIOD_SECONDS
-                self._task_owner.spawn(self._ask_status(model, engine), "engine status")
+            if force or now >= self._next_status_at.get(engine.backend_id, 0.0):
+                self._next_status_at[engine.backend_id] = now + STATUS_INTERVAL_SECONDS
+                self._task_owner.spawn(self._request_status(model, engine), "engine status")
 
-    async def _ask_status(self, model: str, engine: BackendAddress) -> None:
-        async with self._status_calls:
+    async def _request_status(self, model: str, engine: BackendAddress) -> None:
+        async with self._status_semaphore:
             try:
                 status = await self._engine_client.status(
                     engine, timeout_seconds=STATUS_TIMEOUT_SECONDS
                 )
             except BackendError:
-                self._handle(model, StatusMissed(engine=engine.backend_id))
+                self._handle(model, StatusRequestFailed(engine=engine.backend_id))
                 return
         self._handle(model, StatusReported(status=status))
 
-    def _handle(self, model: str, event: RolloutEvent) -> None:
+    def _handle(self, model: str, event: WeightRolloutEvent) -> None:
         planner = self._planners.get(model)
         if planner is None:
             return
         for decision in planner.handle(event, self._clock.monotonic()):
-            self._explain(model, decision)
+            self._record_decision(model, decision)
             if isinstance(decision, LoadEngine):
-                self._task_owner.spawn(self._give(model, decision), "weight order")
+                self._task_owner.spawn(self._send_order(model, decision), "weight order")
 
-    async def _give(self, model: str, decision: LoadEngine) -> None:
+    async def _send_order(self, model: str, decision: LoadEngine) -> None:
         order = FencedOrder(
             fence=decision.fence,
             kind=OrderKind.LOAD_VERSION,
             model=model,
             weight_version=decision.version,
         )
-        outcome: RolloutEvent
+        outcome: WeightRolloutEvent
         try:
             status = await self._engine_client.order(
                 self._addresses[decision.engine], order, timeout_seconds=ORDER_TIMEOUT_SECONDS
@@ -285,12 +290,12 @@
                 engine=decision.engine,
                 fence=decision.fence,
                 reason=error.code,
-                uncertain=not isinstance(error, BackendNotReachedError | BackendRefusedError),
-                stale=isinstance(error, StaleFenceError),
+                outcome_unknown=not isinstance(error, BackendNotReachedError | BackendRefusedError),
+                stale_fence=isinstance(error, StaleFenceError),
             )
         self._handle(model, outcome)
 
-    def _explain(self, model: str, decision: RolloutDecision) -> None:
+    def _record_decision(self, model: str, decision: WeightRolloutDecision) -> None:
         match decision:
             case LoadEngine(engine=engine, detail=detail):
                 event, subject_id = "weights_load_ordered", str(engine)
--- a/drumbay/weights/store_interface.py
+++ b/drumbay/weights/store_interface.py
@@ -1,4 +1,4 @@
-"""The weight store as drumbay reads it: which versions of a model are published."""
+"""Interface to the weight store."""
 
 from typing import Protocol
 
@@ -7,18 +7,18 @@
 
 
 class WeightStoreUnavailableError(UnavailableError):
-    """The versions could not be read."""
+    """The published versions could not be read."""
 
     code = "weight_store_unavailable"
 
 
 class WeightStoreClient(Protocol):
-    """Lists published versions."""
+    """Client of a weight store."""
 
     async def versions(self, model: str) -> tuple[WeightVersion, ...]:
         """Return the published versions of a model, oldest first.
 
         Raises:
-            WeightStoreUnavailableError: They could not be read.
+            WeightStoreUnavailableError: The versions could not be read.
         """
         ...
--- a/drumbay/weights/target.py
+++ b/drumbay/weights/target.py
@@ -1,4 +1,4 @@
-"""Which version a rollout leads to. Pure."""
+"""Determines the target version of a rollout; pure functions."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,8 +7,8 @@
 
 
 def is_withdrawn(version: WeightVersion, withdrawals: Sequence[Withdrawal]) -> bool:
-    """Tell whether an operator's rollback withdrew a version."""
-    return any(one.keep < version <= one.through for one in withdrawals)
+    """Return whether an operator's rollback withdrew a version."""
+    return any(withdrawal.keep < version <= withdrawal.through for withdrawal in withdrawals)
 
 
 def target_version(
@@ -16,10 +16,8 @@
 ) -> WeightVersion | None:
     """Return the newest version that is published and not withdrawn.
 
-    The target depends on the published versions and the configuration alone. Every owner
-    comes to the same one, whoever owned the rollout before and whatever it had done; a
-    version leads back only if an operator withdrew those above it, and a version published
-    later leads forward again.
+    The target depends only on the published versions and the configuration, so successive
+    owners agree on it. It moves back only when an operator withdraws the newer versions.
     """
     allowed = [version for version in published if not is_withdrawn(version, withdrawals)]
     return max(allowed, default=None)
--- a/drumbay/weights/version_coordinator.py
+++ b/drumbay/weights/version_coordinator.py
@@ -1,4 +1,4 @@
-"""Gives the leader's load orders and follows them until they are carried out."""
+"""Sends the leader's load orders to workers and tracks them to completion."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 from drumbay.peers.messages import LoadingNotice
 from drumbay.tasks import TaskOwner
 from drumbay.weights.version_planner import (
+    LoadId,
     LoadPolicy,
-    LoadUnderWayId,
     LoadVersion,
     VersionPlanner,
 )
@@ -31,20 +31,19 @@
 from drumbay.workers.worker_record import WorkerRecord
 
 TICK_SECONDS = 0.25
-CALL_LIMIT_SECONDS = 0.6
+CALL_TIMEOUT_SECONDS = 0.6
 STATUS_INTERVAL_SECONDS = 0.1
-"""A load holds up the next one of the same worker, so its end is to be noticed soon. A report costs
-a hundredth of a load."""
+"""Poll interval during a load; short, since a worker runs only one load at a time."""
 
 NOTICE_MARGIN_SECONDS = 0.03
-"""The order leaves after the notice of it, by one call to the worker."""
+"""Added to the expected load time, since the notice is sent before the order."""
 
-IDLE_LIMIT_SECONDS = 1.2
-"""A worker that is idle at its old version this long after an order did not take it."""
+ORDER_ACCEPTANCE_TIMEOUT_SECONDS = 1.2
+"""A worker still idle at its old version after this long has not accepted the order."""
 
 
 class NamedVersions:
-    """The newest version that each model's trainer has named."""
+    """Newest announced version of each model."""
 
     def __init__(self) -> None:
         """Start without versions."""
@@ -52,7 +51,7 @@
         self.changed = asyncio.Event()
 
     def name(self, model: str, version: WeightVersion) -> None:
-        """Take a version; an older one than known is passed over."""
+        """Record an announced version; ignored unless it is newer than the known one."""
         if version <= self._versions.get(model, WeightVersion(0)):
             return
         self._versions[model] = version
@@ -60,7 +59,7 @@
         self.changed.set()
 
     def newest_of(self, model: str) -> WeightVersion:
-        """Return the newest version of a model; 0 if none is named."""
+        """Return the newest version of a model; 0 if none was announced."""
         return self._versions.get(model, WeightVersion(0))
 
     @property
@@ -70,14 +69,14 @@
 
 
 class _LastOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Which machine ordered a worker last, and when."""
+    """Machine that sent the last order to a worker, and when."""
 
     holder: str
-    at: float
+    ordered_at: float
 
 
 class VersionCoordinator:
-    """Loads named versions on the workers while this node leads."""
+    """Loads announced versions on the workers while this node is the leader."""
 
     def __init__(
         self,
@@ -85,93 +84,95 @@
         directory: WorkerDirectory,
         client: WorkerClient,
         leader: LeaderElection,
-        named: NamedVersions,
+        announced_versions: NamedVersions,
         task_owner: TaskOwner,
         holder: str,
-        announce: Callable[[LoadingNotice], None],
+        broadcast_notice: Callable[[LoadingNotice], None],
         metrics: ServingMetrics,
-        turn_seconds: float,
+        handover_seconds: float,
         policy: LoadPolicy | None = None,
     ) -> None:
-        """Create a coordinator that gives orders as ``holder``.
+        """Create a coordinator that sends orders as ``holder``.
 
         Args:
-            clock: Time.
+            clock: Source of time.
             directory: The workers.
-            client: Calls to workers.
-            leader: Says whether this node may give orders.
-            named: The versions to load.
-            task_owner: Runs the loads.
-            holder: This machine, as workers know it.
-            announce: Tells the nodes, this one included, of a load that begins.
-            metrics: Counts the loads.
-            turn_seconds: Orders of two machines to one worker lie at least so far apart.
-            policy: Limits of loading.
+            client: Client of the workers.
+            leader: Leader election; provides the fence of this node's leadership.
+            announced_versions: The versions to load.
+            task_owner: Owner of the load tasks.
+            holder: Name of this machine in orders to workers.
+            broadcast_notice: Broadcasts a notice to all nodes, including this one, before a load.
+            metrics: Counts the loads by outcome.
+            handover_seconds: Minimum time between orders of different machines to a worker.
+            policy: Limits on concurrent loads and time limits.
         """
         self._clock = clock
         self._directory = directory
         self._client = client
         self._leader = leader
-        self._named = named
+        self._announced_versions = announced_versions
         self._task_owner = task_owner
         self._holder = holder
-        self._announce = announce
+        self._broadcast_notice = broadcast_notice
         self._metrics = metrics
-        self._turn_seconds = turn_seconds
-        self._ordered: dict[BackendId, _LastOrder] = {}
+        self._handover_seconds = handover_seconds
+        self._last_orders: dict[BackendId, _LastOrder] = {}
         self._policy = policy or LoadPolicy()
         self._planner = VersionPlanner(self._policy)
         directory.add_restart_listener(self._planner.note_restarted)
-        self.one_version_models: frozenset[str] = frozenset()
+        self.single_version_models: frozenset[str] = frozenset()
 
     async def run(self) -> None:
-        """Plan and give orders until cancelled."""
+        """Plan and execute loads until cancelled."""
         while True:
             now = self._clock.monotonic()
             fence = self._leader.fence(now)
             if fence is not None:
                 records = self._directory.all_records()
-                mine = [record for record in records.values() if self._is_my_turn(record, now)]
-                for load in self._planner.plan(self._named.newest, mine, now):
-                    under_way = self._planner.note_started(load.worker_id)
+                eligible_records = [
+                    record for record in records.values() if self._may_order(record, now)
+                ]
+                for load in self._planner.plan(
+                    self._announced_versions.newest, eligible_records, now
+                ):
+                    load_id = self._planner.note_started(load.worker_id)
                     record = records[load.worker_id]
-                    self._task_owner.spawn(
-                        self._load(load, under_way, record, fence), "load-version"
-                    )
-            self._named.changed.clear()
+                    self._task_owner.spawn(self._load(load, load_id, record, fence), "load-version")
+            self._announced_versions.changed.clear()
             with suppress(TimeoutError):
                 async with asyncio.timeout(TICK_SECONDS):
-                    await self._named.changed.wait()
+                    await self._announced_versions.changed.wait()
 
     def note_order(self, notice: LoadingNotice) -> None:
-        """Remember who orders a worker to load."""
+        """Record which machine sent a load order to a worker."""
         now = self._clock.monotonic()
-        self._ordered[notice.worker_id] = _LastOrder(holder=notice.holder, at=now)
+        self._last_orders[notice.worker_id] = _LastOrder(holder=notice.holder, ordered_at=now)
 
-    def _is_my_turn(self, record: WorkerRecord, now: float) -> bool:
-        """Return whether no other machine has given a worker an order for long enough."""
-        last = self._ordered.get(record.worker.worker_id)
+    def _may_order(self, record: WorkerRecord, now: float) -> bool:
+        """Return whether no other machine has recently sent a worker an order."""
+        last = self._last_orders.get(record.worker.worker_id)
         if last is None or last.holder == self._holder:
             return True
-        return now - last.at >= self._turn_seconds
+        return now - last.ordered_at >= self._handover_seconds
 
     async def _load(
-        self, load: LoadVersion, under_way: LoadUnderWayId, record: WorkerRecord, fence: Fence
+        self, load: LoadVersion, load_id: LoadId, record: WorkerRecord, fence: Fence
     ) -> None:
         started_at = self._clock.monotonic()
         outcome = "failed"
         try:
-            if await self._order(load, record, fence):
-                outcome = await self._follow(load, record)
+            if await self._send_order(load, record, fence):
+                outcome = await self._wait_for_load(load, record)
         except WorkerError as error:
             outcome = error.code
         finally:
             if self._directory.has_restarted(record.worker):
                 outcome = "restarted"
             if outcome in ("loaded", "restarted"):
-                self._planner.note_ended(load.worker_id, under_way)
+                self._planner.note_ended(load.worker_id, load_id)
             else:
-                self._planner.note_failed(load.worker_id, under_way, self._clock.monotonic())
+                self._planner.note_failed(load.worker_id, load_id, self._clock.monotonic())
             self._metrics.count_load(outcome)
             log_event(
                 "load_ended",
@@ -183,11 +184,11 @@
                 elapsed_seconds=round(self._clock.monotonic() - started_at, 3),
             )
 
-    async def _ask(self, record: WorkerRecord) -> WorkerStatus:
-        """Return a worker's report, which the directory has taken.
+    async def _request_status(self, record: WorkerRecord) -> WorkerStatus:
+        """Return a worker's status after recording it in the directory.
 
         Raises:
-            WorkerError: It gives none.
+            WorkerError: The request failed.
         """
         asked_at = self._clock.monotonic()
         status = await self._client.status(record.worker)
@@ -196,14 +197,14 @@
         )
         return status
 
-    async def _order(self, load: LoadVersion, record: WorkerRecord, fence: Fence) -> bool:
-        """Give the order; return whether the load may be under way.
+    async def _send_order(self, load: LoadVersion, record: WorkerRecord, fence: Fence) -> bool:
+        """Send the order; return whether the load may be in progress.
 
-        The expected sequence is that of the start for which the load was planned.
+        The expected sequence number belongs to the worker process that the load was planned for.
         """
-        status = await self._ask(record)
+        status = await self._request_status(record)
         if self._directory.get(load.worker_id) is not record:
-            # It has started again, or has left: it must get no order.
+            # The worker has restarted or left, so the planned load is obsolete.
             return False
         if status.busy:
             return True
@@ -211,21 +212,21 @@
             return True
         if self._leader.fence(self._clock.monotonic()) != fence:
             return False
-        is_strict = load.model in self.one_version_models
+        requires_single_version = load.model in self.single_version_models
         order = LoadOrder(
             model=load.model,
             version=load.version,
-            mode=LoadMode.FINISH_FIRST if is_strict else LoadMode.KEEP_RUNNING,
+            mode=LoadMode.FINISH_FIRST if requires_single_version else LoadMode.KEEP_RUNNING,
             holder=self._holder,
             fence=fence,
             expected_sequence=status.sequence,
         )
-        self._announce(
+        self._broadcast_notice(
             LoadingNotice(
                 worker_id=load.worker_id,
                 model=load.model,
                 version=load.version,
-                seconds=self._policy.expected_seconds + NOTICE_MARGIN_SECONDS,
+                seconds=self._policy.expected_load_seconds + NOTICE_MARGIN_SECONDS,
                 holder=self._holder,
                 started_at_ms=status.started_at_ms,
             )
@@ -233,8 +234,8 @@
         try:
             outcome = await self._client.order(record.worker, order)
         except WorkerError as error:
-            # Unanswered: it may have been taken, or may be carried out later. The sequence
-            # number voids it once the worker has taken another order.
+            # The order may have been accepted, or may still arrive. Its sequence number becomes
+            # invalid once the worker accepts another order.
             outcome = None
             log_event("order_unanswered", level="WARNING", worker=load.worker_id, error=error.code)
         log_event(
@@ -251,26 +252,26 @@
             return False
         return outcome is not OrderOutcome.REFUSED
 
-    async def _follow(self, load: LoadVersion, record: WorkerRecord) -> str:
-        """Wait until the version is loaded; return the outcome."""
+    async def _wait_for_load(self, load: LoadVersion, record: WorkerRecord) -> str:
+        """Wait until the load ends; return its outcome."""
         started_at = self._clock.monotonic()
-        await self._clock.sleep(self._policy.expected_seconds)
-        idle_seen = 0
+        await self._clock.sleep(self._policy.expected_load_seconds)
+        idle_reports = 0
         while True:
             if self._directory.has_restarted(record.worker):
                 return "restarted"
             if record.versions.get(load.model, WeightVersion(0)) >= load.version:
                 return "loaded"
             elapsed = self._clock.monotonic() - started_at
-            if elapsed > self._policy.give_up_seconds:
+            if elapsed > self._policy.load_timeout_seconds:
                 return "timed_out"
             with suppress(WorkerError):
-                status = await self._ask(record)
+                status = await self._request_status(record)
                 if self._directory.has_restarted(record.worker):
                     return "restarted"
                 if status.versions.get(load.model, WeightVersion(0)) >= load.version:
                     return "loaded"
-                idle_seen = 0 if status.busy else idle_seen + 1
-                if idle_seen >= 2 and elapsed > IDLE_LIMIT_SECONDS:
+                idle_reports = 0 if status.busy else idle_reports + 1
+                if idle_reports >= 2 and elapsed > ORDER_ACCEPTANCE_TIMEOUT_SECONDS:
                     return "not_taken"
             await self._clock.sleep(STATUS_INTERVAL_SECONDS)
--- a/drumbay/weights/version_planner.py
+++ b/drumbay/weights/version_planner.py
@@ -1,9 +1,9 @@
-"""Pure decisions of the leader: which worker loads which version next.
+"""Plans which worker loads which version next; does no I/O.
 
-A step may use the newest named version and the one before. So workers two versions behind are
-loaded first, and of the others only as many as keep half of the workers at the newest version:
-while versions follow each other quickly, each worker then skips every second one, which halves
-the loads. A version that stays the newest for longer is loaded on every worker.
+A training step accepts the newest announced version and the one before it. Workers that lag
+further behind are loaded first; of the others, only as many as keep half of the workers at the
+newest version. When versions are published in quick succession, each worker thus skips every
+second one. A version that stays the newest for longer is loaded on all workers.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,40 +15,46 @@
 from drumbay.workers.records import WorkerState
 from drumbay.workers.worker_record import WorkerRecord
 
-LoadUnderWayId = NewType("LoadUnderWayId", int)
-"""Tells the loads of one worker apart: its record may go and come back while one is under way."""
+LoadId = NewType("LoadId", int)
+"""Distinguishes the loads of one worker, whose record may be replaced during a load."""
 
-ACCEPTED_LAG = 1
-"""How many versions behind the newest a step still accepts."""
+MAX_ACCEPTED_LAG = 1
+"""Largest lag behind the newest version that a training step accepts."""
 
 
 class LoadPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits of loading: more loads at once slow each other down.
-
-    At most ``share_at_once`` of the workers load, but ``minimum_at_once`` always may.
+    """Limits of version loads.
+
+    Attributes:
+        minimum_at_once: Number of workers that may always load concurrently.
+        max_loading_share: Share of the workers that may load concurrently.
+        expected_load_seconds: Expected duration of a load.
+        load_timeout_seconds: Time after which a load counts as failed.
+        retry_delay_seconds: Delay before a retry on a worker whose load failed.
+        everywhere_after_seconds: Time after which the newest version is loaded on all workers.
     """
 
     minimum_at_once: int = 2
-    share_at_once: float = 0.4
-    expected_seconds: float = 0.9
-    give_up_seconds: float = 4.0
-    retry_seconds: float = 0.4
+    max_loading_share: float = 0.4
+    expected_load_seconds: float = 0.9
+    load_timeout_seconds: float = 4.0
+    retry_delay_seconds: float = 0.4
     everywhere_after_seconds: float = 15.0
 
-    def at_once(self, worker_count: int) -> int:
-        """Return how many of so many workers may load at the same time."""
-        return max(self.minimum_at_once, round(self.share_at_once * worker_count))
+    def max_concurrent_loads(self, worker_count: int) -> int:
+        """Return how many of ``worker_count`` workers may load concurrently."""
+        return max(self.minimum_at_once, round(self.max_loading_share * worker_count))
 
 
 class LoadVersion(msgspec.Struct, frozen=True, kw_only=True):
-    """Decision: a worker should load a version."""
+    """Decision that a worker loads a version."""
 
     worker_id: BackendId
     model: str
     version: WeightVersion
 
 
-class LoadKey(msgspec.Struct, frozen=True):
+class ModelVersion(msgspec.Struct, frozen=True):
     """A version of a model."""
 
     model: str
@@ -56,89 +62,93 @@
 
 
 class _Candidate(msgspec.Struct, frozen=True, kw_only=True, order=True):
-    """A load that is wanted; smaller sorts first."""
+    """A possible load; the most urgent one sorts first."""
 
     is_optional: bool
-    current: int
-    busy: int
+    current_version: int
+    active_requests: int
     worker_id: BackendId
     model: str
-    target: int
+    target_version: int
 
 
 class VersionPlanner:
-    """Chooses loads; knows which are under way."""
+    """Plans loads and tracks the ones in progress."""
 
     def __init__(self, policy: LoadPolicy) -> None:
-        """Create a planner without loads under way."""
+        """Create a planner without loads in progress."""
         self._policy = policy
-        self._loading: dict[BackendId, LoadUnderWayId] = {}
-        self._last_load = LoadUnderWayId(0)
-        self._not_before: dict[BackendId, float] = {}
-        self._named_at: dict[LoadKey, float] = {}
-
-    def note_started(self, worker_id: BackendId) -> LoadUnderWayId:
-        """Note that a worker was told to load; end just this load by the id that is returned."""
-        self._last_load = LoadUnderWayId(self._last_load + 1)
-        self._loading[worker_id] = self._last_load
-        return self._last_load
-
-    def note_ended(self, worker_id: BackendId, load: LoadUnderWayId) -> bool:
-        """Note that a worker's load is over; return whether no other one was begun since."""
+        self._loading: dict[BackendId, LoadId] = {}
+        self._last_load_id = LoadId(0)
+        self._retry_at: dict[BackendId, float] = {}
+        self._announced_at: dict[ModelVersion, float] = {}
+
+    def note_started(self, worker_id: BackendId) -> LoadId:
+        """Record the start of a load; return the id to end it with."""
+        self._last_load_id = LoadId(self._last_load_id + 1)
+        self._loading[worker_id] = self._last_load_id
+        return self._last_load_id
+
+    def note_ended(self, worker_id: BackendId, load: LoadId) -> bool:
+        """Record the end of a load; return whether it was still the worker's current one."""
         if self._loading.get(worker_id) != load:
             return False
         del self._loading[worker_id]
         return True
 
     def note_restarted(self, worker_id: BackendId) -> None:
-        """Note that a worker has started again: nothing that was planned for it is under way."""
+        """Discard the load and the retry delay of a worker that has restarted."""
         self._loading.pop(worker_id, None)
-        self._not_before.pop(worker_id, None)
+        self._retry_at.pop(worker_id, None)
 
-    def note_failed(self, worker_id: BackendId, load: LoadUnderWayId, now: float) -> None:
-        """Try a worker again later."""
+    def note_failed(self, worker_id: BackendId, load: LoadId, now: float) -> None:
+        """Record a failed load; the worker is retried after a delay."""
         if self.note_ended(worker_id, load):
-            self._not_before[worker_id] = now + self._policy.retry_seconds
+            self._retry_at[worker_id] = now + self._policy.retry_delay_seconds
 
     def plan(
         self,
-        named: Mapping[str, WeightVersion],
+        newest_versions: Mapping[str, WeightVersion],
         records: Iterable[WorkerRecord],
         now: float,
     ) -> tuple[LoadVersion, ...]:
-        """Return the loads to start now, at most as many as may run at once."""
+        """Return the loads to start now, within the limit on concurrent loads."""
         records = [r for r in records if r.worker.state is WorkerState.READY]
-        room = self._policy.at_once(sum(1 for r in records if r.versions)) - len(self._loading)
+        free_slots = self._policy.max_concurrent_loads(sum(1 for r in records if r.versions)) - len(
+            self._loading
+        )
         candidates: list[_Candidate] = []
-        for model, newest in named.items():
+        for model, newest in newest_versions.items():
             candidates.extend(self._candidates(model, newest, records, now))
         loads: list[LoadVersion] = []
-        taken: set[BackendId] = set()
+        assigned_workers: set[BackendId] = set()
         for candidate in sorted(candidates):
-            if room <= 0:
+            if free_slots <= 0:
                 break
-            if candidate.worker_id in taken:
+            if candidate.worker_id in assigned_workers:
                 continue
-            taken.add(candidate.worker_id)
-            room -= 1
+            assigned_workers.add(candidate.worker_id)
+            free_slots -= 1
             loads.append(
                 LoadVersion(
                     worker_id=candidate.worker_id,
                     model=candidate.model,
-                    version=WeightVersion(candidate.target),
+                    version=WeightVersion(candidate.target_version),
                 )
             )
         return tuple(loads)
 
-    def _wanted(self, key: LoadKey, holder_count: int, now: float) -> int:
-        """Return on how many workers the newest version should be by now."""
-        named_at = self._named_at.get(key)
-        if named_at is None:
-            self._named_at = {k: t for k, t in self._named_at.items() if k.model != key.model}
-            named_at = self._named_at[key] = now
-        if now - named_at >= self._policy.everywhere_after_seconds:
-            return holder_count
-        return max(1, holder_count // 2)
+    def _desired_worker_count(self, key: ModelVersion, model_worker_count: int, now: float) -> int:
+        """Return how many workers should serve the newest version by now."""
+        announced_at = self._announced_at.get(key)
+        if announced_at is None:
+            self._announced_at = {
+                k: t for k, t in self._announced_at.items() if k.model != key.model
+            }
+            announced_at = self._announced_at[key] = now
+        if now - announced_at >= self._policy.everywhere_after_seconds:
+            return model_worker_count
+        return max(1, model_worker_count // 2)
 
     def _candidates(
         self,
@@ -147,28 +157,30 @@
         records: list[WorkerRecord],
         now: float,
     ) -> list[_Candidate]:
-        holders = [r for r in records if model in r.versions]
-        at_newest = sum(1 for r in holders if r.versions[model] >= newest)
-        wanted = self._wanted(LoadKey(model, newest), len(holders), now)
-        behind = [r for r in holders if r.versions[model] < newest]
+        model_records = [r for r in records if model in r.versions]
+        newest_count = sum(1 for r in model_records if r.versions[model] >= newest)
+        desired_count = self._desired_worker_count(
+            ModelVersion(model, newest), len(model_records), now
+        )
+        behind = [r for r in model_records if r.versions[model] < newest]
         behind.sort(key=lambda r: (r.versions[model], r.in_flight, r.worker.worker_id))
-        found: list[_Candidate] = []
+        possible_loads: list[_Candidate] = []
         for record in behind:
             worker_id = record.worker.worker_id
-            is_optional = newest - record.versions[model] <= ACCEPTED_LAG
-            if is_optional and at_newest >= wanted:
+            is_optional = newest - record.versions[model] <= MAX_ACCEPTED_LAG
+            if is_optional and newest_count >= desired_count:
                 continue
-            at_newest += 1
-            if worker_id in self._loading or now < self._not_before.get(worker_id, now):
+            newest_count += 1
+            if worker_id in self._loading or now < self._retry_at.get(worker_id, now):
                 continue
-            found.append(
+            possible_loads.append(
                 _Candidate(
                     is_optional=is_optional,
-                    current=record.versions[model],
-                    busy=record.in_flight,
+                    current_version=record.versions[model],
+                    active_requests=record.in_flight,
                     worker_id=worker_id,
                     model=model,
-                    target=newest,
+                    target_version=newest,
                 )
             )
-        return found
+        return possible_loads
--- a/tests/test_weight_engines.py
+++ b/tests/test_weight_engines.py
@@ -1,4 +1,4 @@
-"""What a restart of an engine changes in the planner's record of it."""
+"""Effect of an engine restart on the rollout planner's record of the engine."""
 
 import unittest
 from unittest import mock
@@ -26,29 +26,29 @@
     )
 
 
-def record_after(boot: str) -> EngineRecord:
-    """Return the record of an engine set aside after an uncertain failure, then reported."""
+def record_after_report(boot: str) -> EngineRecord:
+    """Return the record of an engine that was set aside and then reported with this boot id."""
     record = EngineRecord(ENGINE)
-    record.take_status(status("first"), FAILED_AT - 1.0)
+    record.record_status(status("first"), FAILED_AT - 1.0)
     record.set_aside = True
     record.retry_at = SET_ASIDE_UNTIL
-    record.uncertain_until = SET_ASIDE_UNTIL
-    record.take_status(status(boot), REPORTED_AT)
+    record.maybe_busy_until = SET_ASIDE_UNTIL
+    record.record_status(status(boot), REPORTED_AT)
     return record
 
 
 class RestartTest(unittest.TestCase):
-    def test_restarted_engine_serves_and_is_ordered_again_soon(self) -> None:
-        record = record_after("second")
+    def test_restarted_engine_serves_and_is_retried_soon(self) -> None:
+        record = record_after_report("second")
         self.assertTrue(record.is_serving(REPORTED_AT))
-        self.assertLessEqual(record.retry_at, REPORTED_AT + engines.RESTART_RETRY_SECONDS)
+        self.assertLessEqual(record.retry_at, REPORTED_AT + engines.MAX_RESTART_BACKOFF_SECONDS)
 
-    def test_engine_that_did_not_restart_stays_aside(self) -> None:
-        record = record_after("first")
+    def test_engine_without_restart_stays_set_aside(self) -> None:
+        record = record_after_report("first")
         self.assertFalse(record.is_serving(REPORTED_AT))
         self.assertEqual(record.retry_at, SET_ASIDE_UNTIL)
 
-    def test_restart_that_is_not_told_from_a_report_stays_aside(self) -> None:
-        with mock.patch.object(EngineRecord, "_take_restart", lambda record, boot, now: None):
-            record = record_after("second")
+    def test_engine_stays_set_aside_if_its_restart_is_not_detected(self) -> None:
+        with mock.patch.object(EngineRecord, "_record_restart", lambda record, boot, now: None):
+            record = record_after_report("second")
         self.assertFalse(record.is_serving(REPORTED_AT))
--- a/tests/test_weight_planner.py
+++ b/tests/test_weight_planner.py
@@ -1,4 +1,4 @@
-"""The planner of weight rollouts under random events."""
+"""Weight rollout planner under random sequences of events."""
 
 import math
 import random
@@ -13,13 +13,13 @@
     OrderSucceeded,
     OwnershipChanged,
     PolicyChanged,
-    RolloutDecision,
-    RolloutEvent,
-    RolloutPolicy,
-    StatusMissed,
     StatusReported,
+    StatusRequestFailed,
     Tick,
     VersionPublished,
+    WeightRolloutDecision,
+    WeightRolloutEvent,
+    WeightRolloutPolicy,
     Withdrawal,
 )
 from drumbay.weights.fences import (
@@ -28,12 +28,12 @@
     lease_fence,
     order_fence,
 )
-from drumbay.weights.planner import RolloutPlanner
+from drumbay.weights.planner import WeightRolloutPlanner
 from drumbay.weights.target import target_version
 
 ENGINES = tuple(BackendId(f"engine-{index}") for index in range(8))
-SHARE = 0.7
-FLOOR = math.ceil(SHARE * len(ENGINES))
+MIN_SERVING_SHARE = 0.7
+MIN_SERVING = math.ceil(MIN_SERVING_SHARE * len(ENGINES))
 
 
 def status(engine: BackendId, version: int, fence: int = 0) -> EngineStatus:
@@ -48,14 +48,16 @@
     )
 
 
-class Driver:
-    """Engines that carry out or refuse orders at random, without any network."""
+class RandomEventDriver:
+    """Feeds a planner with random events of engines that execute or fail its orders."""
 
     def __init__(self, seed: int) -> None:
         self.generator = random.Random(seed)
-        self.planner = RolloutPlanner(RolloutPolicy(min_serving_share=SHARE))
+        self.planner = WeightRolloutPlanner(
+            WeightRolloutPolicy(min_serving_share=MIN_SERVING_SHARE)
+        )
         self.versions = dict.fromkeys(ENGINES, 1)
-        self.open: dict[BackendId, LoadEngine] = {}
+        self.pending: dict[BackendId, LoadEngine] = {}
         self.orders: list[LoadEngine] = []
         self.now = 0.0
         self.published = 1
@@ -66,51 +68,51 @@
         for engine in ENGINES:
             self.send(StatusReported(status=status(engine, 1)))
 
-    def send(self, event: RolloutEvent) -> tuple[RolloutDecision, ...]:
+    def send(self, event: WeightRolloutEvent) -> tuple[WeightRolloutDecision, ...]:
         decisions = self.planner.handle(event, self.now)
         for decision in decisions:
             if isinstance(decision, LoadEngine):
-                self.open[decision.engine] = decision
+                self.pending[decision.engine] = decision
                 self.orders.append(decision)
         return decisions
 
     def step(self) -> None:
         self.now += self.generator.uniform(0.1, 2.0)
-        draw = self.generator.random()
+        random_value = self.generator.random()
         engine = self.generator.choice(ENGINES)
-        if draw < 0.05:
+        if random_value < 0.05:
             self.published += 1
             self.send(VersionPublished(version=WeightVersion(self.published)))
-        elif draw < 0.07 and self.published > 1:
+        elif random_value < 0.07 and self.published > 1:
             through = WeightVersion(self.published)
             keep = WeightVersion(self.published - 1)
             self.withdrawals = (*self.withdrawals, Withdrawal(keep=keep, through=through))
             self.send(self.policy_changed())
-        elif draw < 0.10:
+        elif random_value < 0.10:
             self.fence += 1
-            self.open.clear()
+            self.pending.clear()
             self.send(OwnershipChanged(lease_fence=Fence(self.fence)))
-        elif draw < 0.12:
-            self.suspend_ownership()
-        elif draw < 0.17:
-            self.send(StatusMissed(engine=engine))
-        elif draw < 0.5 and engine in self.open:
-            self.end_order(self.open.pop(engine))
+        elif random_value < 0.12:
+            self.interrupt_ownership()
+        elif random_value < 0.17:
+            self.send(StatusRequestFailed(engine=engine))
+        elif random_value < 0.5 and engine in self.pending:
+            self.finish_order(self.pending.pop(engine))
         else:
             self.report(engine)
             self.send(Tick())
 
-    def suspend_ownership(self) -> None:
-        """Let the lease's validity end and begin again under the same fence."""
+    def interrupt_ownership(self) -> None:
+        """Lose the lease and regain it later under the same fence."""
         self.send(OwnershipChanged(lease_fence=None))
         self.now += self.generator.uniform(0.0, 20.0)
         self.send(OwnershipChanged(lease_fence=Fence(self.fence)))
 
     def policy_changed(self) -> PolicyChanged:
-        policy = RolloutPolicy(min_serving_share=SHARE)
+        policy = WeightRolloutPolicy(min_serving_share=MIN_SERVING_SHARE)
         return PolicyChanged(policy=policy, withdrawals=self.withdrawals)
 
-    def end_order(self, order: LoadEngine) -> None:
+    def finish_order(self, order: LoadEngine) -> None:
         if self.generator.random() < 0.3:
             failed = OrderFailed(engine=order.engine, fence=order.fence, reason="backend")
             self.send(failed)
@@ -124,27 +126,27 @@
 
 
 class PlannerTest(unittest.TestCase):
-    def test_floor_fences_and_target_under_random_events(self) -> None:
+    def test_capacity_fences_and_target_under_random_events(self) -> None:
         for seed in range(200):
-            driver = Driver(seed)
+            driver = RandomEventDriver(seed)
             for _ in range(150):
                 before = len(driver.orders)
                 driver.step()
-                self.assertLessEqual(len(driver.planner.busy_engines()), len(ENGINES) - FLOOR)
+                self.assertLessEqual(len(driver.planner.busy_engines()), len(ENGINES) - MIN_SERVING)
                 for order in driver.orders[before:]:
                     self.assertEqual(order.version, self.expected_target(driver))
             fences = [order.fence for order in driver.orders]
             self.assertEqual(fences, sorted(set(fences)))
 
-    def test_every_engine_gets_there_once_events_calm_down(self) -> None:
+    def test_all_engines_reach_the_target_once_failures_stop(self) -> None:
         for seed in range(50):
-            driver = Driver(seed)
+            driver = RandomEventDriver(seed)
             for _ in range(150):
                 driver.step()
             for _ in range(200):
                 driver.now += 1.0
                 for engine in ENGINES:
-                    order = driver.open.pop(engine, None)
+                    order = driver.pending.pop(engine, None)
                     if order is not None:
                         driver.versions[engine] = order.version
                         report = status(engine, order.version, order.fence)
@@ -153,16 +155,16 @@
                 driver.send(Tick())
             self.assertEqual(set(driver.versions.values()), {self.expected_target(driver)}, seed)
 
-    def expected_target(self, driver: Driver) -> WeightVersion | None:
+    def expected_target(self, driver: RandomEventDriver) -> WeightVersion | None:
         published = [WeightVersion(version) for version in range(1, driver.published + 1)]
         return target_version(published, driver.withdrawals)
 
-    def test_stale_fence_ends_the_ownership(self) -> None:
-        driver = Driver(1)
+    def test_stale_fence_revokes_ownership(self) -> None:
+        driver = RandomEventDriver(1)
         driver.send(VersionPublished(version=WeightVersion(2)))
         order = driver.orders[0]
         failed = OrderFailed(
-            engine=order.engine, fence=order.fence, reason="stale_fence", stale=True
+            engine=order.engine, fence=order.fence, reason="stale_fence", stale_fence=True
         )
         driver.send(failed)
         count = len(driver.orders)
@@ -170,24 +172,24 @@
         driver.send(Tick())
         self.assertEqual(len(driver.orders), count)
 
-    def test_resumed_ownership_keeps_its_orders_and_numbers_on(self) -> None:
-        driver = Driver(1)
+    def test_resumed_lease_keeps_its_orders_and_sequence_numbers(self) -> None:
+        driver = RandomEventDriver(1)
         driver.send(VersionPublished(version=WeightVersion(2)))
-        given = list(driver.orders)
+        issued = list(driver.orders)
         driver.send(OwnershipChanged(lease_fence=None))
         driver.now += 5.0
         driver.send(OwnershipChanged(lease_fence=Fence(1)))
         for engine in ENGINES:
             driver.report(engine)
-        self.assertEqual(driver.planner.busy_engines(), tuple(order.engine for order in given))
+        self.assertEqual(driver.planner.busy_engines(), tuple(order.engine for order in issued))
         driver.send(VersionPublished(version=WeightVersion(3)))
-        superseding = driver.orders[len(given) :]
-        self.assertEqual(len(superseding), len(given))
-        newest = max(order.fence for order in given)
+        superseding = driver.orders[len(issued) :]
+        self.assertEqual(len(superseding), len(issued))
+        newest = max(order.fence for order in issued)
         self.assertTrue(all(order.fence > newest for order in superseding))
 
-    def test_report_with_the_fence_and_version_of_an_order_ends_it(self) -> None:
-        driver = Driver(1)
+    def test_report_with_the_fence_and_version_of_an_order_completes_it(self) -> None:
+        driver = RandomEventDriver(1)
         driver.send(VersionPublished(version=WeightVersion(2)))
         order = driver.orders[0]
         driver.send(StatusReported(status=status(order.engine, 1, order.fence)))
@@ -195,9 +197,9 @@
         driver.send(StatusReported(status=status(order.engine, 2, order.fence)))
         self.assertNotIn(order.engine, driver.planner.busy_engines())
 
-    def test_small_group_changes_one_engine_at_a_time_unless_all_must_serve(self) -> None:
+    def test_small_group_updates_one_engine_at_a_time_unless_all_must_serve(self) -> None:
         for share, expected in ((0.9, 1), (1.0, 0)):
-            planner = RolloutPlanner(RolloutPolicy(min_serving_share=share))
+            planner = WeightRolloutPlanner(WeightRolloutPolicy(min_serving_share=share))
             planner.handle(EnginesChanged(engines=ENGINES[:2]), 0.0)
             planner.handle(OwnershipChanged(lease_fence=Fence(1)), 0.0)
             for engine in ENGINES[:2]:
--- a/tests/test_weight_rollout.py
+++ b/tests/test_weight_rollout.py
@@ -1,4 +1,4 @@
-"""Weight rollouts against emulated engines; checkers read the engines' own logs."""
+"""Weight rollouts on emulated engines, verified against the engines' execution logs."""
 
 import asyncio
 import unittest
@@ -15,94 +15,101 @@
 from drumbay.standins.execution_log import OrderHandled, OrderOutcome
 from drumbay.standins.faults import FaultCommand, FaultKind
 from drumbay.weights.engines import EngineRecord
-from drumbay.weights.events import PolicyChanged, RolloutDecision, RolloutEvent, VersionNeed
-from drumbay.weights.planner import RolloutPlanner
+from drumbay.weights.events import (
+    PolicyChanged,
+    VersionNeed,
+    WeightRolloutDecision,
+    WeightRolloutEvent,
+)
+from drumbay.weights.planner import WeightRolloutPlanner
 from drumbay.weights.service import WeightRolloutService
 
 ENGINES = 12
 SHARE = 0.75
-MOST_BUSY = 3
+MAX_BUSY_ENGINES = 3
 
 
 def setUpModule() -> None:
     logger.remove()
 
 
-class NoFloorPlanner(RolloutPlanner):
-    """Fault: the capacity for live requests is not kept."""
+class NoMinimumPlanner(WeightRolloutPlanner):
+    """Injected fault: ignores the minimum serving capacity."""
 
-    def _serving_floor(self) -> int:
+    def _min_serving_engines(self) -> int:
         return 0
 
 
-class NoNeedsPlanner(RolloutPlanner):
-    """Fault: versions of running samples are not kept."""
+class NoNeedsPlanner(WeightRolloutPlanner):
+    """Injected fault: ignores the versions that running samples need."""
 
-    def _spare_by_version(self, now: float) -> dict[WeightVersion, int]:
+    def _surplus_by_version(self, now: float) -> dict[WeightVersion, int]:
         return {}
 
 
-class LeaseFencePlanner(RolloutPlanner):
-    """Fault: all orders of one owner carry the same fence."""
+class LeaseFencePlanner(WeightRolloutPlanner):
+    """Injected fault: all orders of an owner have the same fence."""
 
     def _next_fence(self, lease_fence: Fence) -> Fence:
         return Fence(lease_fence << 24)
 
 
-class ConstantFencePlanner(RolloutPlanner):
-    """Fault: the fence of an order does not tell its owner."""
+class ConstantFencePlanner(WeightRolloutPlanner):
+    """Injected fault: orders of all owners have the same fence."""
 
     def _next_fence(self, lease_fence: Fence) -> Fence:
         return Fence(1)
 
 
-class TrustingPlanner(RolloutPlanner):
-    """Fault: an acknowledgement is believed against the stamps of the tokens."""
+class IgnoreTokenVersionsPlanner(WeightRolloutPlanner):
+    """Injected fault: trusts acknowledgements and ignores the versions of tokens."""
 
-    def _take_in(self, event: RolloutEvent, now: float) -> Iterator[RolloutDecision]:
+    def _apply_event(
+        self, event: WeightRolloutEvent, now: float
+    ) -> Iterator[WeightRolloutDecision]:
         for record in self._engines.values():
-            record.take_stamp = _ignore_stamp  # type: ignore[method-assign]
-        return super()._take_in(event, now)
+            record.record_token_version = _ignore_token_version  # type: ignore[method-assign]
+        return super()._apply_event(event, now)
 
 
-def _ignore_stamp(boot_id: BootId, version: WeightVersion, now: float) -> bool:
+def _ignore_token_version(boot_id: BootId, version: WeightVersion, now: float) -> bool:
     return False
 
 
-class WaitingPlanner(RolloutPlanner):
-    """Fault: an order ends by its answer or its time limit only."""
+class NoReportResolutionPlanner(WeightRolloutPlanner):
+    """Injected fault: pending orders are not resolved from status reports."""
 
-    def _settle_open_order(
+    def _resolve_pending_order(
         self, record: EngineRecord, status: EngineStatus, now: float
-    ) -> Iterator[RolloutDecision]:
+    ) -> Iterator[WeightRolloutDecision]:
         return iter(())
 
 
-class NoWithdrawalPlanner(RolloutPlanner):
-    """Fault: an operator's rollback is not part of the target."""
+class NoWithdrawalPlanner(WeightRolloutPlanner):
+    """Injected fault: ignores rollbacks."""
 
-    def handle(self, event: RolloutEvent, now: float) -> tuple[RolloutDecision, ...]:
+    def handle(self, event: WeightRolloutEvent, now: float) -> tuple[WeightRolloutDecision, ...]:
         if isinstance(event, PolicyChanged):
             event = PolicyChanged(policy=event.policy)
         return super().handle(event, now)
 
 
-def service_with(planner: type[RolloutPlanner]) -> type[WeightRolloutService]:
+def service_with(planner: type[WeightRolloutPlanner]) -> type[WeightRolloutService]:
     class Service(WeightRolloutService):
-        planner_type: ClassVar[type[RolloutPlanner]] = planner
+        planner_type: ClassVar[type[WeightRolloutPlanner]] = planner
 
     return Service
 
 
 class DelayedOrderClient(MemoryEngineClient):
-    """Holds back the first order to each engine of ``held`` on its way."""
+    """Delays the first order to each engine in ``order_delays`` by the given seconds."""
 
-    held: dict[BackendId, float]
+    order_delays: dict[BackendId, float]
 
     async def order(
         self, engine: BackendAddress, order: FencedOrder, *, timeout_seconds: float
     ) -> EngineStatus:
-        await asyncio.sleep(self.held.pop(engine.backend_id, 0.0))
+        await asyncio.sleep(self.order_delays.pop(engine.backend_id, 0.0))
         return await super().order(engine, order, timeout_seconds=timeout_seconds)
 
 
@@ -113,8 +120,8 @@
     def run_rollout(
         self,
         scenario: Scenario,
-        planner: type[RolloutPlanner] = RolloutPlanner,
-        held: dict[BackendId, float] | None = None,
+        planner: type[WeightRolloutPlanner] = WeightRolloutPlanner,
+        order_delays: dict[BackendId, float] | None = None,
     ) -> RolloutCluster:
         async def main() -> RolloutCluster:
             cluster = RolloutCluster(engine_count=ENGINES, min_serving_share=SHARE)
@@ -123,7 +130,7 @@
                 {f"http://{engine.backend_id}": engine for engine in cluster.engines},
                 cluster.network,
             )
-            client.held = dict(held or {})
+            client.order_delays = dict(order_delays or {})
             node = cluster.add_node("owner", service_with(planner), client)
             node.lease_fence = Fence(10)
             await scenario(cluster, node)
@@ -131,35 +138,35 @@
 
         return run_simulation(main)
 
-    def test_new_version_everywhere_within_the_capacity_floor(self) -> None:
+    def test_new_version_reaches_all_engines_within_capacity(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await cluster.wait_for_version(2)
             await asyncio.sleep(1)
             self.assertIn("weights_rollout_done", [record.event for record in node.records])
 
-        green = self.run_rollout(scenario)
-        self.assertEqual(green.most_busy(), MOST_BUSY)
-        self.assertEqual(green.steps_back(), [])
-        red = self.run_rollout(scenario, NoFloorPlanner)
-        self.assertGreater(red.most_busy(), MOST_BUSY)
+        correct = self.run_rollout(scenario)
+        self.assertEqual(correct.most_busy(), MAX_BUSY_ENGINES)
+        self.assertEqual(correct.steps_back(), [])
+        faulty = self.run_rollout(scenario, NoMinimumPlanner)
+        self.assertGreater(faulty.most_busy(), MAX_BUSY_ENGINES)
 
-    def test_version_of_running_samples_is_kept(self) -> None:
-        least: list[int] = []
+    def test_versions_needed_by_running_samples_stay_loaded(self) -> None:
+        kept_counts: list[int] = []
 
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.needs = (VersionNeed(version=WeightVersion(1), engines=2),)
             cluster.publish(2, node)
             await asyncio.sleep(60)
-            least.append(cluster.true_versions().count(1))
+            kept_counts.append(cluster.true_versions().count(1))
             cluster.needs = ()
             await cluster.wait_for_version(2)
 
         self.run_rollout(scenario)
         self.run_rollout(scenario, NoNeedsPlanner)
-        self.assertEqual(least, [2, 0])
+        self.assertEqual(kept_counts, [2, 0])
 
-    def test_failed_swaps_are_retried_or_set_aside_and_explained(self) -> None:
+    def test_failed_swaps_are_retried_or_set_aside(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             once = FaultCommand(fault=FaultKind.SWAP_FAILS, count=1)
             cluster.engines[0].faults.apply(once)
@@ -168,17 +175,23 @@
             cluster.publish(2, node)
             await cluster.wait_until(lambda: cluster.true_versions().count(2) == ENGINES - 1, 60)
             await asyncio.sleep(30)
-            aside = [one for one in node.records if one.event == "weights_engine_set_aside"]
-            self.assertEqual([one.subject_id for one in aside], ["engine-001"])
-            self.assertIn("3 orders in a row failed", aside[0].detail)
-            done = [one for one in node.records if one.event == "weights_rollout_done"]
-            self.assertIn("1 set aside", done[0].detail)
+            set_aside = [
+                decision
+                for decision in node.records
+                if decision.event == "weights_engine_set_aside"
+            ]
+            self.assertEqual([decision.subject_id for decision in set_aside], ["engine-001"])
+            self.assertIn("3 orders in a row failed", set_aside[0].detail)
+            completed = [
+                decision for decision in node.records if decision.event == "weights_rollout_done"
+            ]
+            self.assertIn("1 set aside", completed[0].detail)
             cluster.engines[1].faults.apply(FaultCommand(fault=FaultKind.SWAP_FAILS, armed=False))
             await cluster.wait_for_version(2)
 
         self.run_rollout(scenario)
 
-    def test_swap_that_was_only_acknowledged_is_found_by_its_stamps(self) -> None:
+    def test_failed_but_acknowledged_swap_is_detected_by_token_versions(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             fault = FaultCommand(fault=FaultKind.SWAP_FAILS_ACKNOWLEDGED, count=1)
             cluster.engines[0].faults.apply(fault)
@@ -200,9 +213,9 @@
             await asyncio.sleep(30)
 
         self.assertEqual(set(self.run_rollout(scenario).true_versions()), {2})
-        self.assertIn(1, self.run_rollout(scenario, TrustingPlanner).true_versions())
+        self.assertIn(1, self.run_rollout(scenario, IgnoreTokenVersionsPlanner).true_versions())
 
-    def test_two_rollouts_at_once_with_an_order_held_back(self) -> None:
+    def test_delayed_order_does_not_revert_a_newer_rollout(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await asyncio.sleep(3)
@@ -211,11 +224,13 @@
             await asyncio.sleep(60)
             self.assertEqual(set(cluster.true_versions()), {3})
 
-        held = {BackendId("engine-000"): 40.0}
-        self.assertEqual(self.run_rollout(scenario, held=held).steps_back(), [])
-        self.assertNotEqual(self.run_rollout(scenario, LeaseFencePlanner, held).steps_back(), [])
+        order_delays = {BackendId("engine-000"): 40.0}
+        self.assertEqual(self.run_rollout(scenario, order_delays=order_delays).steps_back(), [])
+        self.assertNotEqual(
+            self.run_rollout(scenario, LeaseFencePlanner, order_delays).steps_back(), []
+        )
 
-    def test_owner_paused_in_the_middle_does_no_harm(self) -> None:
+    def test_paused_owner_does_not_revert_its_successor(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await asyncio.sleep(4)
@@ -230,8 +245,8 @@
             await asyncio.sleep(120)
             self.assertEqual(set(cluster.true_versions()), {4})
 
-        def stale_done(cluster: RolloutCluster) -> int:
-            """Count loads of the earlier owner that took effect after one of the later."""
+        def count_stale_loads(cluster: RolloutCluster) -> int:
+            """Count loads of the previous owner that took effect after one of its successor."""
             count = 0
             for engine in cluster.engines:
                 newest = 0
@@ -241,10 +256,10 @@
                         newest = max(newest, entry.fence)
             return count
 
-        green = self.run_rollout(scenario)
-        self.assertEqual((green.steps_back(), stale_done(green)), ([], 0))
+        correct = self.run_rollout(scenario)
+        self.assertEqual((correct.steps_back(), count_stale_loads(correct)), ([], 0))
 
-    def test_two_owners_without_fences_do_harm(self) -> None:
+    def test_fences_prevent_regressions_with_two_owners(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await asyncio.sleep(1)
@@ -253,12 +268,12 @@
             cluster.publish(3, successor)
             await asyncio.sleep(100)
 
-        held = {BackendId("engine-000"): 60.0}
-        self.assertEqual(self.run_rollout(scenario, held=held).steps_back(), [])
-        red = self.run_rollout(scenario, ConstantFencePlanner, held)
-        self.assertNotEqual(red.steps_back(), [])
+        order_delays = {BackendId("engine-000"): 60.0}
+        self.assertEqual(self.run_rollout(scenario, order_delays=order_delays).steps_back(), [])
+        faulty = self.run_rollout(scenario, ConstantFencePlanner, order_delays)
+        self.assertNotEqual(faulty.steps_back(), [])
 
-    def test_successor_of_a_dead_owner_needs_the_reports_only(self) -> None:
+    def test_successor_of_a_dead_owner_continues_from_the_reports(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await cluster.wait_until(lambda: cluster.true_versions().count(2) >= 2, 60)
@@ -268,11 +283,11 @@
             successor.lease_fence = Fence(11)
             await cluster.wait_for_version(2)
 
-        green = self.run_rollout(scenario)
-        self.assertEqual(green.most_busy(), MOST_BUSY)
-        self.assertEqual(green.steps_back(), [])
+        correct = self.run_rollout(scenario)
+        self.assertEqual(correct.most_busy(), MAX_BUSY_ENGINES)
+        self.assertEqual(correct.steps_back(), [])
 
-    def test_rollback_in_the_middle_outlives_its_owner(self) -> None:
+    def test_rollback_during_a_rollout_survives_a_change_of_owner(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await cluster.wait_for_version(2)
@@ -294,23 +309,25 @@
         with self.assertRaises(TimeoutError):
             self.run_rollout(scenario, NoWithdrawalPlanner)
 
-    def test_order_without_an_answer_is_settled_by_the_report(self) -> None:
+    def test_order_without_a_reply_is_resolved_by_a_report(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
-            lost = FaultCommand(fault=FaultKind.ORDER_ANSWER_LOST, count=1)
-            cluster.engines[0].faults.apply(lost)
+            reply_lost = FaultCommand(fault=FaultKind.ORDER_ANSWER_LOST, count=1)
+            cluster.engines[0].faults.apply(reply_lost)
             cluster.publish(2, node)
             await cluster.wait_until(
                 lambda: "weights_rollout_done" in [record.event for record in node.records], 60
             )
 
-        # The emulator breaks the exchange, so a lost answer alone is noticed at once.
+        # A lost reply breaks the connection, so it is detected immediately.
         self.assertEqual(set(self.run_rollout(scenario).true_versions()), {2})
-        held = {BackendId("engine-001"): 80.0}
-        self.assertEqual(set(self.run_rollout(scenario, held=held).true_versions()), {2})
+        order_delays = {BackendId("engine-001"): 80.0}
+        self.assertEqual(
+            set(self.run_rollout(scenario, order_delays=order_delays).true_versions()), {2}
+        )
         with self.assertRaises(TimeoutError):
-            self.run_rollout(scenario, WaitingPlanner, held)
+            self.run_rollout(scenario, NoReportResolutionPlanner, order_delays)
 
-    def test_restarted_engine_is_brought_up_again(self) -> None:
+    def test_restarted_engine_reloads_the_target_version(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await cluster.wait_for_version(2)
