--- a/drumbay/rollout/engine_allotments.py
+++ b/drumbay/rollout/engine_allotments.py
@@ -1,8 +1,8 @@
-"""Allotments of the engines that a node's sample streams use.
+"""Allots the capacity of engines to the sample streams of a node.
 
-A report lags, and says nothing about whose requests it counts. The rollouts of this node on
-each engine are therefore remembered for a while, so that a report can be compared with those
-that ran at the moment it refers to.
+A status report lags behind, and does not tell rollouts from live requests. The number of
+rollouts of this node on each engine is therefore recorded over time, and compared with a report
+as of the time the report was taken.
 """
 
 from collections import deque
@@ -15,35 +15,37 @@
 from drumbay.routing.engine_choice import BackendView
 
 HISTORY_SECONDS = 20.0
-UNCERTAIN_SECONDS = 1.0
-"""Around the moment of a report; the largest count within it is taken, so that a rollout
-that started or ended then is not mistaken for a live request."""
+REPORT_TIME_TOLERANCE_SECONDS = 1.0
+"""The largest count within this distance from a report applies, so that a rollout that started
+or ended at that time is not mistaken for a live request."""
 
 
-class _Count(msgspec.Struct, frozen=True, kw_only=True):
+class _RolloutCount(msgspec.Struct, frozen=True, kw_only=True):
+    """Number of rollouts on an engine at a time."""
+
     time_seconds: float
     rollouts: int
 
 
 class _EngineState:
-    """Recent counts of rollouts on one engine, and the shares by stream."""
+    """Recent rollout counts of one engine, and its shares by stream."""
 
     def __init__(self) -> None:
-        self.counts: deque[_Count] = deque()
+        self.counts: deque[_RolloutCount] = deque()
         self.shares: dict[StreamName, EngineShare] = {}
 
-    def note(self, rollouts: int, now: float) -> None:
-        self.counts.append(_Count(time_seconds=now, rollouts=rollouts))
+    def record_count(self, rollouts: int, now: float) -> None:
+        self.counts.append(_RolloutCount(time_seconds=now, rollouts=rollouts))
         while self.counts[0].time_seconds < now - HISTORY_SECONDS:
             self.counts.popleft()
 
-    def rollouts_around(self, moment: float) -> int:
-        near = (
+    def max_rollouts_near(self, report_time: float) -> int:
+        nearby_counts = (
             count.rollouts
             for count in self.counts
-            if abs(count.time_seconds - moment) <= UNCERTAIN_SECONDS
+            if abs(count.time_seconds - report_time) <= REPORT_TIME_TOLERANCE_SECONDS
         )
-        return max(near, default=self.counts[-1].rollouts)
+        return max(nearby_counts, default=self.counts[-1].rollouts)
 
     def share(self, stream: StreamName, sharing: EngineSharing, now: float) -> EngineShare:
         share = self.shares.get(stream)
@@ -54,10 +56,10 @@
 
 
 class EngineAllotments:
-    """Says how many rollouts of each stream may run on each engine."""
+    """Determines how many rollouts of each stream may run on each engine."""
 
     def __init__(self) -> None:
-        """Create allotments that know no engine."""
+        """Create allotments without engines."""
         self._engines: dict[BackendId, _EngineState] = {}
 
     def forget_stream(self, stream: StreamName) -> None:
@@ -73,37 +75,41 @@
         rollouts: dict[StreamName, int],
         now: float,
     ) -> EngineAllotment:
-        """Return what one stream may hold on an engine.
+        """Return the capacity of an engine that one stream may use.
 
         Args:
             stream: The stream.
-            sharing: The operator's weights.
-            view: The engine as this node sees it.
-            rollouts: Rollouts on the engine now by stream of this node.
+            sharing: Configured weights of live requests and rollouts.
+            view: What this node knows of the engine.
+            rollouts: Number of rollouts on the engine now, by stream of this node.
             now: Monotonic time in seconds.
         """
         state = self._engines.setdefault(view.backend_id, _EngineState())
         total = sum(rollouts.values())
-        state.note(total, now)
-        moment = now if view.reported_at is None else view.reported_at
+        state.record_count(total, now)
+        report_time = now if view.reported_at is None else view.reported_at
         observation = EngineObservation(
             running=view.running,
             waiting=view.waiting,
-            reported_rollouts=state.rollouts_around(moment),
+            reported_rollouts=state.max_rollouts_near(report_time),
             own_live=view.own_outstanding,
             rollouts=total,
         )
         allotment = state.share(stream, sharing, now).allot(observation, now)
-        own = rollouts.get(stream, 0)
-        slots = _slots_of_stream(allotment.rollout_slots, own, rollouts)
+        own_rollouts = rollouts.get(stream, 0)
+        slots = _slots_for_stream(allotment.rollout_slots, own_rollouts, rollouts)
         return msgspec.structs.replace(
-            allotment, rollout_slots=slots, excess=max(0, min(allotment.excess, own - slots))
+            allotment,
+            rollout_slots=slots,
+            excess=max(0, min(allotment.excess, own_rollouts - slots)),
         )
 
 
-def _slots_of_stream(slots: int, own: int, rollouts: dict[StreamName, int]) -> int:
-    """Return a stream's part: what other streams leave, and at least an equal part."""
+def _slots_for_stream(slots: int, own_rollouts: int, rollouts: dict[StreamName, int]) -> int:
+    """Return a stream's slots: those that other streams leave free, but at least an equal share."""
     total = sum(rollouts.values())
-    others = sum(1 for count in rollouts.values() if count > 0) - (1 if own > 0 else 0)
-    equal_part = slots // (others + 1)
-    return max(equal_part, slots - (total - own))
+    other_stream_count = sum(1 for count in rollouts.values() if count > 0) - (
+        1 if own_rollouts > 0 else 0
+    )
+    equal_share = slots // (other_stream_count + 1)
+    return max(equal_share, slots - (total - own_rollouts))
--- a/drumbay/rollout/events.py
+++ b/drumbay/rollout/events.py
@@ -1,4 +1,4 @@
-"""Events that the rollout scheduler takes and decisions that it returns."""
+"""Events and decisions of the rollout scheduler."""
 
 from enum import StrEnum
 
@@ -11,28 +11,28 @@
 
 
 class WantedSample(msgspec.Struct, frozen=True, kw_only=True):
-    """A sample that has to be generated."""
+    """A sample to generate."""
 
     key: SampleKey
     prompt: RolloutPrompt
 
 
 class WorkChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole set of samples that have to be generated; others are given up."""
+    """The complete set of samples to generate; all others are cancelled."""
 
     wanted: tuple[WantedSample, ...]
 
 
 class EngineReported(msgspec.Struct, frozen=True, kw_only=True):
-    """Newest knowledge of one engine.
+    """Current state of one engine.
 
     Attributes:
         backend_id: The engine.
-        version: Version that serves new requests; ``None`` takes no new work.
-        slots: Requests that may run there at once, those of ``other_load`` included.
-        other_load: Requests of other work in its batch and queue.
-        excess: Rollouts to stop there now, because other work waits for their places.
-        contended: Whether other work asks for more than its share of the engine.
+        version: Version that serves new requests; with ``None`` no attempts are dispatched.
+        slots: Maximum number of concurrent requests, including ``other_load``.
+        other_load: Running and queued requests that are not rollouts of this scheduler.
+        excess: Number of rollouts to preempt, because other requests wait for their slots.
+        contended: Whether other requests demand more than their share of the engine.
     """
 
     backend_id: BackendId
@@ -44,25 +44,25 @@
 
 
 class EngineLost(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine left or is unreachable; its attempts fail on their own."""
+    """An engine left or is unreachable; its attempts fail separately."""
 
     backend_id: BackendId
 
 
 class FloorChanged(msgspec.Struct, frozen=True, kw_only=True):
-    """The trainer accepts other versions than before, or is expected to."""
+    """The forecast of the versions that the trainer accepts changed."""
 
     forecast: FloorForecast
 
 
 class ChunkReceived(msgspec.Struct, frozen=True, kw_only=True):
-    """An attempt produced tokens.
+    """An attempt generated tokens.
 
     Attributes:
         key: The sample.
         attempt: Number of the attempt, as in its :class:`Dispatch`.
-        version: Version that the engine stamped on the chunk.
-        spans: Origin of all tokens of the sample, this chunk included.
+        version: Weight version that generated the chunk.
+        spans: Origin of all tokens of the sample, including this chunk.
     """
 
     key: SampleKey
@@ -79,7 +79,7 @@
 
 
 class AttemptFailure(StrEnum):
-    """Why an attempt ended without a finished sample."""
+    """Why an attempt ended before the sample was complete."""
 
     NOT_REACHED = "not_reached"
     REFUSED = "refused"
@@ -88,7 +88,7 @@
 
 
 class SampleFailed(msgspec.Struct, frozen=True, kw_only=True):
-    """An attempt ended without a finished sample; its tokens so far are held."""
+    """An attempt ended before the sample was complete; the tokens so far are kept."""
 
     key: SampleKey
     attempt: int
@@ -97,7 +97,7 @@
 
 
 class TimePassed(msgspec.Struct, frozen=True, kw_only=True):
-    """Nothing happened; decide again."""
+    """Periodic event without new information."""
 
 
 RolloutEvent = (
@@ -117,13 +117,13 @@
 
     Attributes:
         key: The sample.
-        prompt: What to complete.
+        prompt: The prompt.
         attempt: Number of the attempt, unique per scheduler.
         backend_id: The engine.
-        version: Version that the request names.
-        priority: Priority at the engine; larger runs first.
-        kept_tokens: Leading tokens to resume from; the others are dropped.
-        candidates: Engines as the choice saw them, the chosen one first.
+        version: Version to request from the engine.
+        priority: Priority in the engine's queue; higher runs first.
+        kept_tokens: Number of leading tokens to resume from; the others are dropped.
+        candidates: Verdicts on all engines, the selected one first.
     """
 
     key: SampleKey
@@ -147,7 +147,7 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, kw_only=True):
-    """Stop an attempt; a later :class:`Dispatch` of the sample says what is kept."""
+    """Stop an attempt; the next :class:`Dispatch` of the sample states which tokens are kept."""
 
     key: SampleKey
     attempt: int
--- a/drumbay/rollout/exceptions.py
+++ b/drumbay/rollout/exceptions.py
@@ -1,33 +1,33 @@
-"""Failures of rollout samples."""
+"""Errors of rollout samples."""
 
 from drumbay.exceptions import DrumbayError
 
 
 class SampleError(DrumbayError):
-    """Root of the failures that concern one sample."""
+    """Base class of errors that concern one sample."""
 
     code = "sample"
 
 
 class ChunkOutOfSequenceError(SampleError):
-    """A chunk does not continue the tokens that are already held."""
+    """A chunk does not continue the tokens received so far."""
 
     code = "chunk_out_of_sequence"
 
 
 class ForeignChunkError(SampleError):
-    """A chunk belongs to another attempt than the one that feeds the sample."""
+    """A chunk belongs to an attempt other than the current one."""
 
     code = "foreign_chunk"
 
 
 class IncompleteSampleError(SampleError):
-    """A sample was asked for before its last chunk arrived."""
+    """A sample was requested before its last chunk arrived."""
 
     code = "incomplete_sample"
 
 
 class CacheVersionMismatchError(SampleError):
-    """A KV cache computed under one weight version was offered to another."""
+    """A KV cache was computed by a weight version other than the serving one."""
 
     code = "cache_version_mismatch"
--- a/drumbay/rollout/policy.py
+++ b/drumbay/rollout/policy.py
@@ -1,35 +1,35 @@
-"""Parameters of the rollout scheduler, and their choice from a deployment's objective."""
+"""Parameters of the rollout scheduler, derived from the configured objective."""
 
 import msgspec
 
 from drumbay.resources.schema import RolloutObjective
 
-HELD_QUANTILE = 0.85
-"""Share of samples that wait for newer weights where staleness is weighed more."""
+DEFERRED_QUANTILE = 0.85
+"""Share of the samples that wait for newer weights under the staleness objective."""
 
 
 class SchedulingPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """How rollouts are ordered, placed and moved.
+    """Order, placement and moves of rollouts.
 
     Attributes:
-        longest_first: Within a step, start the samples that are expected to be longest.
-        prioritise_last: Raise the priority of the last samples of the earliest step.
-        hold_below_quantile: Before the weights of a step's turn are published, its samples
-            start only if they are expected to be longer than this quantile of recent ones;
-            the others wait for those weights. 0 starts all of them.
+        longest_first: Within a step, start the samples with the longest expected length first.
+        prioritize_last: Raise the priority of the last samples of the earliest step.
+        hold_below_quantile: Until the weights for a step are published, start only those of its
+            samples whose expected length is at least this quantile of recent lengths. 0 starts
+            all samples.
         last_share: Share of a step that counts as its last samples.
-        move_long: Move a running sample to an emptier engine when nothing waits.
-        move_cost_seconds: Time that a move costs; it must gain more than that.
-        keep_partial: Keep the tokens of an interrupted sample, if they are accepted.
-        newest_version_first: Prefer the newest weights to the emptiest engine.
-        load_wait_seconds: With ``newest_version_first``, how long after a publication nothing
-            starts on engines that have not loaded it yet.
-        avoid_expiry: Do not start a sample that is expected to end too old while
+        move_long: Move a running sample to a less loaded engine when no sample is queued.
+        move_cost_seconds: Cost of a move; a move must save more time than that.
+        keep_partial: Keep the accepted tokens of an interrupted sample.
+        newest_version_first: Prefer the newest weights over the least loaded engine.
+        load_wait_seconds: With ``newest_version_first``, how long after a version is published
+            no sample starts on engines that have not loaded it.
+        avoid_expiry: Do not start a sample that is expected to become too stale while
             another engine serves, or is about to serve, newer weights.
     """
 
     longest_first: bool
-    prioritise_last: bool
+    prioritize_last: bool
     move_long: bool
     keep_partial: bool
     newest_version_first: bool
@@ -42,24 +42,24 @@
 
 BASELINE_POLICY = SchedulingPolicy(
     longest_first=False,
-    prioritise_last=False,
+    prioritize_last=False,
     move_long=False,
     keep_partial=False,
     newest_version_first=False,
     avoid_expiry=False,
 )
-"""First come, least loaded: what the benchmark compares with."""
+"""First come, first served on the least loaded engine; baseline of the benchmark."""
 
 
 def policy_for(objective: RolloutObjective) -> SchedulingPolicy:
-    """Return the policy of a deployment."""
-    weighs_staleness = objective is RolloutObjective.STALENESS
+    """Return the policy for an objective."""
+    minimizes_staleness = objective is RolloutObjective.STALENESS
     return SchedulingPolicy(
         longest_first=True,
-        prioritise_last=True,
+        prioritize_last=True,
         move_long=True,
         keep_partial=True,
-        newest_version_first=weighs_staleness,
+        newest_version_first=minimizes_staleness,
         avoid_expiry=True,
-        hold_below_quantile=HELD_QUANTILE if weighs_staleness else 0.0,
+        hold_below_quantile=DEFERRED_QUANTILE if minimizes_staleness else 0.0,
     )
--- a/drumbay/rollout/runner.py
+++ b/drumbay/rollout/runner.py
@@ -1,4 +1,4 @@
-"""Shell of the rollout scheduler: runs its decisions on engines."""
+"""Executes the decisions of the rollout scheduler on engines."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Iterable
@@ -38,17 +38,18 @@
 from drumbay.tasks import TaskOwner
 
 VERSION_NOT_LOADED = "version_not_loaded"
-"""Reason with which an engine refuses a version that it does not serve."""
+"""Refusal reason of an engine that does not serve the requested version."""
 
 
 class RunnerParameters(msgspec.Struct, frozen=True, kw_only=True):
     """Time limits of the runner.
 
     Attributes:
-        attempt_timeout_seconds: Longest time of one attempt.
-        first_chunk_timeout_seconds: Longest time in the engine's queue and prefill.
-        chunk_timeout_seconds: Longest time between chunks.
-        tick_seconds: Time between decisions when nothing happens.
+        attempt_timeout_seconds: Time limit of one attempt.
+        first_chunk_timeout_seconds: Time limit of the first chunk, including queueing and
+            prefill.
+        chunk_timeout_seconds: Time limit between chunks.
+        tick_seconds: Interval of periodic scheduling.
     """
 
     attempt_timeout_seconds: float = 1800.0
@@ -58,7 +59,7 @@
 
 
 class RunningAttempt(msgspec.Struct, frozen=True, kw_only=True):
-    """An attempt under way."""
+    """An attempt in progress."""
 
     attempt: int
     attempt_id: AttemptId
@@ -86,21 +87,21 @@
         builder_type: type[SampleBuilder] = SampleBuilder,
         parameters: RunnerParameters | None = None,
     ) -> None:
-        """Create a runner; ``start`` makes it decide over time as well.
+        """Create a runner; :meth:`start` adds periodic scheduling.
 
         Args:
             stream: The sample stream.
             model: Model that the engines serve.
-            boot_id: Identity of this run of the process; makes attempt ids unique.
-            scheduler: Takes the decisions.
-            engines: Reaches the engines.
-            address_of: Address of an engine, or ``None`` once it left.
-            clock: Time.
-            tasks: Owner of the attempts.
-            on_finished: Takes each finished sample.
-            on_decision: Takes each decision before it is performed, e.g. to record it.
-            may_send: Whether the ownership lease still holds; asked right before a send.
-            builder_type: Collects the chunks of a sample.
+            boot_id: Identifies this process; makes attempt ids unique.
+            scheduler: Makes the decisions.
+            engines: Client of the engines.
+            address_of: Returns the address of an engine, or ``None`` if it has left.
+            clock: Source of time.
+            tasks: Owner of the attempt tasks.
+            on_finished: Called with each finished sample.
+            on_decision: Called with each decision before it is executed.
+            may_send: Returns whether this node still holds the lease; checked before each send.
+            builder_type: Class that assembles a sample from its chunks.
             parameters: Time limits.
         """
         self._stream = stream
@@ -118,30 +119,34 @@
         self._parameters = parameters or RunnerParameters()
         self._builders: dict[SampleKey, SampleBuilder] = {}
         self._running: dict[SampleKey, RunningAttempt] = {}
-        self._ticker: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Decide every ``tick_seconds`` from now on."""
-        self._ticker = self._tasks.spawn(self._tick(), name=f"rollout_tick_{self._stream}")
+        """Start periodic scheduling every ``tick_seconds``."""
+        self._tick_task = self._tasks.spawn(self._run_ticks(), name=f"rollout_tick_{self._stream}")
 
     def stop(self) -> None:
-        """Cancel every attempt, e.g. after the stream got another owner."""
-        if self._ticker is not None:
-            self._ticker.cancel()
+        """Stop scheduling and cancel all attempts, e.g. after another node became the owner."""
+        if self._tick_task is not None:
+            self._tick_task.cancel()
         for key in list(self._running):
             self._cancel_attempt(key)
 
     def running_on(self, backend_id: BackendId) -> int:
-        """Return the number of attempts under way on an engine."""
-        return sum(1 for run in self._running.values() if run.engine.backend_id == backend_id)
+        """Return the number of attempts in progress on an engine."""
+        return sum(
+            1
+            for running_attempt in self._running.values()
+            if running_attempt.engine.backend_id == backend_id
+        )
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             await self._clock.sleep(self._parameters.tick_seconds)
             self.handle(TimePassed())
 
     def set_wanted(self, wanted: Iterable[WantedSample]) -> None:
-        """Take the whole set of samples that have to be generated now."""
+        """Replace the set of samples to generate."""
         samples = tuple(wanted)
         keys = {sample.key for sample in samples}
         self.handle(WorkChanged(wanted=samples))
@@ -149,7 +154,7 @@
             del self._builders[key]
 
     def handle(self, event: RolloutEvent) -> None:
-        """Give an event to the scheduler and perform its decisions."""
+        """Pass an event to the scheduler and execute its decisions."""
         for decision in self._scheduler.handle(event, self._clock.monotonic()):
             self._on_decision(decision)
             match decision:
@@ -180,44 +185,44 @@
             self._builders[key] = builder
         engine = self._address_of(decision.backend_id)
         attempt_id = AttemptId(f"{key.sample_id(self._stream)}/{self._boot_id}/{decision.attempt}")
-        attempt = self._attempt(decision, builder, engine, attempt_id)
+        attempt = self._run_attempt(decision, builder, engine, attempt_id)
         task = self._tasks.spawn(attempt, name=f"rollout_{attempt_id}")
         if engine is not None:
             self._running[key] = RunningAttempt(
                 attempt=decision.attempt, attempt_id=attempt_id, engine=engine, task=task
             )
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         decision: Dispatch,
         builder: SampleBuilder,
         engine: BackendAddress | None,
         attempt_id: AttemptId,
     ) -> None:
-        """Run one attempt and report its end to the scheduler."""
+        """Run one attempt and report its outcome to the scheduler."""
         try:
             if engine is None or not self._may_send():
                 raise BackendNotReachedError(decision.backend_id)
             builder.keep_tokens(decision.kept_tokens)
             builder.start_attempt(attempt_id)
-            await self._collect(decision, builder, engine, attempt_id)
+            await self._receive_chunks(decision, builder, engine, attempt_id)
             sample = builder.finish()
         except (BackendError, SampleError, DeadlineExceededError) as error:
             self._report_failure(decision, engine, attempt_id, error)
             return
-        self._forget(decision)
+        self._remove_running(decision)
         self._builders.pop(decision.key, None)
         self.handle(SampleFinished(key=decision.key, attempt=decision.attempt))
         self._on_finished(sample)
 
-    async def _collect(
+    async def _receive_chunks(
         self,
         decision: Dispatch,
         builder: SampleBuilder,
         engine: BackendAddress,
         attempt_id: AttemptId,
     ) -> None:
-        """Take chunks until the stream ends."""
+        """Receive chunks until the stream ends."""
         request = GenerationRequest(
             attempt_id=attempt_id,
             model=self._model,
@@ -232,14 +237,14 @@
         chunks = self._engines.generate(
             engine, request, timeout_seconds=self._parameters.attempt_timeout_seconds
         )
-        limit_seconds = self._parameters.first_chunk_timeout_seconds
-        while (chunk := await self._next_chunk(chunks, limit_seconds)) is not None:
-            limit_seconds = self._parameters.chunk_timeout_seconds
+        timeout = self._parameters.first_chunk_timeout_seconds
+        while (chunk := await self._next_chunk(chunks, timeout)) is not None:
+            timeout = self._parameters.chunk_timeout_seconds
             if not self._is_current(decision):
-                # NOTE: a wait that ends in the moment of its cancellation returns its result.
+                # A wait that completes while it is being cancelled still returns its result.
                 raise ExchangeBrokenError("the attempt was cancelled")
             builder.add_chunk(chunk)
-            self._report_version(decision, chunk)
+            self._check_version(decision, chunk)
             self.handle(
                 ChunkReceived(
                     key=decision.key,
@@ -249,10 +254,10 @@
                 )
             )
 
-    def _report_version(self, decision: Dispatch, chunk: TokenChunk) -> None:
-        """Log that an engine produced tokens with older weights than it accepted to."""
-        first_of_attempt = chunk.first_index == decision.kept_tokens
-        if first_of_attempt and chunk.weight_version < decision.version:
+    def _check_version(self, decision: Dispatch, chunk: TokenChunk) -> None:
+        """Log a warning if an engine generates with older weights than it was asked for."""
+        is_first_chunk = chunk.first_index == decision.kept_tokens
+        if is_first_chunk and chunk.weight_version < decision.version:
             log_event(
                 "engine_version_mismatch",
                 level="WARNING",
@@ -262,9 +267,9 @@
             )
 
     async def _next_chunk(
-        self, chunks: AsyncIterator[TokenChunk], limit_seconds: float
+        self, chunks: AsyncIterator[TokenChunk], timeout: float
     ) -> TokenChunk | None:
-        return await self._clock.wait_for(anext(chunks, None), limit_seconds)
+        return await self._clock.wait_for(anext(chunks, None), timeout)
 
     def _report_failure(
         self,
@@ -273,8 +278,8 @@
         attempt_id: AttemptId,
         error: Exception,
     ) -> None:
-        self._forget(decision)
-        failure = _classify(error)
+        self._remove_running(decision)
+        failure = _classify_failure(error)
         log_event(
             "rollout_attempt_failed",
             level="WARNING",
@@ -301,12 +306,12 @@
         running = self._running.get(decision.key)
         return running is not None and running.attempt == decision.attempt
 
-    def _forget(self, decision: Dispatch) -> None:
+    def _remove_running(self, decision: Dispatch) -> None:
         if self._is_current(decision):
             del self._running[decision.key]
 
 
-def _classify(error: Exception) -> AttemptFailure:
+def _classify_failure(error: Exception) -> AttemptFailure:
     if isinstance(error, BackendNotReachedError):
         return AttemptFailure.NOT_REACHED
     if isinstance(error, BackendRefusedError):
--- a/drumbay/rollout/scheduler.py
+++ b/drumbay/rollout/scheduler.py
@@ -1,4 +1,4 @@
-"""Pure decisions about rollouts: which sample runs where, and which one is stopped."""
+"""Scheduler of rollouts: assigns samples to engines and cancels attempts; does no I/O."""
 
 from drumbay.identifiers import BackendId, WeightVersion
 from drumbay.limits.engine_priority import GUARANTEED_PRIORITY
@@ -24,29 +24,29 @@
 from drumbay.rollout.scheduler_state import SchedulerState, TrackedEngine, TrackedSample
 from drumbay.rollout.staleness import accepted_prefix
 
-SAMPLE_BACKOFF_SECONDS = 0.05
+SAMPLE_RETRY_DELAY_SECONDS = 0.05
 PRIORITY_RESUMED = 1
 PRIORITY_LAST_OF_STEP = 2
 
 
 class RolloutScheduler:
-    """Decides from events alone; deterministic."""
+    """Deterministic scheduler that is driven by events."""
 
     def __init__(self, policy: SchedulingPolicy) -> None:
-        """Create a scheduler that knows no sample and no engine."""
+        """Create a scheduler without samples and engines."""
         self._policy = policy
         self._state = SchedulerState()
         self._lengths = LengthEstimator()
         self._placement = Placement(policy, self._state, self._lengths)
-        self._attempts = 0
-        self._kept_accepted = WeightVersion(0)
+        self._last_attempt = 0
+        self._last_accepted = WeightVersion(0)
 
     def handle(self, event: RolloutEvent, now: float) -> tuple[RolloutDecision, ...]:
-        """Take an event at a monotonic time and return what to do, in order."""
+        """Apply an event at monotonic time ``now`` and return the decisions, in order."""
         decisions: list[RolloutDecision] = []
         match event:
             case WorkChanged():
-                decisions.extend(self._change_work(event))
+                decisions.extend(self._update_wanted_samples(event))
             case EngineReported():
                 self._update_engine(event, now)
                 decisions.extend(self._preempt(event))
@@ -55,20 +55,20 @@
             case FloorChanged(forecast=forecast):
                 self._state.update_forecast(forecast, now)
             case ChunkReceived():
-                # NOTE: chunks are frequent; they free no place, so nothing else is decided.
-                return self._take_chunk(event, now)
+                # Chunks are frequent and free no slots, so no further scheduling is needed.
+                return self._handle_chunk(event, now)
             case SampleFinished():
-                self._finish(event)
+                self._handle_finished(event)
             case SampleFailed():
-                self._fail(event, now)
+                self._handle_failed(event, now)
             case TimePassed():
                 pass
-        decisions.extend(self._stop_stale(now))
+        decisions.extend(self._cancel_stale(now))
         decisions.extend(self._dispatch_queued(now))
-        decisions.extend(self._move_long(now))
+        decisions.extend(self._move_one_sample(now))
         return tuple(decisions)
 
-    def _change_work(self, event: WorkChanged) -> list[RolloutDecision]:
+    def _update_wanted_samples(self, event: WorkChanged) -> list[RolloutDecision]:
         wanted_keys = {wanted.key for wanted in event.wanted}
         cancels: list[RolloutDecision] = []
         for sample in [s for s in self._state.samples.values() if s.key not in wanted_keys]:
@@ -88,15 +88,15 @@
         engine.update(report, now)
 
     def _preempt(self, report: EngineReported) -> list[RolloutDecision]:
-        """Stop rollouts that other work waits for: of the latest step, with fewest tokens."""
+        """Preempt excess rollouts: of the latest step first, then with the fewest tokens."""
         if report.excess <= 0:
             return []
         running = [s for s in self._state.running() if s.backend_id == report.backend_id]
         running.sort(key=lambda sample: (-sample.key.step, sample.token_count, sample.key))
         return [self._cancel(sample, CancelReason.PREEMPTED) for sample in running[: report.excess]]
 
-    def _take_chunk(self, event: ChunkReceived, now: float) -> tuple[RolloutDecision, ...]:
-        sample = self._state.attempt(event.key, event.attempt)
+    def _handle_chunk(self, event: ChunkReceived, now: float) -> tuple[RolloutDecision, ...]:
+        sample = self._state.sample_of_attempt(event.key, event.attempt)
         if sample is None or sample.backend_id is None:
             return ()
         engine = self._state.engines.get(sample.backend_id)
@@ -104,91 +104,93 @@
         sample.spans = event.spans
         produced = sample.token_count - before
         if engine is not None:
-            engine.observe_stamp(event.version, now)
+            engine.observe_token_version(event.version, now)
             if produced > 0:
                 seconds_per_token = (now - sample.last_chunk_at) / produced
-                engine.rate.observe(self._state.batch_on(sample.backend_id), seconds_per_token)
+                engine.rate.observe(self._state.load_on(sample.backend_id), seconds_per_token)
         sample.last_chunk_at = now
         if not self._is_stale(sample):
             return ()
         cancel = self._cancel(sample, CancelReason.STALE_TOKENS)
-        sample.keep_accepted(self._state.forecast.accepted)
+        sample.drop_stale_tokens(self._state.forecast.accepted)
         return (cancel,)
 
-    def _finish(self, event: SampleFinished) -> None:
-        sample = self._state.attempt(event.key, event.attempt)
+    def _handle_finished(self, event: SampleFinished) -> None:
+        sample = self._state.sample_of_attempt(event.key, event.attempt)
         if sample is None:
             return
         self._lengths.observe(sample.prompt.group, sample.token_count)
-        # NOTE: a sample too old for the trainer by now comes back by ``WorkChanged``.
+        # A sample that has become too stale is requested again by ``WorkChanged``.
         self._state.end_attempt(sample)
         del self._state.samples[sample.key]
 
-    def _fail(self, event: SampleFailed, now: float) -> None:
-        sample = self._state.attempt(event.key, event.attempt)
+    def _handle_failed(self, event: SampleFailed, now: float) -> None:
+        sample = self._state.sample_of_attempt(event.key, event.attempt)
         if sample is None or sample.backend_id is None:
             return
         engine = self._state.engines.get(sample.backend_id)
         if engine is not None and sample.awaits_tokens:
-            engine.observe_failure(now, event.retry_after_seconds)
+            engine.back_off(now, event.retry_after_seconds)
         self._state.end_attempt(sample)
-        sample.not_before = now + SAMPLE_BACKOFF_SECONDS
+        sample.not_before = now + SAMPLE_RETRY_DELAY_SECONDS
         if not self._policy.keep_partial:
             sample.spans = ()
 
-    def _stop_stale(self, now: float) -> list[RolloutDecision]:
-        """Stop running samples whose tokens are, or will end, outside the bound."""
+    def _cancel_stale(self, now: float) -> list[RolloutDecision]:
+        """Cancel running samples whose tokens are, or are expected to become, too stale."""
         decisions: list[RolloutDecision] = []
         for sample in self._state.running():
             if self._is_stale(sample):
                 decisions.append(self._cancel(sample, CancelReason.STALE_TOKENS))
-            elif self._policy.avoid_expiry and self._placement.is_doomed(sample, now):
+            elif self._policy.avoid_expiry and self._placement.should_restart_elsewhere(
+                sample, now
+            ):
                 decisions.append(self._cancel(sample, CancelReason.WOULD_EXPIRE))
                 sample.spans = ()
         accepted = self._state.forecast.accepted
-        if accepted > self._kept_accepted:
-            self._kept_accepted = accepted
+        if accepted > self._last_accepted:
+            self._last_accepted = accepted
             for sample in self._state.samples.values():
-                sample.keep_accepted(accepted)
+                sample.drop_stale_tokens(accepted)
         return decisions
 
     def _dispatch_queued(self, now: float) -> list[RolloutDecision]:
         decisions: list[RolloutDecision] = []
-        if not self._placement.any_room(now):
+        if not self._placement.any_free_slot(now):
             return decisions
-        startable = [
+        ready_samples = [
             sample
             for sample in self._state.queued()
-            if sample.not_before <= now and not self._placement.is_held(sample)
+            if sample.not_before <= now and not self._placement.is_deferred(sample)
         ]
-        for sample in sorted(startable, key=self._queue_order):
+        for sample in sorted(ready_samples, key=self._queue_sort_key):
             backend_id = self._placement.choose_engine(sample, now)
             if backend_id is not None:
                 if self._placement.should_restart(sample, backend_id, now):
                     sample.spans = ()
-                decisions.append(self._start(sample, backend_id, now))
-                if not self._placement.any_room(now):
+                decisions.append(self._dispatch(sample, backend_id, now))
+                if not self._placement.any_free_slot(now):
                     break
         return decisions
 
-    def _queue_order(self, sample: TrackedSample) -> tuple[float, ...]:
-        """Return the sort key: earliest step, then the longest or the first that came."""
+    def _queue_sort_key(self, sample: TrackedSample) -> tuple[float, ...]:
+        """Return the sort key: earliest step first, then the longest or the lowest index."""
         key = sample.key
         expected = 0.0
         if self._policy.longest_first:
             expected = -self._lengths.expected_remaining(sample.prompt.group, sample.token_count)
         return (key.step, expected, key.index, key.reroll)
 
-    def _start(self, sample: TrackedSample, backend_id: BackendId, now: float) -> Dispatch:
-        version = self._state.engines[backend_id].named_version
+    def _dispatch(self, sample: TrackedSample, backend_id: BackendId, now: float) -> Dispatch:
+        version = self._state.engines[backend_id].version_to_request
         assert version is not None
-        self._attempts += 1
+        self._last_attempt += 1
         candidates = self._placement.candidates(sample, backend_id, now)
-        self._state.start_attempt(sample, self._attempts, backend_id, version, now)
+        self._state.start_attempt(sample, self._last_attempt, backend_id, version, now)
         return Dispatch(
             key=sample.key,
             prompt=sample.prompt,
-            attempt=self._attempts,
+            attempt=self._last_attempt,
             backend_id=backend_id,
             version=version,
             priority=self._priority(sample) + self._guaranteed_priority(backend_id),
@@ -197,12 +199,12 @@
         )
 
     def _guaranteed_priority(self, backend_id: BackendId) -> int:
-        """Return what lets rollouts pass other work that asks for more than its share."""
+        """Return the priority boost that protects the rollouts' share of a contended engine."""
         contended = self._state.engines[backend_id].report.contended
         return GUARANTEED_PRIORITY if contended else 0
 
     def _priority(self, sample: TrackedSample) -> int:
-        if not self._policy.prioritise_last:
+        if not self._policy.prioritize_last:
             return 0
         step = sample.key.step
         if step == min(key.step for key in self._state.samples):
@@ -211,8 +213,8 @@
                 return PRIORITY_LAST_OF_STEP
         return PRIORITY_RESUMED if sample.spans else 0
 
-    def _move_long(self, now: float) -> list[RolloutDecision]:
-        """Move the sample that is expected to end last, if that gains more than it costs."""
+    def _move_one_sample(self, now: float) -> list[RolloutDecision]:
+        """Move the running sample that saves the most time, if no sample is queued."""
         if not self._policy.move_long or self._state.queued():
             return []
         moves = [
@@ -224,7 +226,7 @@
             return []
         best = max(moves, key=lambda move: move.gain_seconds)
         cancel = self._cancel(best.sample, CancelReason.MOVE)
-        return [cancel, self._start(best.sample, best.backend_id, now)]
+        return [cancel, self._dispatch(best.sample, best.backend_id, now)]
 
     def _cancel(self, sample: TrackedSample, reason: CancelReason) -> Cancel:
         assert sample.attempt is not None
@@ -235,10 +237,10 @@
         return cancel
 
     def _is_stale(self, sample: TrackedSample) -> bool:
-        """Return whether an attempt holds, or names, a version that is not accepted.
+        """Return whether the tokens or the requested version of an attempt are too stale.
 
-        An attempt that has produced tokens is judged by their stamps alone: its engine may
-        have moved on since the dispatch.
+        Once there are tokens, only their versions count: the engine may have loaded another
+        version since the dispatch.
         """
         accepted = self._state.forecast.accepted
         if accepted_prefix(sample.spans, accepted) < sample.token_count:
--- a/drumbay/rollout/scheduler_state.py
+++ b/drumbay/rollout/scheduler_state.py
@@ -1,4 +1,4 @@
-"""What the rollout scheduler knows about samples and engines."""
+"""Samples and engines tracked by the rollout scheduler."""
 
 import math
 
@@ -10,8 +10,8 @@
 from drumbay.rollout.sample import RolloutPrompt, SampleKey, TokenSpan
 from drumbay.rollout.staleness import FloorForecast, accepted_prefix
 
-STAMP_VALIDITY_SECONDS = 30.0
-"""How long a stamp overrides the version that its engine reports."""
+TOKEN_VERSION_VALIDITY_SECONDS = 30.0
+"""How long the version of a token overrides the version that the engine reports."""
 
 FIRST_BACKOFF_SECONDS = 1.0
 MAX_BACKOFF_DOUBLINGS = 5
@@ -23,13 +23,13 @@
 
     Attributes:
         key: The sample.
-        prompt: What to complete.
-        spans: Origin of the tokens held.
+        prompt: The prompt.
+        spans: Origin of the tokens so far.
         attempt: Number of the running attempt; ``None`` while queued.
         backend_id: Engine of the running attempt.
-        version: Version that the running attempt was dispatched under.
-        kept_tokens: Tokens held when the running attempt started.
-        last_chunk_at: When tokens arrived last, or the attempt started.
+        version: Version that the running attempt requested.
+        kept_tokens: Number of tokens when the running attempt started.
+        last_chunk_at: Time of the last chunk, or of the start of the attempt.
         not_before: Earliest time of the next attempt.
     """
 
@@ -45,98 +45,98 @@
 
     @property
     def token_count(self) -> int:
-        """Return the number of tokens held."""
+        """Return the number of tokens so far."""
         return sum(span.token_count for span in self.spans)
 
     @property
     def awaits_tokens(self) -> bool:
-        """Return whether the running attempt has produced nothing yet."""
+        """Return whether the running attempt has not generated any tokens yet."""
         return self.token_count == self.kept_tokens
 
     @property
     def oldest_version(self) -> WeightVersion | None:
-        """Return the oldest version among the tokens held."""
+        """Return the oldest version among the tokens; ``None`` without tokens."""
         return min((span.weight_version for span in self.spans), default=None)
 
-    def oldest_with(self, version: WeightVersion) -> WeightVersion:
-        """Return the oldest version after more tokens of ``version``."""
+    def oldest_version_with(self, version: WeightVersion) -> WeightVersion:
+        """Return the oldest version if more tokens are generated with ``version``."""
         oldest = self.oldest_version
         return version if oldest is None else min(oldest, version)
 
-    def keep_accepted(self, accepted: WeightVersion) -> None:
-        """Drop the tokens from the first span on that is not accepted."""
+    def drop_stale_tokens(self, accepted: WeightVersion) -> None:
+        """Drop the first span that is too stale, and all tokens after it."""
         kept = accepted_prefix(self.spans, accepted)
         self.spans = tuple(span for span in self.spans if span.first_index < kept)
 
 
 class TrackedEngine(msgspec.Struct, kw_only=True):
-    """One engine.
+    """State of one engine.
 
     Attributes:
-        report: Newest report.
-        stamped_version: Version that the engine stamped under this reported version, where
-            it differs. A swap that failed though acknowledged shows up here.
-        stamped_at: When a chunk was stamped last.
+        report: Last report.
+        token_version: Version of the last token, if it differs from the reported version,
+            e.g. after a weight swap that failed although it was acknowledged.
+        last_token_at: Time of the last chunk.
         not_before: Earliest time of the next dispatch.
-        failures: Attempts in a row that failed without a token.
-        rate: Time per token by batch size.
+        failures: Consecutive attempts that failed without a token.
+        rate: Model of the time per token.
     """
 
     report: EngineReported
-    stamped_version: WeightVersion | None = None
-    stamped_at: float = 0.0
+    token_version: WeightVersion | None = None
+    last_token_at: float = 0.0
     not_before: float = 0.0
     failures: int = 0
     rate: DecodeRateModel
 
     @property
     def version(self) -> WeightVersion | None:
-        """Return the version that is expected to produce the next tokens."""
-        if self.report.version is None or self.stamped_version is None:
+        """Return the version that is expected to generate the next tokens."""
+        if self.report.version is None or self.token_version is None:
             return self.report.version
-        return self.stamped_version
+        return self.token_version
 
     @property
-    def named_version(self) -> WeightVersion | None:
-        """Return the version that a request must name for the engine to take it.
+    def version_to_request(self) -> WeightVersion | None:
+        """Return the version to request, so that the engine accepts the request.
 
-        An engine whose swap failed though acknowledged claims the newer version; a report
-        that lags behind a swap claims the older one.
+        It is the newer of both versions: an engine expects the reported one after a weight swap
+        that failed although it was acknowledged, and the observed one if its report is stale.
         """
-        if self.report.version is None or self.stamped_version is None:
+        if self.report.version is None or self.token_version is None:
             return self.report.version
-        return max(self.report.version, self.stamped_version)
+        return max(self.report.version, self.token_version)
 
     def update(self, report: EngineReported, now: float) -> None:
-        """Take a newer report.
+        """Apply a report.
 
-        A stamp is forgotten once the reported version changes, and after a while: the
-        engine may have been mended under the same version.
+        The observed version is discarded when the reported version changes, and expires since
+        the engine may be repaired without a new version.
         """
-        expired = now - self.stamped_at >= STAMP_VALIDITY_SECONDS
+        expired = now - self.last_token_at >= TOKEN_VERSION_VALIDITY_SECONDS
         if report.version != self.report.version or expired:
-            self.stamped_version = None
+            self.token_version = None
         self.report = report
 
-    def observe_failure(self, now: float, retry_after_seconds: float | None) -> None:
-        """Leave the engine alone for a time that doubles with each failure in a row.
+    def back_off(self, now: float, retry_after_seconds: float | None) -> None:
+        """Back off exponentially after a failed attempt.
 
-        An engine that fails at once would otherwise look like the least loaded one.
+        An engine that fails immediately would otherwise appear to be the least loaded.
         """
         doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
         self.failures += 1
         backoff_seconds = retry_after_seconds or FIRST_BACKOFF_SECONDS * 2**doublings
         self.not_before = max(self.not_before, now + backoff_seconds)
 
-    def observe_stamp(self, version: WeightVersion, now: float) -> None:
-        """Take the version of a chunk, which is the truth whatever was reported."""
+    def observe_token_version(self, version: WeightVersion, now: float) -> None:
+        """Record the version of a chunk, which takes precedence over the reported one."""
         self.failures = 0
-        self.stamped_version = None if version == self.report.version else version
-        self.stamped_at = now
+        self.token_version = None if version == self.report.version else version
+        self.last_token_at = now
 
 
 class SchedulerState:
-    """Samples and engines, with the counts that decisions need."""
+    """Samples and engines with derived counts."""
 
     def __init__(self) -> None:
         """Create an empty state."""
@@ -148,31 +148,31 @@
         self._running_on: dict[BackendId, int] = {}
 
     def update_forecast(self, forecast: FloorForecast, now: float) -> None:
-        """Take a newer forecast."""
+        """Apply a forecast."""
         if forecast.newest_version > self.forecast.newest_version:
             self.newest_published_at = now
         self.forecast = forecast
 
     def queued(self) -> list[TrackedSample]:
-        """Return the samples that wait for an engine."""
+        """Return the samples without a running attempt."""
         return [sample for sample in self.samples.values() if sample.attempt is None]
 
     def running(self) -> list[TrackedSample]:
-        """Return the samples that have an attempt under way."""
+        """Return the samples with a running attempt."""
         return [sample for sample in self.samples.values() if sample.attempt is not None]
 
     def running_on(self, backend_id: BackendId) -> int:
-        """Return the number of attempts under way on an engine."""
+        """Return the number of running attempts on an engine."""
         return self._running_on.get(backend_id, 0)
 
-    def batch_on(self, backend_id: BackendId) -> int:
-        """Return the batch of an engine, other work included."""
+    def load_on(self, backend_id: BackendId) -> int:
+        """Return the load of an engine, including other requests."""
         engine = self.engines.get(backend_id)
         other_load = 0 if engine is None else engine.report.other_load
         return self.running_on(backend_id) + other_load
 
     def update_step_sizes(self) -> None:
-        """Remember the largest number of samples that each step had at once."""
+        """Update the maximum number of samples that each step has had at once."""
         counts: dict[int, int] = {}
         for key in self.samples:
             counts[key.step] = counts.get(key.step, 0) + 1
@@ -188,7 +188,7 @@
         version: WeightVersion,
         now: float,
     ) -> None:
-        """Record that an attempt of a queued sample starts."""
+        """Record the start of an attempt of a queued sample."""
         sample.attempt = attempt
         sample.backend_id = backend_id
         sample.version = version
@@ -197,19 +197,19 @@
         self._running_on[backend_id] = self.running_on(backend_id) + 1
 
     def end_attempt(self, sample: TrackedSample) -> None:
-        """Record that the attempt of a running sample ended."""
+        """Record the end of the attempt of a running sample."""
         if sample.backend_id is not None:
             self._running_on[sample.backend_id] -= 1
         sample.attempt = None
         sample.backend_id = None
         sample.version = None
 
-    def attempt(self, key: SampleKey, attempt: int) -> TrackedSample | None:
-        """Return the sample of an attempt, or ``None`` if the attempt is not current."""
+    def sample_of_attempt(self, key: SampleKey, attempt: int) -> TrackedSample | None:
+        """Return the sample of an attempt; ``None`` if the attempt is not the current one."""
         sample = self.samples.get(key)
         return sample if sample is not None and sample.attempt == attempt else None
 
     def add_wanted(self, wanted: WantedSample) -> None:
-        """Queue a sample unless it is known."""
+        """Queue a sample unless it is already tracked."""
         if wanted.key not in self.samples:
             self.samples[wanted.key] = TrackedSample(key=wanted.key, prompt=wanted.prompt)
--- a/tests/test_rollout_runner.py
+++ b/tests/test_rollout_runner.py
@@ -1,4 +1,4 @@
-"""Samples against the execution logs of the engines that produced them."""
+"""Rollout runner on emulated engines, verified against the engines' execution logs."""
 
 import asyncio
 import random
@@ -52,16 +52,16 @@
 
 
 class LoopClock(SystemClock):
-    """The virtual time of the running loop."""
+    """Clock on the virtual time of the event loop."""
 
     def monotonic(self) -> float:
         return asyncio.get_running_loop().time()
 
 
 class DispatchOnlyScheduler(RolloutScheduler):
-    """Fault: staleness is looked at when a sample is dispatched, not while it runs."""
+    """Injected fault: checks staleness at dispatch, but not while a sample is running."""
 
-    def _stop_stale(self, now: float) -> list[RolloutDecision]:
+    def _cancel_stale(self, now: float) -> list[RolloutDecision]:
         return []
 
     def _is_stale(self, sample: TrackedSample) -> bool:
@@ -142,8 +142,8 @@
         for model in self.models.values():
             await model.close()
 
-    def produced(self) -> dict[tuple[AttemptId, int], WeightVersion]:
-        """Return the version that truly produced each token of each attempt."""
+    def actual_versions(self) -> dict[tuple[AttemptId, int], WeightVersion]:
+        """Return the version that actually generated each token of each attempt."""
         versions: dict[tuple[AttemptId, int], WeightVersion] = {}
         for model in self.models.values():
             ended = [r for r in model.log.records() if isinstance(r, GenerationEnded)]
@@ -153,24 +153,24 @@
         return versions
 
     def violations(self) -> list[str]:
-        """Compare each sample with what the engines truly did, token by token."""
-        produced = self.produced()
-        found: list[str] = []
+        """Compare the versions of each sample with the engines' logs, token by token."""
+        actual_versions = self.actual_versions()
+        violations_found: list[str] = []
         for sample in self.samples:
-            named = {
+            recorded = {
                 index: (span.attempt_id, span.weight_version)
                 for span in sample.spans
                 for index in range(span.first_index, span.first_index + span.token_count)
             }
-            if list(named) != list(range(LENGTH)) or len(sample.token_ids) != LENGTH:
-                found.append("sample is not whole")
-            if any(produced.get((a, index)) != v for index, (a, v) in named.items()):
-                found.append("named version did not produce the token")
-        return found
+            if list(recorded) != list(range(LENGTH)) or len(sample.token_ids) != LENGTH:
+                violations_found.append("sample is not whole")
+            if any(actual_versions.get((a, index)) != v for index, (a, v) in recorded.items()):
+                violations_found.append("named version did not produce the token")
+        return violations_found
 
 
 class RunnerTest(unittest.TestCase):
-    async def failed_swap(self, builder_type: type[SampleBuilder]) -> RolloutCluster:
+    async def run_with_failed_swap(self, builder_type: type[SampleBuilder]) -> RolloutCluster:
         cluster = RolloutCluster(builder_type)
         for model in cluster.models.values():
             model.faults.apply(FaultCommand(fault=FaultKind.SWAP_FAILS_ACKNOWLEDGED))
@@ -180,20 +180,20 @@
         await cluster.close()
         return cluster
 
-    def test_versions_are_those_stamped_when_a_swap_fails_though_acknowledged(self) -> None:
-        class BelievingBuilder(SampleBuilder):
-            """Fault: names the version that was ordered and acknowledged."""
+    def test_token_versions_are_correct_after_a_failed_but_acknowledged_swap(self) -> None:
+        class AcknowledgedVersionBuilder(SampleBuilder):
+            """Injected fault: uses the version that was ordered and acknowledged."""
 
             def add_chunk(self, chunk: TokenChunk) -> None:
-                super().add_chunk(_restamp(chunk, 2))
+                super().add_chunk(_with_version(chunk, 2))
 
-        red = run_simulation(lambda: self.failed_swap(BelievingBuilder))
-        self.assertIn("named version did not produce the token", red.violations())
-        green = run_simulation(lambda: self.failed_swap(SampleBuilder))
-        self.assertEqual(green.violations(), [])
-        self.assertEqual([sample.oldest_version for sample in green.samples], [1] * 4)
+        faulty = run_simulation(lambda: self.run_with_failed_swap(AcknowledgedVersionBuilder))
+        self.assertIn("named version did not produce the token", faulty.violations())
+        correct = run_simulation(lambda: self.run_with_failed_swap(SampleBuilder))
+        self.assertEqual(correct.violations(), [])
+        self.assertEqual([sample.oldest_version for sample in correct.samples], [1] * 4)
 
-    def test_swap_in_mid_stream_gives_two_spans(self) -> None:
+    def test_weight_swap_during_generation_gives_two_spans(self) -> None:
         async def scenario() -> RolloutCluster:
             cluster = RolloutCluster()
             await cluster.report()
@@ -208,7 +208,7 @@
         versions = [[span.weight_version for span in s.spans] for s in cluster.samples]
         self.assertEqual(versions, [[1, 2], [1, 2]])
 
-    def test_broken_and_crossed_streams_resume_with_their_tokens(self) -> None:
+    def test_truncated_and_crossed_streams_resume_with_their_tokens(self) -> None:
         async def scenario() -> RolloutCluster:
             cluster = RolloutCluster()
             await cluster.report()
@@ -225,10 +225,10 @@
         cluster = run_simulation(scenario)
         self.assertEqual(cluster.violations(), [])
         self.assertEqual(len(cluster.samples), 8)
-        boots = max(len({span.boot_id for span in s.spans}) for s in cluster.samples)
-        self.assertEqual(boots, 2)
+        boot_count = max(len({span.boot_id for span in s.spans}) for s in cluster.samples)
+        self.assertEqual(boot_count, 2)
 
-    async def rising_floor(self, scheduler_type: type[RolloutScheduler]) -> RolloutCluster:
+    async def run_with_raised_floor(self, scheduler_type: type[RolloutScheduler]) -> RolloutCluster:
         cluster = RolloutCluster(scheduler_type=scheduler_type)
         await cluster.report()
         cluster.submit(4)
@@ -238,16 +238,16 @@
         await cluster.close()
         return cluster
 
-    def test_running_samples_are_stopped_when_the_floor_rises(self) -> None:
-        red = run_simulation(lambda: self.rising_floor(DispatchOnlyScheduler))
-        self.assertTrue(any(sample.oldest_version < 2 for sample in red.samples))
-        green = run_simulation(lambda: self.rising_floor(RolloutScheduler))
-        self.assertEqual(green.violations(), [])
-        self.assertEqual([sample.oldest_version for sample in green.samples], [2] * 4)
+    def test_running_samples_are_cancelled_when_they_become_stale(self) -> None:
+        faulty = run_simulation(lambda: self.run_with_raised_floor(DispatchOnlyScheduler))
+        self.assertTrue(any(sample.oldest_version < 2 for sample in faulty.samples))
+        correct = run_simulation(lambda: self.run_with_raised_floor(RolloutScheduler))
+        self.assertEqual(correct.violations(), [])
+        self.assertEqual([sample.oldest_version for sample in correct.samples], [2] * 4)
 
 
 class SampleBuilderTest(unittest.TestCase):
-    def test_refusals(self) -> None:
+    def test_invalid_chunks_are_rejected(self) -> None:
         builder = SampleBuilder(SampleKey(0, 0), RolloutPrompt(text="", group="", max_tokens=9))
         builder.start_attempt(AttemptId("a"))
         builder.add_chunk(_chunk("a", 0, (1, 2)))
@@ -279,7 +279,7 @@
     )
 
 
-def _restamp(chunk: TokenChunk, version: int) -> TokenChunk:
+def _with_version(chunk: TokenChunk, version: int) -> TokenChunk:
     return TokenChunk(
         attempt_id=chunk.attempt_id,
         boot_id=chunk.boot_id,
--- a/tests/test_rollout_scheduler.py
+++ b/tests/test_rollout_scheduler.py
@@ -1,4 +1,4 @@
-"""Decisions of the rollout scheduler."""
+"""Rollout scheduler: order, placement, moves, staleness and backoff."""
 
 import itertools
 import random
@@ -53,7 +53,7 @@
     )
 
 
-def floor(accepted: int, accepted_next: int = 0, next_step: int = 0) -> FloorChanged:
+def accept_from(accepted: int, accepted_next: int = 0, next_step: int = 0) -> FloorChanged:
     forecast = FloorForecast(
         accepted=WeightVersion(accepted),
         accepted_next=WeightVersion(max(accepted, accepted_next)),
@@ -62,7 +62,7 @@
     return FloorChanged(forecast=forecast)
 
 
-def trainer(newest: int, version_next: int, next_step: int) -> FloorChanged:
+def trainer_forecast(newest: int, version_next: int, next_step: int) -> FloorChanged:
     """Return the forecast of a trainer that accepts versions one behind its own."""
     forecast = FloorForecast(
         accepted=WeightVersion(newest - 1),
@@ -89,8 +89,8 @@
     return ChunkReceived(key=dispatch.key, attempt=dispatch.attempt, version=version, spans=spans)
 
 
-class Driver:
-    """Feeds events and keeps the attempts that a runner would have under way."""
+class SchedulerDriver:
+    """Feeds events to a scheduler and tracks the running attempts."""
 
     def __init__(self, scheduler: RolloutScheduler) -> None:
         self.scheduler = scheduler
@@ -108,17 +108,17 @@
         return decisions
 
     def _track(self, decision: RolloutDecision) -> None:
-        held = self.running.get(decision.key)
+        running_dispatch = self.running.get(decision.key)
         if isinstance(decision, Dispatch):
-            assert held is None or held.attempt <= decision.attempt
+            assert running_dispatch is None or running_dispatch.attempt <= decision.attempt
             self.running[decision.key] = decision
-        elif held is not None and held.attempt == decision.attempt:
+        elif running_dispatch is not None and running_dispatch.attempt == decision.attempt:
             del self.running[decision.key]
 
 
 class SchedulerTest(unittest.TestCase):
-    def test_longest_group_first(self) -> None:
-        driver = Driver(RolloutScheduler(IDLE_TIME))
+    def test_samples_of_the_longest_group_start_first(self) -> None:
+        driver = SchedulerDriver(RolloutScheduler(IDLE_TIME))
         driver.feed(engine("e1", 1, slots=3), wanted(3))
         for key, length in ((SampleKey(0, 0), 10), (SampleKey(0, 1), 500), (SampleKey(0, 2), 50)):
             dispatch = driver.running[key]
@@ -130,17 +130,21 @@
         priorities = [d.priority for d in decisions if isinstance(d, Dispatch)]
         self.assertEqual(priorities, [0, 0, 0])
 
-    def test_last_of_step_gets_priority(self) -> None:
-        driver = Driver(RolloutScheduler(IDLE_TIME))
+    def test_last_sample_of_a_step_gets_priority(self) -> None:
+        driver = SchedulerDriver(RolloutScheduler(IDLE_TIME))
         driver.feed(engine("e1", 1, slots=3), wanted(4))
         key = SampleKey(0, 0)
         decisions: list[RolloutDecision] = []
         for index in range(3):
             dispatch = driver.running[SampleKey(0, index)]
             if index == 2:
-                held = driver.running[SampleKey(0, 3)]
+                running_dispatch = driver.running[SampleKey(0, 3)]
                 decisions = driver.feed(
-                    SampleFailed(key=held.key, attempt=held.attempt, failure=AttemptFailure.BROKEN)
+                    SampleFailed(
+                        key=running_dispatch.key,
+                        attempt=running_dispatch.attempt,
+                        failure=AttemptFailure.BROKEN,
+                    )
                 )
                 driver.now += 1
             decisions += driver.feed(SampleFinished(key=dispatch.key, attempt=dispatch.attempt))
@@ -148,9 +152,9 @@
         self.assertNotEqual(last.key, key)
         self.assertEqual((last.key.index, last.priority), (3, 2))
 
-    def test_long_sample_moves_to_emptier_engine_with_its_tokens(self) -> None:
+    def test_sample_moves_to_a_less_loaded_engine_with_its_tokens(self) -> None:
         for policy, moves in ((IDLE_TIME, 1), (BASELINE_POLICY, 0)):
-            driver = Driver(RolloutScheduler(policy))
+            driver = SchedulerDriver(RolloutScheduler(policy))
             driver.feed(engine("busy", 1, slots=20), wanted(8))
             driver.now = 10.0
             for dispatch in list(driver.running.values()):
@@ -165,10 +169,10 @@
             kept = [d.kept_tokens for d in decisions if isinstance(d, Dispatch)]
             self.assertEqual(kept, [200] * moves)
 
-    def test_objective_chooses_newer_weights_or_emptier_engine(self) -> None:
+    def test_objective_selects_newer_weights_or_lower_load(self) -> None:
         chosen = []
         for policy in (IDLE_TIME, STALENESS):
-            driver = Driver(RolloutScheduler(policy))
+            driver = SchedulerDriver(RolloutScheduler(policy))
             driver.feed(engine("old", 1), engine("new", 2, other_load=2))
             decisions = driver.feed(wanted(1))
             dispatch = next(d for d in decisions if isinstance(d, Dispatch))
@@ -178,30 +182,30 @@
             self.assertEqual(second.rejection, RejectionReason.HIGHER_COST)
         self.assertEqual(chosen, ["old", "new"])
 
-    def test_no_start_that_would_expire_while_newer_weights_exist(self) -> None:
+    def test_sample_that_would_expire_waits_for_newer_weights(self) -> None:
         for policy, expected in ((IDLE_TIME, []), (BASELINE_POLICY, ["old"])):
-            driver = Driver(RolloutScheduler(policy))
+            driver = SchedulerDriver(RolloutScheduler(policy))
             driver.feed(engine("old", 1), engine("new", 2, slots=1, other_load=1))
-            driver.feed(floor(1, accepted_next=2))
+            driver.feed(accept_from(1, accepted_next=2))
             decisions = driver.feed(wanted(1))
             self.assertEqual([d.backend_id for d in decisions if isinstance(d, Dispatch)], expected)
 
-    def test_floor_cancels_stale_tokens_and_keeps_accepted_ones(self) -> None:
+    def test_stale_tokens_are_dropped_and_accepted_ones_kept(self) -> None:
         self.assertEqual(accepted_prefix((span(2, 0, 5), span(1, 5, 5)), WeightVersion(2)), 5)
-        driver = Driver(RolloutScheduler(IDLE_TIME))
+        driver = SchedulerDriver(RolloutScheduler(IDLE_TIME))
         driver.feed(engine("e1", 2), wanted(2))
         first, second = driver.running.values()
         driver.feed(chunk(first, span(2, 0, 5), span(1, 5, 5)), chunk(second, span(1, 0, 5)))
         driver.feed(chunk(first, span(2, 0, 5), span(1, 5, 5), span(2, 10, 5)))
-        decisions = driver.feed(floor(2))
+        decisions = driver.feed(accept_from(2))
         reasons = [d.reason for d in decisions if isinstance(d, Cancel)]
         self.assertEqual(reasons, [CancelReason.STALE_TOKENS] * 2)
         kept = {d.key.index: d.kept_tokens for d in decisions if isinstance(d, Dispatch)}
         self.assertEqual(kept, {0: 5, 1: 0})
 
-    def test_engine_that_lies_about_its_version_gets_nothing_outside_the_bound(self) -> None:
-        driver = Driver(RolloutScheduler(IDLE_TIME))
-        driver.feed(floor(2), engine("liar", 2), wanted(1))
+    def test_engine_that_misreports_its_version_is_rejected(self) -> None:
+        driver = SchedulerDriver(RolloutScheduler(IDLE_TIME))
+        driver.feed(accept_from(2), engine("liar", 2), wanted(1))
         dispatch = next(iter(driver.running.values()))
         decisions = driver.feed(chunk(dispatch, span(1, 0, 5)), TimePassed())
         self.assertEqual([type(decision) for decision in decisions], [Cancel])
@@ -210,57 +214,65 @@
         rejections = {each.backend_id: each.rejection for each in dispatch.candidates}
         self.assertEqual(rejections, {"honest": None, "liar": RejectionReason.VERSION})
 
-    def test_engine_that_fails_at_once_is_left_alone_for_longer_each_time(self) -> None:
-        driver = Driver(RolloutScheduler(IDLE_TIME))
+    def test_backoff_of_a_failing_engine_grows_exponentially(self) -> None:
+        driver = SchedulerDriver(RolloutScheduler(IDLE_TIME))
         driver.feed(engine("broken", 1), wanted(1))
-        starts = []
+        start_times = []
         for _ in range(100):
-            for held in list(driver.running.values()):
-                starts.append(driver.now)
+            for running_dispatch in list(driver.running.values()):
+                start_times.append(driver.now)
                 driver.feed(
-                    SampleFailed(key=held.key, attempt=held.attempt, failure=AttemptFailure.BROKEN)
+                    SampleFailed(
+                        key=running_dispatch.key,
+                        attempt=running_dispatch.attempt,
+                        failure=AttemptFailure.BROKEN,
+                    )
                 )
             driver.now += 0.5
             driver.feed(TimePassed())
-        gaps = [after - before for before, after in itertools.pairwise(starts)]
-        self.assertEqual(gaps, [1.0, 2.0, 4.0, 8.0, 16.0])
+        intervals = [after - before for before, after in itertools.pairwise(start_times)]
+        self.assertEqual(intervals, [1.0, 2.0, 4.0, 8.0, 16.0])
 
     def test_short_samples_wait_for_the_weights_of_their_step(self) -> None:
-        for policy, early in ((STALENESS, [1]), (IDLE_TIME, [0, 1])):
-            driver = Driver(RolloutScheduler(policy))
+        for policy, started_before_publication in ((STALENESS, [1]), (IDLE_TIME, [0, 1])):
+            driver = SchedulerDriver(RolloutScheduler(policy))
             driver.feed(engine("e1", 1, slots=8), wanted(2))
             for index, length in ((0, 10), (1, 900)):
                 dispatch = driver.running[SampleKey(0, index)]
                 driver.feed(chunk(dispatch, span(1, 0, length)))
                 driver.feed(SampleFinished(key=dispatch.key, attempt=dispatch.attempt))
-            driver.feed(trainer(newest=1, version_next=2, next_step=1))
+            driver.feed(trainer_forecast(newest=1, version_next=2, next_step=1))
             decisions = driver.feed(wanted(2, step=1))
-            self.assertEqual(sorted(decision.key.index for decision in decisions), early)
-            published = driver.feed(trainer(newest=2, version_next=2, next_step=1))
+            self.assertEqual(
+                sorted(decision.key.index for decision in decisions), started_before_publication
+            )
+            published = driver.feed(trainer_forecast(newest=2, version_next=2, next_step=1))
             self.assertEqual([d for d in published if isinstance(d, Dispatch)], [])
             loaded = driver.feed(engine("e1", 2, slots=8))
-            late = [d.key.index for d in loaded if isinstance(d, Dispatch)]
-            self.assertEqual(late, [0] if policy is STALENESS else [])
+            started_after_load = [d.key.index for d in loaded if isinstance(d, Dispatch)]
+            self.assertEqual(started_after_load, [0] if policy is STALENESS else [])
 
-    def test_random_events_never_break_the_invariants(self) -> None:
+    def test_invariants_hold_under_random_events(self) -> None:
         for seed in range(30):
             for policy in (IDLE_TIME, STALENESS, BASELINE_POLICY):
                 with self.subTest(seed=seed):
-                    self.run_random(random.Random(seed), Driver(RolloutScheduler(policy)))
+                    self.run_random_events(
+                        random.Random(seed), SchedulerDriver(RolloutScheduler(policy))
+                    )
 
-    def run_random(self, generator: random.Random, driver: Driver) -> None:
+    def run_random_events(self, generator: random.Random, driver: SchedulerDriver) -> None:
         accepted, step, attempts = 0, 0, set[int]()
         for _ in range(150):
             driver.now += generator.random()
             running = list(driver.running.values())
-            choice = generator.random()
-            if choice < 0.2 or not running:
+            random_value = generator.random()
+            if random_value < 0.2 or not running:
                 name = generator.choice(("e1", "e2", "e3"))
                 event: RolloutEvent = engine(name, accepted + generator.randint(-1, 2))
-            elif choice < 0.3:
+            elif random_value < 0.3:
                 accepted += 1
-                event = floor(accepted, accepted + generator.randint(0, 1), step)
-            elif choice < 0.4:
+                event = accept_from(accepted, accepted + generator.randint(0, 1), step)
+            elif random_value < 0.4:
                 step += 1
                 event = wanted(8, step)
             else:
@@ -273,16 +285,16 @@
                     self.assertNotIn(decision.attempt, attempts)
                     attempts.add(decision.attempt)
             for name in ("e1", "e2", "e3"):
-                load = [d for d in driver.running.values() if d.backend_id == name]
-                self.assertLessEqual(len(load), 4)
+                running_on_engine = [d for d in driver.running.values() if d.backend_id == name]
+                self.assertLessEqual(len(running_on_engine), 4)
 
     def random_outcome(self, generator: random.Random, dispatch: Dispatch) -> RolloutEvent:
         key, attempt = dispatch.key, dispatch.attempt
-        choice = generator.random()
-        if choice < 0.6:
+        random_value = generator.random()
+        if random_value < 0.6:
             kept = (span(dispatch.version, 0, dispatch.kept_tokens),)
             return chunk(dispatch, *kept, span(dispatch.version, dispatch.kept_tokens, 9))
-        if choice < 0.8:
+        if random_value < 0.8:
             return SampleFinished(key=key, attempt=attempt)
         failure = generator.choice(list(AttemptFailure))
         return SampleFailed(key=key, attempt=attempt, failure=failure)
--- a/tests/test_sample_builder.py
+++ b/tests/test_sample_builder.py
@@ -1,4 +1,4 @@
-"""Text and tokens of a sample over many chunks and a return to an earlier span."""
+"""Text and tokens of a sample after later spans are dropped."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class SampleBuilderTextTest(unittest.TestCase):
-    def test_text_follows_the_tokens_that_are_kept(self) -> None:
+    def test_text_matches_the_kept_tokens(self) -> None:
         kept, total = 3 * MAX_TEXT_PIECES, 5 * MAX_TEXT_PIECES
         builder = SampleBuilder(SampleKey(0, 0), RolloutPrompt(text="", group="", max_tokens=999))
         builder.start_attempt(AttemptId("a"))
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -54,15 +54,15 @@
     live_per_second=30.0,
     burst_factor=1.0,
 )
-SHIPPED = find_scenario("bitacora-andina")
+BASE_SCENARIO = find_scenario("bitacora-andina")
 ONE_ENGINE = msgspec.structs.replace(
-    SHIPPED,
-    zones=tuple(msgspec.structs.replace(zone, nodes=1) for zone in SHIPPED.zones[:1]),
-    pools=tuple(msgspec.structs.replace(pool, workers=1) for pool in SHIPPED.pools[:1]),
+    BASE_SCENARIO,
+    zones=tuple(msgspec.structs.replace(zone, nodes=1) for zone in BASE_SCENARIO.zones[:1]),
+    pools=tuple(msgspec.structs.replace(pool, workers=1) for pool in BASE_SCENARIO.pools[:1]),
 )
 
 
-def observe(*, live: int, rollouts: int, waiting: int = 0) -> EngineObservation:
+def observation_of(*, live: int, rollouts: int, waiting: int = 0) -> EngineObservation:
     return EngineObservation(
         running=min(16, live + rollouts),
         waiting=waiting,
@@ -73,34 +73,36 @@
 
 
 class EngineShareTest(unittest.TestCase):
-    def test_rollouts_use_an_engine_without_live_requests_fully(self) -> None:
+    def test_rollouts_get_all_slots_without_live_requests(self) -> None:
         share = EngineShare(EngineSharing(), 0.0)
-        self.assertEqual(share.allot(observe(live=0, rollouts=16), 0.0).rollout_slots, 16)
-        self.assertEqual(share.allot(observe(live=3, rollouts=13), 1.0).rollout_slots, 11)
+        self.assertEqual(share.allot(observation_of(live=0, rollouts=16), 0.0).rollout_slots, 16)
+        self.assertEqual(share.allot(observation_of(live=3, rollouts=13), 1.0).rollout_slots, 11)
         later = 1.0 + HEADROOM_MEMORY_SECONDS + 2 * DEMAND_WINDOW_SECONDS
-        self.assertEqual(share.allot(observe(live=0, rollouts=11), later).rollout_slots, 16)
+        self.assertEqual(share.allot(observation_of(live=0, rollouts=11), later).rollout_slots, 16)
 
-    def test_rollouts_keep_their_weight_under_sustained_live_load(self) -> None:
+    def test_rollouts_keep_their_share_under_sustained_live_load(self) -> None:
         def slots(sharing: EngineSharing) -> int:
             share = EngineShare(sharing, 0.0)
-            return share.allot(observe(live=40, rollouts=4, waiting=28), 0.0).rollout_slots
+            return share.allot(observation_of(live=40, rollouts=4, waiting=28), 0.0).rollout_slots
 
         self.assertEqual(slots(EngineSharing(live_weight=3.0, rollout_weight=1.0)), 4)
         self.assertEqual(slots(EngineSharing(live_weight=1.0, rollout_weight=1.0)), 8)
 
-    def test_only_rollouts_beyond_their_share_stop_and_only_for_waiting_requests(self) -> None:
+    def test_rollouts_over_their_share_are_preempted_only_for_waiting_requests(self) -> None:
         def excess(observation: EngineObservation, sharing: EngineSharing) -> int:
             return EngineShare(sharing, 0.0).allot(observation, 0.0).excess
 
-        crowded = observe(live=6, rollouts=16, waiting=6)
-        self.assertEqual(excess(crowded, EngineSharing()), 6)
-        self.assertEqual(excess(crowded, EngineSharing(preempt=False)), 0)
-        self.assertEqual(excess(observe(live=2, rollouts=14), EngineSharing()), 0)
-        self.assertEqual(excess(observe(live=40, rollouts=5, waiting=29), EngineSharing()), 0)
+        overloaded = observation_of(live=6, rollouts=16, waiting=6)
+        self.assertEqual(excess(overloaded, EngineSharing()), 6)
+        self.assertEqual(excess(overloaded, EngineSharing(preempt=False)), 0)
+        self.assertEqual(excess(observation_of(live=2, rollouts=14), EngineSharing()), 0)
+        self.assertEqual(
+            excess(observation_of(live=40, rollouts=5, waiting=29), EngineSharing()), 0
+        )
 
 
 class EngineAllotmentsTest(unittest.TestCase):
-    def test_own_rollouts_that_ended_since_the_report_are_no_live_requests(self) -> None:
+    def test_rollouts_finished_since_the_report_are_not_counted_as_live_requests(self) -> None:
         allotments = EngineAllotments()
         view = BackendView(
             backend_id=ENGINE, labels={}, zone="z", running=12, waiting=0, reported_at=10.0
@@ -109,7 +111,7 @@
             allotment = allotments.allot(STREAM, EngineSharing(), view, {STREAM: rollouts}, now)
             self.assertEqual((allotment.live_load, allotment.rollout_slots), (0, 16))
 
-    def test_streams_share_equally_and_lend(self) -> None:
+    def test_streams_share_slots_equally_and_use_idle_ones(self) -> None:
         view = BackendView(backend_id=ENGINE, labels={}, zone="z")
         other = StreamName("other")
 
@@ -124,7 +126,7 @@
 
 
 class PreemptionTest(unittest.TestCase):
-    def test_fewest_tokens_stop_first_and_resume_from_them(self) -> None:
+    def test_rollout_with_the_fewest_tokens_is_preempted_and_resumed(self) -> None:
         scheduler = RolloutScheduler(policy_for(RolloutObjective.IDLE_TIME))
         wanted = tuple(
             WantedSample(
@@ -138,8 +140,8 @@
             assert isinstance(decision, Dispatch)
             scheduler.handle(self._chunk(decision), 1.0)
         cancels = scheduler.handle(self._report(slots=4, other_load=3, excess=1), 2.0)
-        stopped = Cancel(key=SampleKey(0, 0), attempt=1, reason=CancelReason.PREEMPTED)
-        self.assertEqual(cancels, (stopped,))
+        preempted = Cancel(key=SampleKey(0, 0), attempt=1, reason=CancelReason.PREEMPTED)
+        self.assertEqual(cancels, (preempted,))
         (resumed,) = scheduler.handle(self._report(slots=4, other_load=1), 3.0)
         assert isinstance(resumed, Dispatch)
         self.assertEqual((resumed.key, resumed.kept_tokens), (SampleKey(0, 0), 16))
@@ -167,10 +169,10 @@
 
 
 class LivePriorityTest(unittest.TestCase):
-    def test_live_route_without_priority_goes_before_queued_rollouts(self) -> None:
-        before = self._live_seconds(lambda priority: priority)
-        after = self._live_seconds(live_engine_priority)
-        self.assertGreater(before, 2.0 * after)
+    def test_live_requests_overtake_queued_rollouts(self) -> None:
+        without_boost = self._live_seconds(lambda priority: priority)
+        with_boost = self._live_seconds(live_engine_priority)
+        self.assertGreater(without_boost, 2.0 * with_boost)
 
     def _live_seconds(self, priority_of: Callable[[int], int]) -> float:
         async def main() -> float:
@@ -204,14 +206,14 @@
         continue
 
 
-class WholeNodesTest(unittest.TestCase):
-    """Live traffic beside a trainer that keeps the engine busy."""
+class SharingSimulationTest(unittest.TestCase):
+    """Live traffic on an engine that rollouts keep busy."""
 
-    def test_live_tail_within_three_times_that_without_rollouts(self) -> None:
-        alone = msgspec.structs.replace(LOAD, samples_per_step=0)
-        limit = 3.0 * _tail(run_sharing(ONE_ENGINE, alone, 1))
-        self.assertGreater(_tail(run_sharing(ONE_ENGINE, LOAD, 1, NO_SHARING)), limit)
-        self.assertLess(_tail(run_sharing(ONE_ENGINE, LOAD, 1)), limit)
+    def test_live_tail_latency_is_at_most_three_times_that_without_rollouts(self) -> None:
+        live_only = msgspec.structs.replace(LOAD, samples_per_step=0)
+        limit = 3.0 * _tail_latency(run_sharing(ONE_ENGINE, live_only, 1))
+        self.assertGreater(_tail_latency(run_sharing(ONE_ENGINE, LOAD, 1, NO_SHARING)), limit)
+        self.assertLess(_tail_latency(run_sharing(ONE_ENGINE, LOAD, 1)), limit)
 
     def test_rollouts_keep_their_share_of_tokens_under_live_overload(self) -> None:
         with mock.patch("drumbay.rollout.scheduler.GUARANTEED_PRIORITY", 0):
@@ -221,5 +223,5 @@
         self.assertGreaterEqual(fair.steps, 3)
 
 
-def _tail(run: SharingRun) -> float:
+def _tail_latency(run: SharingRun) -> float:
     return percentile([live.first_token_seconds or 0.0 for live in run.live], 0.99)
