--- a/drumbay/kv/__init__.py
+++ b/drumbay/kv/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the platform's key-value service (etcd v3 semantics)."""
+"""Client of the platform's key-value store (etcd v3 semantics)."""
--- a/drumbay/kv/backoff.py
+++ b/drumbay/kv/backoff.py
@@ -1,10 +1,10 @@
-"""Exponential backoff with jitter, for clients of a service that limits its rate."""
+"""Exponential backoff with jitter, for clients of a rate-limited service."""
 
 import random
 
 
 class Backoff:
-    """Delays that double up to a bound, each drawn from the upper half of its range."""
+    """Delays that double up to a maximum, with up to 50% of negative jitter."""
 
     def __init__(
         self, generator: random.Random, *, first_seconds: float, longest_seconds: float
@@ -12,21 +12,21 @@
         """Start at the first delay.
 
         Args:
-            generator: Source of jitter.
-            first_seconds: Bound of the first delay.
-            longest_seconds: Bound of every delay.
+            generator: Random source for jitter.
+            first_seconds: Upper bound of the first delay.
+            longest_seconds: Upper bound of every delay.
         """
         self._generator = generator
         self._first_seconds = first_seconds
         self._longest_seconds = longest_seconds
-        self._bound_seconds = first_seconds
+        self._next_bound_seconds = first_seconds
 
     def reset(self) -> None:
         """Start again at the first delay."""
-        self._bound_seconds = self._first_seconds
+        self._next_bound_seconds = self._first_seconds
 
     def next_delay_seconds(self) -> float:
         """Return the next delay."""
-        bound_seconds = self._bound_seconds
-        self._bound_seconds = min(2 * bound_seconds, self._longest_seconds)
+        bound_seconds = self._next_bound_seconds
+        self._next_bound_seconds = min(2 * bound_seconds, self._longest_seconds)
         return self._generator.uniform(0.5 * bound_seconds, bound_seconds)
--- a/drumbay/kv/etcd_gateway.py
+++ b/drumbay/kv/etcd_gateway.py
@@ -1,9 +1,8 @@
-"""The key-value store over the etcd v3 JSON gateway.
+"""Key-value store client for the etcd v3 JSON gateway.
 
-NOTE: requests use tornado's simple client, which opens a connection for each of them, and
-not its curl client: libcurl resends a request on its own when a reused connection dies
-before the answer. A transaction that took effect would then run again and report a failed
-compare.
+NOTE: requests use tornado's simple client, which opens a connection per request, and not its curl
+client: libcurl resends a request on its own when a reused connection dies before the response. A
+transaction that took effect would then be executed again and report a failed compare.
 """
 
 import asyncio
@@ -41,13 +40,13 @@
 
 DEFAULT_TIMEOUT_SECONDS = 2.0
 MAX_CONCURRENT_REQUESTS = 32
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 CLEANUP_DELAY_SECONDS = 1.0
-"""How long after its caller gave up a request's socket may stay open."""
+"""How long the socket of a request may stay open after its caller timed out."""
 
 
 class EtcdGatewayStore:
-    """A client of one etcd cluster."""
+    """Client of one etcd cluster."""
 
     def __init__(
         self,
@@ -60,11 +59,11 @@
 
         Args:
             base_urls: URLs of the members, e.g. ``http://10.0.0.1:2379``; tried in turn.
-            clock: Source of time.
-            timeout_seconds: How long to wait for an answer of one member.
+            clock: Time source.
+            timeout_seconds: How long to wait for the response of one member.
         """
         self._base_urls = tuple(url.rstrip("/") for url in base_urls)
-        self._preferred = 0
+        self._current_member = 0
         self._clock = clock
         self._timeout_seconds = timeout_seconds
         self._http: SimpleAsyncHTTPClient | None = None
@@ -81,7 +80,7 @@
         return await self._range(messages.find_range_start(key), messages.find_range_end(key))
 
     async def range_page(self, prefix: str, after: str) -> RangeResult:
-        """Return the keys of ``prefix`` that sort after a key; etcd does not page by itself."""
+        """Return the keys of ``prefix`` that sort after a key; etcd returns all of them."""
         start = max(messages.find_range_start(prefix.encode()), after.encode() + b"\0")
         return await self._range(start, messages.find_range_end(prefix.encode()))
 
@@ -90,7 +89,7 @@
         try:
             body = await self._request(messages.RANGE_PATH, request, messages.RangeResponse)
         except KeyValueOutcomeUnknownError as error:
-            raise KeyValueUnavailableError("no answer to a read") from error
+            raise KeyValueUnavailableError("no response to a read") from error
         items = tuple(messages.to_key_value(wire) for wire in body.kvs)
         return RangeResult(revision=Revision(int(body.header.revision)), items=items)
 
@@ -99,7 +98,7 @@
         compares: tuple[ModRevisionIs, ...],
         operations: tuple[Put | Delete, ...],
     ) -> TransactionResult:
-        """Carry out ``operations`` atomically if all ``compares`` hold, else nothing."""
+        """Execute ``operations`` atomically if all ``compares`` hold, else nothing."""
         request = messages.TransactionRequest(
             compare=[_to_wire_compare(compare) for compare in compares],
             success=[_to_wire_operation(operation) for operation in operations],
@@ -118,7 +117,7 @@
         """Renew a lease and return its remaining time in seconds.
 
         Raises:
-            LeaseNotFoundError: The lease is gone.
+            LeaseNotFoundError: The lease has expired or was revoked.
         """
         request = messages.LeaseIdRequest(ID=str(lease_id))
         path = messages.LEASE_KEEPALIVE_PATH
@@ -129,7 +128,7 @@
         return ttl_seconds
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease and remove its keys."""
+        """Revoke a lease and delete its keys."""
         request = messages.LeaseIdRequest(ID=str(lease_id))
         await self._request(messages.LEASE_REVOKE_PATH, request, messages.LeaseRevokeResponse)
 
@@ -141,42 +140,43 @@
     ) -> AsyncGenerator[WatchBatch, None]:
         """Yield the changes of ``prefix`` from ``start_revision`` on, until cancelled.
 
-        An etcd watch is one answer without an end, in which a calm prefix says nothing for any
-        time: probes of the kernel tell whether its connection lives, and ``quiet_seconds`` is
-        not used.
+        An etcd watch is an endless response that is silent while the prefix does not change. TCP
+        keepalive detects a dead connection, and ``quiet_seconds`` is not used.
         """
         del quiet_seconds
-        base_url = self._base_urls[self._preferred]
+        base_url = self._base_urls[self._current_member]
         try:
             watch = watch_gateway(base_url, prefix, start_revision, self._clock)
             async with aclosing(watch) as batches:
                 async for batch in batches:
                     yield batch
         except KeyValueUnavailableError:
-            self._prefer_next()
+            self._switch_member()
             raise
 
-    async def _request(self, path: str, request: msgspec.Struct, answer_type: type[BodyT]) -> BodyT:
-        """Send a request to the members in turn until one does not refuse it."""
-        refusal: KeyValueUnavailableError | None = None
+    async def _request(
+        self, path: str, request: msgspec.Struct, response_type: type[BodyT]
+    ) -> BodyT:
+        """Send a request to the members in turn until one accepts it."""
+        last_error: KeyValueUnavailableError | None = None
         for _ in self._base_urls:
             try:
-                return await self._request_member(path, request, answer_type)
+                return await self._request_member(path, request, response_type)
             except KeyValueRateLimitedError:
                 raise
             except KeyValueUnavailableError as error:
-                refusal = error
-                self._prefer_next()
+                last_error = error
+                self._switch_member()
             except KeyValueOutcomeUnknownError:
-                self._prefer_next()
+                self._switch_member()
                 raise
-        raise refusal or KeyValueUnavailableError("no members are known")
+        raise last_error or KeyValueUnavailableError("no members are known")
 
     async def _request_member(
-        self, path: str, request: msgspec.Struct, answer_type: type[BodyT]
+        self, path: str, request: msgspec.Struct, response_type: type[BodyT]
     ) -> BodyT:
         http_request = HTTPRequest(
-            self._base_urls[self._preferred] + path,
+            self._base_urls[self._current_member] + path,
             method="POST",
             headers={"Content-Type": "application/json"},
             body=msgspec.json.encode(request),
@@ -188,47 +188,47 @@
         if response.code != 200:
             raise make_gateway_error(response.code, response.body)
         try:
-            return msgspec.json.decode(response.body, type=answer_type)
+            return msgspec.json.decode(response.body, type=response_type)
         except msgspec.MsgspecError as error:
-            raise KeyValueOutcomeUnknownError("answer not understood") from error
+            raise KeyValueOutcomeUnknownError("response cannot be decoded") from error
 
     async def _fetch(self, request: HTTPRequest) -> HTTPResponse:
-        """Exchange one request.
+        """Send one request and return the response.
 
         Raises:
-            KeyValueUnavailableError: No connection was made.
-            KeyValueOutcomeUnknownError: The request may have arrived, but no answer did.
+            KeyValueUnavailableError: No connection was established.
+            KeyValueOutcomeUnknownError: The request may have arrived, but no response did.
         """
         if self._http is None:
             self._http = SimpleAsyncHTTPClient(
                 force_instance=True,
                 max_clients=MAX_CONCURRENT_REQUESTS,
-                max_body_size=MAX_ANSWER_BYTES,
+                max_body_size=MAX_RESPONSE_BYTES,
             )
         fetch = self._http.fetch(request, raise_error=False)
-        fetch.add_done_callback(_mark_exception_seen)
-        # NOTE: tornado can not abort a request; shielded, it ends by its own time limit.
+        fetch.add_done_callback(_retrieve_exception)
+        # NOTE: tornado cannot abort a request; shielded, it ends by its own timeout.
         try:
             return await self._clock.wait_for(asyncio.shield(fetch), self._timeout_seconds)
         except ConnectionRefusedError as error:
             raise KeyValueUnavailableError("connection refused") from error
         except (DeadlineExceededError, HTTPClientError, OSError) as error:
-            raise KeyValueOutcomeUnknownError("no answer") from error
+            raise KeyValueOutcomeUnknownError("no response") from error
 
-    def _prefer_next(self) -> None:
-        self._preferred = (self._preferred + 1) % len(self._base_urls)
+    def _switch_member(self) -> None:
+        self._current_member = (self._current_member + 1) % len(self._base_urls)
 
 
-def _mark_exception_seen(fetch: "asyncio.Future[HTTPResponse]") -> None:
-    """Keep asyncio from reporting the failure of a request that nobody waits for any more."""
+def _retrieve_exception(fetch: "asyncio.Future[HTTPResponse]") -> None:
+    """Retrieve the exception of an abandoned request so that asyncio does not report it."""
     if not fetch.cancelled():
         fetch.exception()
 
 
 def make_gateway_error(http_status: int, body: bytes) -> KeyValueError:
-    """Return the exception that stands for an error answer of the gateway.
+    """Return the exception for an error response of the gateway.
 
-    Only answers that prove it are taken as "no effect".
+    Only errors that guarantee that the request had no effect are reported as such.
     """
     try:
         error = msgspec.json.decode(body, type=messages.ErrorBody)
--- a/drumbay/kv/etcd_watch.py
+++ b/drumbay/kv/etcd_watch.py
@@ -1,4 +1,4 @@
-"""Watches over the etcd v3 JSON gateway: a stream of JSON messages, one a line."""
+"""Watches over the etcd v3 JSON gateway: a stream of newline-delimited JSON messages."""
 
 import asyncio
 import socket
@@ -32,17 +32,16 @@
 CONNECT_TIMEOUT_SECONDS = 2.0
 TCP_KEEPALIVE_SECONDS = 2
 TCP_KEEPALIVE_PROBES = 2
-"""A connection that fell silent ends after 6 s; the system's own nine probes take three times as
-long and more, in which changes go unseen while other connections work."""
+"""Closes a dead connection after 6 s, much sooner than the system's default of nine probes."""
 
 MAX_LINE_BYTES = 64 * 1024 * 1024
 MAX_QUEUED_LINES = 64
 UNLIMITED_BODY_BYTES = 2**62
-"""A watch has no end, so only the length of one line is bounded."""
+"""A watch is an endless response, so only the length of one line is limited."""
 
 
 class _LineDelegate(HTTPMessageDelegate):
-    """Splits the body of an answer into lines; ``None`` in the queue stands for its end."""
+    """Splits the response body into lines; ``None`` in the queue marks its end."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -59,13 +58,13 @@
         lines = (self._partial + chunk).split(b"\n")
         self._partial = lines.pop()
         if len(self._partial) > MAX_LINE_BYTES:
-            raise HTTPInputError("line of a watch is too long")
+            raise HTTPInputError("line of a watch response is too long")
         for line in lines:
             if line:
                 await self.lines.put(line)
 
     async def read(self, connection: HTTP1Connection) -> None:
-        """Read the whole answer, however it ends."""
+        """Read the response until it ends or fails."""
         try:
             await connection.read_response(self)
         except (StreamClosedError, HTTPInputError, OSError):
@@ -74,7 +73,7 @@
             await self.lines.put(None)
 
     def make_end_error(self) -> KeyValueUnavailableError:
-        """Return the exception for an answer that ended."""
+        """Return the exception for a response that ended."""
         if self.status == 429:
             return KeyValueRateLimitedError("too many requests")
         return KeyValueUnavailableError(f"watch ended; status {self.status}")
@@ -86,11 +85,11 @@
     """Yield the changes of ``prefix`` from ``start_revision`` on, until cancelled.
 
     Raises:
-        WatchCompactedError: The start revision is no longer held.
+        WatchCompactedError: The start revision has been compacted.
         KeyValueUnavailableError: The watch could not be opened, or broke.
     """
-    # NOTE: tornado's HTTP clients can not abort a request, and a watch must end its
-    # connection when it is cancelled; hence the connection class below them.
+    # NOTE: tornado's HTTP clients cannot abort a request, but a cancelled watch must close its
+    # connection, so this uses the lower-level connection class.
     stream = await _connect(base_url, clock)
     delegate = _LineDelegate()
     reader: asyncio.Task[None] | None = None
@@ -108,7 +107,7 @@
             line = await delegate.lines.get()
             if line is None:
                 raise delegate.make_end_error()
-            batch = _read_line(line)
+            batch = _decode_line(line)
             if batch is not None:
                 yield batch
     finally:
@@ -125,8 +124,8 @@
     try:
         stream = await clock.wait_for(connect, CONNECT_TIMEOUT_SECONDS)
     except (DeadlineExceededError, StreamClosedError, OSError) as error:
-        raise KeyValueUnavailableError("no connection") from error
-    # The kernel notices a dead peer; an idle watch sends nothing by itself.
+        raise KeyValueUnavailableError("cannot connect") from error
+    # Detects a dead peer, since an idle watch sends nothing.
     stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, TCP_KEEPALIVE_SECONDS)
     stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, TCP_KEEPALIVE_SECONDS)
@@ -152,23 +151,23 @@
         }
     )
     start_line = RequestStartLine("POST", messages.WATCH_PATH, "HTTP/1.1")
-    sent = connection.write_headers(start_line, headers, chunk=body)
-    sent.add_done_callback(_ignore_write_failure)
+    pending_write = connection.write_headers(start_line, headers, chunk=body)
+    pending_write.add_done_callback(_retrieve_exception)
     connection.finish()
 
 
-def _ignore_write_failure(sent: "asyncio.Future[None]") -> None:
-    """Mark the failure as seen: the reader reports the broken connection."""
-    if not sent.cancelled():
-        sent.exception()
+def _retrieve_exception(pending_write: "asyncio.Future[None]") -> None:
+    """Retrieve the exception of a failed write; the reader reports the broken connection."""
+    if not pending_write.cancelled():
+        pending_write.exception()
 
 
-def _read_line(line: bytes) -> WatchBatch | None:
-    """Return the changes of one message; ``None`` if it has none."""
+def _decode_line(line: bytes) -> WatchBatch | None:
+    """Return the changes in one message; ``None`` if there are none."""
     try:
         message = msgspec.json.decode(line, type=messages.WatchResult)
     except msgspec.MsgspecError as error:
-        raise KeyValueUnavailableError("watch message not understood") from error
+        raise KeyValueUnavailableError("watch message cannot be decoded") from error
     response = message.result
     if response is None:
         raise KeyValueUnavailableError("watch refused")
--- a/drumbay/kv/follower.py
+++ b/drumbay/kv/follower.py
@@ -1,7 +1,7 @@
-"""Follows a prefix of the key-value service: a snapshot, then its changes, for ever.
+"""Follows a prefix of the key-value store: reads a snapshot, then watches for changes.
 
-When a watch breaks, a new snapshot is read: the store passed in may have another way to the
-service than watches have. While the service is away, what was read last stays.
+When a watch breaks, a new snapshot is read, since reads may be relayed through other nodes while
+watches are not. During an outage of the store, the mirror keeps its last contents.
 """
 
 import random
@@ -25,20 +25,20 @@
 from drumbay.observability.logs import log_event
 
 FIRST_RETRY_SECONDS = 0.05
-LONGEST_RETRY_SECONDS = 3.0
-"""While the service is away, each retry is a priced call, and up to two more by other nodes. The
-heartbeat of the node, at a tenth of the price, tells when the service is back."""
+MAX_RETRY_SECONDS = 3.0
+"""Limits billed calls during an outage, since a retry may be relayed as well. The cheaper heartbeat
+detects when the store has recovered."""
 
-QUIET_SLACK_SECONDS = 0.6
-"""How much later than promised a batch may come: a hundred times what a calm service takes."""
+WATCH_MARGIN_SECONDS = 0.6
+"""How late a batch of a watch may be before the watch is considered dead."""
 
-PROMPT_SECONDS = 0.3
-"""A snapshot that takes no longer, right after a watch was overdue by twice that, shows that the
-service answers: the watch's connection was silent."""
+PROMPT_RESPONSE_SECONDS = 0.3
+"""If a snapshot takes no longer than this after a watch timed out, the store was available and only
+the connection of the watch was dead."""
 
 
 class PrefixFollower:
-    """Keeps one copy up to date from the service itself."""
+    """Keeps one mirror up to date from the store itself."""
 
     def __init__(
         self,
@@ -46,35 +46,35 @@
         store: KeyValueStore,
         mirror: FeedMirror,
         generator: random.Random,
-        returned: ReturnSignal | None = None,
+        store_recovered: ReturnSignal | None = None,
         quiet_seconds: float = LONGEST_QUIET_SECONDS,
         on_silent_connection: Callable[[], None] | None = None,
     ) -> None:
-        """Create a follower; it goes on from what the copy knows already.
+        """Create a follower that continues from the mirror's current revision.
 
         Args:
-            clock: Time.
-            store: The key-value service.
-            mirror: The copy to keep up to date.
-            generator: Source of jitter.
-            returned: Tells that the service answers this node again; a retry then comes at once.
-            quiet_seconds: How long a watch may say nothing before it counts as dead.
-            on_silent_connection: Called when a watch was dead though the service answers at once.
+            clock: Time source.
+            store: The key-value store.
+            mirror: The mirror to keep up to date.
+            generator: Random source for jitter.
+            store_recovered: Signals that the store has recovered, to retry immediately.
+            quiet_seconds: How long a watch may be silent before it is considered dead.
+            on_silent_connection: Called when a watch was dead although the store responds.
         """
         self._quiet_seconds = quiet_seconds
         self._on_silent_connection = on_silent_connection
-        self._was_silent = False
-        self._returned = returned or ReturnSignal()
+        self._watch_was_silent = False
+        self._store_recovered = store_recovered or ReturnSignal()
         self._clock = clock
         self._store = store
         self._mirror = mirror
         self._backoff = Backoff(
-            generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=LONGEST_RETRY_SECONDS
+            generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS
         )
         self._needs_snapshot = mirror.revision is None
-        self._unseen_since: float | None = None
-        self._lost_at: float | None = None
-        self._heard_at = clock.monotonic()
+        self._missing_since: float | None = None
+        self._disconnected_at: float | None = None
+        self._last_received_at = clock.monotonic()
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -92,41 +92,41 @@
             self._needs_snapshot = True
             self._mirror.is_connected = False
         except WatchEndedError as error:
-            # No evidence of silence: each follower would end the watches of all others in turn,
-            # and their waits would grow to seconds in which changes go unseen.
-            self._begin_anew(error)
-            await self._returned.wait(self._clock, FIRST_RETRY_SECONDS)
+            # Not a sign of a silent connection. Otherwise the followers would keep ending each
+            # other's watches, with growing backoff.
+            self._reset(error)
+            await self._store_recovered.wait(self._clock, FIRST_RETRY_SECONDS)
         except KeyValueError as error:
-            self._begin_anew(error)
-            self._was_silent = isinstance(error, WatchSilentError)
-            await self._returned.wait(self._clock, self._backoff.next_delay_seconds())
+            self._reset(error)
+            self._watch_was_silent = isinstance(error, WatchSilentError)
+            await self._store_recovered.wait(self._clock, self._backoff.next_delay_seconds())
 
-    def _begin_anew(self, error: KeyValueError) -> None:
-        self._note_lost(error.code)
+    def _reset(self, error: KeyValueError) -> None:
+        self._log_disconnected(error.code)
         self._needs_snapshot = True
         self._mirror.is_connected = False
 
     async def _follow(self) -> None:
         mirror = self._mirror
         if self._needs_snapshot:
-            asked_at = self._clock.monotonic()
+            request_sent_at = self._clock.monotonic()
             found = await self._store.range_prefix(mirror.feed.prefix)
-            mirror.take_snapshot(found, self._unseen_seconds())
+            mirror.apply_snapshot(found, self._missed_seconds())
             mirror.watched_to = found.revision
-            self._note_heard()
-            mirror.confirm(asked_at)
-            self._judge_silence(self._heard_at - asked_at)
+            self._record_received()
+            mirror.confirm(request_sent_at)
+            self._check_silence(self._last_received_at - request_sent_at)
             self._needs_snapshot = False
-            self._unseen_since = None
+            self._missing_since = None
         mirror.is_connected = True
         start = Revision((mirror.revision or 0) + 1)
         batches = self._store.watch_prefix(mirror.feed.prefix, start, self._quiet_seconds)
         while True:
             batch = await self._next(batches)
             self._backoff.reset()
-            self._note_heard()
-            self._note_regained()
-            mirror.take_batch(batch)
+            self._record_received()
+            self._log_reconnected()
+            mirror.apply_batch(batch)
             mirror.watched_to = batch.revision
             if batch.events:
                 await self._clock.sleep(mirror.feed.pause_seconds)
@@ -134,57 +134,61 @@
     async def _next(self, batches: AsyncIterator[WatchBatch]) -> WatchBatch:
         """Return the next batch of a watch.
 
-        A watch is told to be alive by its own answers only: its connection may be silent for
-        good while others to the same service work.
+        Only messages on the watch itself show that it is alive: its connection may be dead while
+        other connections to the store work.
 
         Raises:
-            WatchSilentError: It is overdue.
+            WatchSilentError: No message arrived in time.
         """
-        limit_seconds = self._quiet_seconds + QUIET_SLACK_SECONDS
+        timeout_seconds = self._quiet_seconds + WATCH_MARGIN_SECONDS
         try:
-            return await self._clock.wait_for(anext(batches), limit_seconds)
+            return await self._clock.wait_for(anext(batches), timeout_seconds)
         except DeadlineExceededError as error:
-            raise WatchSilentError(f"nothing for {limit_seconds:.1f} s") from error
-
-    def _note_heard(self) -> None:
-        self._heard_at = self._clock.monotonic()
-
-    def _judge_silence(self, answer_seconds: float) -> None:
-        """Tell that connections fell silent if the service was there all the time."""
-        was_silent, self._was_silent = self._was_silent, False
-        if was_silent and answer_seconds <= PROMPT_SECONDS and self._on_silent_connection:
+            raise WatchSilentError(f"no message for {timeout_seconds:.1f} s") from error
+
+    def _record_received(self) -> None:
+        self._last_received_at = self._clock.monotonic()
+
+    def _check_silence(self, response_seconds: float) -> None:
+        """Report silent connections if the store was available all the time."""
+        watch_was_silent, self._watch_was_silent = self._watch_was_silent, False
+        if (
+            watch_was_silent
+            and response_seconds <= PROMPT_RESPONSE_SECONDS
+            and self._on_silent_connection
+        ):
             self._on_silent_connection()
 
-    def _unseen_seconds(self) -> float:
-        """Return for how long neither a watch nor a snapshot has told of changes."""
-        if self._unseen_since is None:
+    def _missed_seconds(self) -> float:
+        """Return for how long changes may have been missed."""
+        if self._missing_since is None:
             return 0.0
-        return self._clock.monotonic() - self._unseen_since
+        return self._clock.monotonic() - self._missing_since
 
-    def _note_lost(self, error: str) -> None:
+    def _log_disconnected(self, error: str) -> None:
         now = self._clock.monotonic()
-        if self._unseen_since is None:
-            self._unseen_since = now
-        if self._lost_at is not None:
+        if self._missing_since is None:
+            self._missing_since = now
+        if self._disconnected_at is not None:
             return
-        self._lost_at = now
+        self._disconnected_at = now
         log_event(
             "store_lost",
             level="WARNING",
             prefix=self._mirror.feed.prefix,
             revision=self._mirror.revision,
             error=error,
-            unheard_seconds=round(now - self._heard_at, 3),
+            unheard_seconds=round(now - self._last_received_at, 3),
         )
 
-    def _note_regained(self) -> None:
-        """Log that watches work again; snapshots may have come through other nodes before."""
-        if self._lost_at is None:
+    def _log_reconnected(self) -> None:
+        """Log that the watch works again; snapshots may have been relayed before."""
+        if self._disconnected_at is None:
             return
         log_event(
             "store_regained",
             prefix=self._mirror.feed.prefix,
             revision=self._mirror.revision,
-            watch_lost_seconds=round(self._clock.monotonic() - self._lost_at, 3),
+            watch_lost_seconds=round(self._clock.monotonic() - self._disconnected_at, 3),
         )
-        self._lost_at = None
+        self._disconnected_at = None
--- a/drumbay/kv/gateway_messages.py
+++ b/drumbay/kv/gateway_messages.py
@@ -1,7 +1,7 @@
-"""Messages of the etcd v3 JSON gateway, as far as drumbay uses them.
+"""Messages of the etcd v3 JSON gateway that drumbay uses.
 
-Keys and values travel as base64, which msgspec does for ``bytes``; 64-bit integers travel
-as decimal strings, and fields at their default may be left out. See the API reference of
+Keys and values are base64, which is how msgspec encodes ``bytes``; 64-bit integers are decimal
+strings, and fields with their default value may be omitted. See the API reference of
 etcd, "gRPC gateway" (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/).
 """
 
@@ -14,10 +14,10 @@
 from drumbay.kv.interface import KeyValue
 
 Int64 = str | int
-"""A 64-bit integer: written as a string, read from either form."""
+"""A 64-bit integer: encoded as a string, decoded from a string or a number."""
 
 ZERO: Int64 = "0"
-"""Default of integers; msgspec leaves out a default only if it is this very object."""
+"""Default of integers; msgspec omits a default only if it is this same object."""
 
 RANGE_PATH = "/v3/kv/range"
 PUT_PATH = "/v3/kv/put"
@@ -29,11 +29,11 @@
 LEASE_REVOKE_PATH = "/v3/lease/revoke"
 
 NO_LEADER_MESSAGE = "etcdserver: no leader"
-"""The one cause of status 503 that proves that a request had no effect."""
+"""The only cause of status 503 that guarantees that a request had no effect."""
 
 
 class StatusCode(IntEnum):
-    """Status codes of gRPC that the gateway puts into error bodies."""
+    """gRPC status codes in error bodies of the gateway."""
 
     INVALID_ARGUMENT = 3
     NOT_FOUND = 5
@@ -42,7 +42,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of an answer with an error status."""
+    """Body of an error response."""
 
     error: str = ""
     message: str = ""
@@ -56,7 +56,7 @@
 
 
 class WireKeyValue(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One key; a deletion carries only the key and its ``mod_revision``."""
+    """One key; a deletion contains only the key and its ``mod_revision``."""
 
     key: bytes
     create_revision: Int64 = ZERO
@@ -90,13 +90,13 @@
 
 
 class PutResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a put."""
+    """Response to a put."""
 
     header: ResponseHeader
 
 
 class DeleteRangeRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Remove one key."""
+    """Delete one key."""
 
     key: bytes
 
@@ -124,21 +124,21 @@
 
 
 class TransactionRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Carry out ``success`` if all compares hold."""
+    """Execute ``success`` if all compares hold."""
 
     compare: list[Compare] = []
     success: list[RequestOperation] = []
 
 
 class TransactionResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to a transaction."""
+    """Response to a transaction."""
 
     header: ResponseHeader
     succeeded: bool = False
 
 
 class CompactionRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Drop the history before a revision."""
+    """Discard the history before a revision."""
 
     revision: Int64
 
@@ -151,7 +151,7 @@
 
 
 class LeaseResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a grant or a keep-alive; ``TTL`` 0 means that the lease is gone."""
+    """Response to a grant or a keep-alive; ``TTL`` 0 means that the lease does not exist."""
 
     header: ResponseHeader
     ID: Int64 = ZERO
@@ -159,13 +159,13 @@
 
 
 class LeaseIdRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Name a lease, to keep it alive or to revoke it."""
+    """Identify the lease to keep alive or to revoke."""
 
     ID: Int64
 
 
 class LeaseRevokeResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a revocation."""
+    """Response to a revocation."""
 
     header: ResponseHeader
 
@@ -191,7 +191,7 @@
 
 
 class WireEvent(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One change; ``PUT`` is the default of the type and may be left out."""
+    """One change; the default type ``PUT`` may be omitted."""
 
     type: Literal["PUT", "DELETE"] = "PUT"
     kv: WireKeyValue
@@ -215,12 +215,12 @@
 
 
 def to_int64(value: int) -> Int64:
-    """Convert an integer to its form on the wire."""
+    """Convert an integer to its wire format."""
     return str(value) if value else ZERO
 
 
 def find_range_end(prefix: bytes) -> bytes:
-    """Return the end of the range of all keys that start with ``prefix``."""
+    """Return the end of the range of keys that start with ``prefix``."""
     stripped = prefix.rstrip(b"\xff")
     if not stripped:
         return b"\0"
@@ -228,12 +228,12 @@
 
 
 def find_range_start(prefix: bytes) -> bytes:
-    """Return the start of the range; an empty prefix is written as one zero byte."""
+    """Return the start of the range; an empty prefix is encoded as one zero byte."""
     return prefix or b"\0"
 
 
 def to_key_value(wire: WireKeyValue) -> KeyValue:
-    """Convert a key from its form on the wire."""
+    """Convert a key from its wire format."""
     return KeyValue(
         key=wire.key.decode(),
         value=wire.value,
@@ -245,7 +245,7 @@
 
 
 def from_key_value(item: KeyValue) -> WireKeyValue:
-    """Convert a key to its form on the wire."""
+    """Convert a key to its wire format."""
     return WireKeyValue(
         key=item.key.encode(),
         value=item.value,
--- a/drumbay/kv/interface.py
+++ b/drumbay/kv/interface.py
@@ -1,4 +1,4 @@
-"""The key-value service as drumbay uses it: compare-and-swap, leases and watches."""
+"""Interface of the key-value store: compare-and-swap, leases and watches."""
 
 from collections.abc import AsyncIterator
 from typing import Protocol
@@ -10,25 +10,25 @@
 
 
 class KeyValueError(UnavailableError):
-    """The key-value service did not carry out an operation."""
+    """An operation of the key-value store failed."""
 
     code = "key_value"
 
 
 class KeyValueUnavailableError(KeyValueError):
-    """The operation certainly had no effect (refused, or never sent)."""
+    """The operation had no effect: it was refused or never sent."""
 
     code = "key_value_unavailable"
 
 
 class KeyValueRateLimitedError(KeyValueUnavailableError):
-    """The service refused the operation because of its rate limit."""
+    """The store refused the operation because of its rate limit."""
 
     code = "key_value_rate_limited"
 
 
 class KeyValueOutcomeUnknownError(KeyValueError):
-    """The answer was lost: the operation may have taken effect."""
+    """The response was lost: the operation may have taken effect."""
 
     code = "key_value_outcome_unknown"
 
@@ -40,19 +40,19 @@
 
 
 class WatchSilentError(KeyValueUnavailableError):
-    """A watch said nothing for longer than it may."""
+    """A watch has been silent for too long."""
 
     code = "watch_silent"
 
 
 class WatchEndedError(KeyValueUnavailableError):
-    """This process ended a watch itself, since its connection may be dead."""
+    """This process ended a watch whose connection may be dead."""
 
     code = "watch_ended"
 
 
 class WatchCompactedError(KeyValueError):
-    """The revision a watch should start from is no longer held; read a snapshot."""
+    """The start revision of a watch has been compacted; read a snapshot instead."""
 
     code = "watch_compacted"
 
@@ -71,7 +71,7 @@
 class RangeResult(msgspec.Struct, frozen=True, kw_only=True):
     """The keys of a range at one revision of the store, sorted by key.
 
-    ``has_more`` says that the store ended the answer before the range did.
+    ``has_more`` means that the response was truncated.
     """
 
     revision: Revision
@@ -80,7 +80,7 @@
 
 
 class ModRevisionIs(msgspec.Struct, frozen=True, kw_only=True):
-    """Compare: the key's modification revision equals this (0: the key is absent)."""
+    """Compare: the key has this modification revision (0: the key does not exist)."""
 
     key: str
     mod_revision: Revision
@@ -95,7 +95,7 @@
 
 
 class Delete(msgspec.Struct, frozen=True, kw_only=True):
-    """Operation: remove a key; no effect if it is absent."""
+    """Operation: delete a key; no effect if it does not exist."""
 
     key: str
 
@@ -123,18 +123,18 @@
 
 
 class WatchBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Changes in revision order, complete up to ``revision``."""
+    """Changes in order of revision, complete up to ``revision``."""
 
     revision: Revision
     events: tuple[WatchEvent, ...]
 
 
 LONGEST_QUIET_SECONDS = 20.0
-"""How long a watch may say nothing where nobody depends on it: each answer is a priced call."""
+"""Default for watches that are not latency-critical; each response is a billed call."""
 
 
 class KeyValueStore(Protocol):
-    """Operations of the key-value service.
+    """Operations of the key-value store.
 
     Every method may raise :class:`KeyValueUnavailableError` (no effect),
     :class:`KeyValueRateLimitedError` (no effect) and, for writes,
@@ -146,7 +146,7 @@
         ...
 
     async def range_page(self, prefix: str, after: str) -> RangeResult:
-        """Return the keys of ``prefix`` that sort after a key, as many as one answer holds."""
+        """Return one page of the keys of ``prefix`` that sort after a key."""
         ...
 
     async def transact(
@@ -154,23 +154,23 @@
         compares: tuple[ModRevisionIs, ...],
         operations: tuple[Put | Delete, ...],
     ) -> TransactionResult:
-        """Carry out ``operations`` atomically if all ``compares`` hold, else nothing."""
+        """Execute ``operations`` atomically if all ``compares`` hold, else nothing."""
         ...
 
     async def grant_lease(self, ttl_seconds: float) -> LeaseGrant:
-        """Grant a lease; keys put with it vanish when it expires."""
+        """Grant a lease; its keys are deleted when it expires."""
         ...
 
     async def keep_lease_alive(self, lease_id: int) -> float:
         """Renew a lease and return its remaining time in seconds.
 
         Raises:
-            LeaseNotFoundError: The lease is gone.
+            LeaseNotFoundError: The lease has expired or was revoked.
         """
         ...
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease and remove its keys."""
+        """Revoke a lease and delete its keys."""
         ...
 
     def watch_prefix(
@@ -181,11 +181,11 @@
     ) -> AsyncIterator[WatchBatch]:
         """Yield the changes of ``prefix`` from ``start_revision`` on, until cancelled.
 
-        Where the service can be asked again, a batch without events comes each ``quiet_seconds``
-        in which nothing changed. A caller may take a watch that says nothing for longer as dead.
+        Stores that are polled yield a batch without events after ``quiet_seconds`` without changes.
+        A caller may consider a watch dead that is silent for longer.
 
         Raises:
-            WatchCompactedError: The start revision is no longer held.
-            KeyValueUnavailableError: The watch broke; start again from the last revision.
+            WatchCompactedError: The start revision has been compacted.
+            KeyValueUnavailableError: The watch broke; restart it from the last revision.
         """
         ...
--- a/drumbay/kv/memory.py
+++ b/drumbay/kv/memory.py
@@ -1,4 +1,4 @@
-"""The key-value store straight on the in-process model, for simulations and tests."""
+"""Key-value store client of the in-process model, for simulations and tests."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Callable
@@ -30,10 +30,10 @@
 
 
 class MemoryKeyValueStore:
-    """A client of the model; it acts out the faults as a client would meet them.
+    """Client of the model; simulates faults as seen by a client.
 
     Attributes:
-        reachable: Whether this client reaches the service; others may while it does not.
+        reachable: Whether this client reaches the store, independently of other clients.
     """
 
     def __init__(
@@ -46,16 +46,16 @@
         """Create a client.
 
         Args:
-            model: The service.
-            clock: The client's clock.
-            timeout_seconds: How long the client waits for an answer.
+            model: Model of the store.
+            clock: Clock of the client.
+            timeout_seconds: How long the client waits for a response.
         """
         self.reachable = True
         self._model = model
         self._clock = clock
         self._timeout_seconds = timeout_seconds
-        # NOTE: a request in flight takes effect even if its caller gave up; asyncio keeps
-        # only weak references to tasks.
+        # NOTE: a request in flight takes effect even after its caller timed out, and asyncio
+        # keeps only weak references to tasks.
         self._in_flight: dict[asyncio.Task[None], None] = {}
 
     async def range_prefix(self, prefix: str) -> RangeResult:
@@ -71,7 +71,7 @@
         compares: tuple[ModRevisionIs, ...],
         operations: tuple[Put | Delete, ...],
     ) -> TransactionResult:
-        """Carry out ``operations`` atomically if all ``compares`` hold, else nothing."""
+        """Execute ``operations`` atomically if all ``compares`` hold, else nothing."""
         return await self._write(lambda: self._model.transact(compares, operations))
 
     async def grant_lease(self, ttl_seconds: float) -> LeaseGrant:
@@ -83,7 +83,7 @@
         return await self._write(lambda: self._model.keep_lease_alive(lease_id))
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease and remove its keys."""
+        """Revoke a lease and delete its keys."""
         await self._write(lambda: self._model.revoke_lease(lease_id))
 
     async def watch_prefix(
@@ -106,14 +106,14 @@
 
     def _check_reachable(self) -> None:
         if not self.reachable:
-            raise KeyValueUnavailableError("no route to the service")
+            raise KeyValueUnavailableError("no route to the store")
 
     async def _read(self, operation: Callable[[], ResultT]) -> ResultT:
         try:
             self._admit()
             return await self._exchange(operation, WriteFate.ANSWERED)
         except DeadlineExceededError as error:
-            raise KeyValueUnavailableError("no answer to a read") from error
+            raise KeyValueUnavailableError("no response to a read") from error
 
     async def _write(self, operation: Callable[[], ResultT]) -> ResultT:
         self._admit()
@@ -121,21 +121,21 @@
         try:
             return await self._exchange(operation, fate)
         except DeadlineExceededError as error:
-            raise KeyValueOutcomeUnknownError("no answer to a write") from error
+            raise KeyValueOutcomeUnknownError("no response to a write") from error
 
     async def _exchange(self, operation: Callable[[], ResultT], fate: WriteFate) -> ResultT:
-        """Send one operation and wait for its answer.
+        """Send one operation and wait for its response.
 
         Raises:
-            DeadlineExceededError: No answer in time; the operation may take effect later.
+            DeadlineExceededError: No response in time; the operation may take effect later.
         """
-        answer: asyncio.Future[ResultT] = asyncio.get_running_loop().create_future()
+        response: asyncio.Future[ResultT] = asyncio.get_running_loop().create_future()
         if not self._is_delayed() and fate is WriteFate.ANSWERED:
             return operation()
-        task = asyncio.get_running_loop().create_task(self._serve(operation, fate, answer))
+        task = asyncio.get_running_loop().create_task(self._serve(operation, fate, response))
         self._in_flight[task] = None
         task.add_done_callback(lambda done: self._in_flight.pop(done, None))
-        return await self._clock.wait_for(answer, self._timeout_seconds)
+        return await self._clock.wait_for(response, self._timeout_seconds)
 
     def _is_delayed(self) -> bool:
         faults = self._model.injector.faults
@@ -145,9 +145,9 @@
         self,
         operation: Callable[[], ResultT],
         fate: WriteFate,
-        answer: asyncio.Future[ResultT],
+        response: asyncio.Future[ResultT],
     ) -> None:
-        """Act as the service for one operation, whether or not the client still waits."""
+        """Execute one operation as the store would, whether or not the client still waits."""
         faults = self._model.injector.faults
         clock = self._model.clock
         await clock.sleep(faults.request_delay_seconds)
@@ -158,9 +158,9 @@
             result = operation()
         except Exception as error:
             await clock.sleep(faults.answer_delay_seconds)
-            if fate is WriteFate.ANSWERED and not answer.done():
-                answer.set_exception(error)
+            if fate is WriteFate.ANSWERED and not response.done():
+                response.set_exception(error)
             return
         await clock.sleep(faults.answer_delay_seconds)
-        if fate is WriteFate.ANSWERED and not answer.done():
-            answer.set_result(result)
+        if fate is WriteFate.ANSWERED and not response.done():
+            response.set_result(result)
--- a/drumbay/kv/mirror.py
+++ b/drumbay/kv/mirror.py
@@ -1,8 +1,8 @@
-"""A copy of one prefix of the key-value service: its items, revision and recent changes.
+"""Mirror of one prefix of the key-value store: its items, revision and recent changes.
 
-The copy is fed by a snapshot and the changes after it, read from the service or from another
-node's copy. Revisions of the service rise with each change, so copies of several nodes can be
-compared, and a copy never goes back to an older revision.
+A mirror is fed by a snapshot and subsequent changes, from the store or from the mirror of another
+node. Revisions of the store increase with each change, so mirrors on different nodes are
+comparable, and a mirror never goes back to an older revision.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
     WatchEvent,
 )
 
-MAXIMUM_HISTORY = 500
-"""Changes that are kept for readers; one that is further behind gets a snapshot."""
+MAX_HISTORY_EVENTS = 500
+"""Changes kept for readers; a reader that is further behind gets a snapshot."""
 
 
 class PrefixFeed(msgspec.Struct, frozen=True, kw_only=True):
-    """What is followed, and who is told.
+    """A prefix to follow, and the callbacks for its changes.
 
-    ``on_snapshot`` takes the items, and for how many seconds before changes went unseen.
-    ``pause_seconds`` passes after each batch of changes, so that changes that come together
-    cost one call. ``quiet_seconds`` is how long a watch may say nothing before it counts as dead.
-    ``tells_age`` says whether the age of the copy counts for that of all copies of a node.
+    ``on_snapshot`` receives the items and the seconds for which changes may have been missed.
+    ``pause_seconds`` is the pause after each batch, so that simultaneous changes take one call.
+    ``quiet_seconds`` is how long a watch may be silent before it is considered dead. ``tells_age``
+    states whether the age of this mirror counts toward the age of the node's data.
     """
 
     prefix: str
@@ -42,16 +42,16 @@
 
 
 class FeedCursor(msgspec.Struct, frozen=True, kw_only=True):
-    """Up to which revision a reader knows a prefix; 0 if it knows nothing."""
+    """Revision up to which a reader has the changes of a prefix; 0 if it has none."""
 
     prefix: str
     revision: Revision
 
 
 class FeedChanges(msgspec.Struct, frozen=True, kw_only=True):
-    """What a reader lacks of a prefix: a snapshot, or the events after its revision.
+    """Update for a reader of a prefix: a snapshot, or the events after its revision.
 
-    ``unseen_seconds`` is for how long changes went unseen before the snapshot.
+    ``unseen_seconds`` is for how long changes may have been missed before the snapshot.
     """
 
     prefix: str
@@ -62,20 +62,20 @@
 
 
 class FeedMirror:
-    """The copy of one prefix, and the feed that is told of its changes.
+    """Mirror of one prefix, which passes its changes on to a feed.
 
     Attributes:
-        feed: Who is told.
-        is_connected: Whether the copy is being kept up to date from the service itself.
-        confirmed_at: Monotonic time at which the copy was last known to be complete: when a
-            question was asked whose answer proved it. Not when an answer of a watch came, which
-            may have waited for a process that stood still, nor when another connection worked.
-        watched_to: Up to which revision the standing watch, or the snapshot before it, has told.
-        last_change: Revision of the newest change that is known.
+        feed: Feed that receives the changes.
+        is_connected: Whether the mirror is being updated from the store itself.
+        confirmed_at: Monotonic time at which the mirror was last known to be complete: when the
+            request was sent whose response confirmed it. Watch messages do not count, since they
+            may have been waiting in a socket buffer while this process was paused.
+        watched_to: Revision up to which the current watch, or the snapshot before it, has reported.
+        last_change: Revision of the newest known change.
     """
 
     def __init__(self, feed: PrefixFeed) -> None:
-        """Create a copy that knows nothing."""
+        """Create an empty mirror."""
         self.feed = feed
         self.is_connected = False
         self.confirmed_at = float("-inf")
@@ -90,27 +90,27 @@
 
     @property
     def revision(self) -> Revision | None:
-        """Return the revision up to which the copy is complete; ``None`` if nothing is known."""
+        """Return the revision up to which the mirror is complete; ``None`` if it is empty."""
         return self._revision
 
     @property
     def cursor(self) -> FeedCursor:
-        """Return what this copy knows, as a reader of another one."""
+        """Return this mirror's position as a reader of another one."""
         return FeedCursor(prefix=self.feed.prefix, revision=self._revision or Revision(0))
 
     @property
     def changed(self) -> asyncio.Event:
-        """Return the event that is set at the next change."""
+        """Return an event that is set at the next change."""
         return self._changed
 
     def confirm(self, at: float) -> None:
-        """Note that the copy was complete at a monotonic time."""
+        """Record that the mirror was complete at a monotonic time."""
         self.confirmed_at = max(self.confirmed_at, at)
 
-    def take_snapshot(self, found: RangeResult, unseen_seconds: float = 0.0) -> None:
-        """Take the whole prefix, unless the copy is newer already.
+    def apply_snapshot(self, found: RangeResult, unseen_seconds: float = 0.0) -> None:
+        """Replace the contents with a snapshot, unless the mirror is newer.
 
-        ``unseen_seconds`` is for how long changes went unseen before.
+        ``unseen_seconds`` is for how long changes may have been missed before.
         """
         if self._revision is not None and found.revision < self._revision:
             return
@@ -122,10 +122,10 @@
         self._history_start = found.revision
         self._unseen_seconds = unseen_seconds
         self.feed.on_snapshot(found.items, unseen_seconds)
-        self._announce()
+        self._notify_readers()
 
-    def take_batch(self, batch: WatchBatch) -> None:
-        """Take changes that follow what the copy knows; known ones are passed over."""
+    def apply_batch(self, batch: WatchBatch) -> None:
+        """Apply subsequent changes; those already known are skipped."""
         known = self._revision
         if known is None:
             return
@@ -136,18 +136,18 @@
         self._revision = max(known, batch.revision)
         if events:
             self.last_change = max(self.last_change, events[-1].mod_revision)
-            self._announce()
+            self._notify_readers()
 
-    def take_changes(self, changes: FeedChanges) -> None:
-        """Take what another copy has told."""
+    def apply_changes(self, changes: FeedChanges) -> None:
+        """Apply an update from another mirror."""
         if changes.snapshot is not None:
             found = RangeResult(revision=changes.revision, items=changes.snapshot)
-            self.take_snapshot(found, changes.unseen_seconds)
+            self.apply_snapshot(found, changes.unseen_seconds)
         else:
-            self.take_batch(WatchBatch(revision=changes.revision, events=changes.events))
+            self.apply_batch(WatchBatch(revision=changes.revision, events=changes.events))
 
     def changes_for(self, cursor: FeedCursor) -> FeedChanges | None:
-        """Return what a reader lacks; ``None`` if that is nothing, or it knows more."""
+        """Return the update for a reader; ``None`` if it is up to date or ahead."""
         if self._revision is None or cursor.revision > self._revision:
             return None
         prefix = self.feed.prefix
@@ -170,9 +170,9 @@
         else:
             self._items[event.key] = event.item
         self._history.append(event)
-        if len(self._history) > MAXIMUM_HISTORY:
+        if len(self._history) > MAX_HISTORY_EVENTS:
             self._history_start = self._history.popleft().mod_revision
 
-    def _announce(self) -> None:
+    def _notify_readers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/drumbay/kv/return_signal.py
+++ b/drumbay/kv/return_signal.py
@@ -1,4 +1,4 @@
-"""Tells those who wait before a retry that the key-value service answers again."""
+"""Signal that the key-value store has recovered, for callers that wait before a retry."""
 
 import asyncio
 from contextlib import suppress
@@ -8,26 +8,26 @@
 
 
 class ReturnSignal:
-    """Wakes every waiter at the first answer after a failure."""
+    """Wakes all waiters on the first successful call after a failure."""
 
     def __init__(self) -> None:
-        """Start with a service that answers."""
-        self._is_away = False
-        self._returned = asyncio.Event()
+        """Start in the available state."""
+        self._is_unavailable = False
+        self._recovered = asyncio.Event()
 
-    def note_failure(self) -> None:
-        """Note that the service did not answer."""
-        self._is_away = True
+    def record_failure(self) -> None:
+        """Record that a call failed."""
+        self._is_unavailable = True
 
-    def note_answer(self) -> None:
-        """Note that the service answered; wake those who wait if it had not before."""
-        if not self._is_away:
+    def record_success(self) -> None:
+        """Record that a call succeeded; wake the waiters if the last one failed."""
+        if not self._is_unavailable:
             return
-        self._is_away = False
-        self._returned.set()
-        self._returned = asyncio.Event()
+        self._is_unavailable = False
+        self._recovered.set()
+        self._recovered = asyncio.Event()
 
     async def wait(self, clock: Clock, seconds: float) -> None:
-        """Return after a time, or as soon as the service answers again."""
+        """Wait until the store has recovered, for at most ``seconds``."""
         with suppress(DeadlineExceededError):
-            await clock.wait_for(self._returned.wait(), seconds)
+            await clock.wait_for(self._recovered.wait(), seconds)
--- a/drumbay/peers/directory.py
+++ b/drumbay/peers/directory.py
@@ -195,7 +195,7 @@
             except LeaseNotFoundError:
                 continue
             except KeyValueError:
-                self.store_returned.note_failure()
+                self.store_returned.record_failure()
                 await self.store_returned.wait(self._clock, self._backoff.next_delay_seconds())
 
     async def leave(self) -> None:
@@ -220,7 +220,7 @@
         )
         await self._store.transact((), (entry,))
         self._backoff.reset()
-        self.store_returned.note_answer()
+        self.store_returned.record_success()
         return lease.lease_id
 
     async def _renew_lease_until_lost(self, lease_id: int) -> None:
@@ -239,11 +239,11 @@
                 self._on_store_suspect()
             try:
                 await self._store.keep_lease_alive(lease_id)
-                self.store_returned.note_answer()
+                self.store_returned.record_success()
             except LeaseNotFoundError:
                 raise
             except KeyValueError:
-                self.store_returned.note_failure()
+                self.store_returned.record_failure()
                 self._on_store_suspect()
             last_heartbeat_at = self._clock.monotonic()
 
--- a/drumbay/peers/feeds.py
+++ b/drumbay/peers/feeds.py
@@ -171,7 +171,7 @@
         mirror = self._mirrors[NODES_PREFIX]
         while mirror.revision is None:
             try:
-                mirror.take_snapshot(await self._store.range_prefix(NODES_PREFIX))
+                mirror.apply_snapshot(await self._store.range_prefix(NODES_PREFIX))
             except KeyValueError:
                 await self._clock.sleep(PROBE_DELAY_SECONDS)
 
@@ -266,7 +266,7 @@
         for changes in reply.changes:
             mirror = self._mirrors.get(changes.prefix)
             if mirror is not None:
-                mirror.take_changes(changes)
+                mirror.apply_changes(changes)
         if reply.age_seconds is None or reply.age_seconds > self._max_age_seconds:
             return False
         now = self._clock.monotonic()
@@ -287,7 +287,7 @@
         self._next_probe_at = self._clock.monotonic() + self._probe_backoff.next_delay_seconds()
         mirror = self._mirrors[NODES_PREFIX]
         try:
-            mirror.take_snapshot(await self._direct.range_prefix(NODES_PREFIX))
+            mirror.apply_snapshot(await self._direct.range_prefix(NODES_PREFIX))
         except KeyValueError:
             return
         self._direct_until = self._clock.monotonic() + DIRECT_WATCH_SECONDS
--- a/drumbay/peers/freshness.py
+++ b/drumbay/peers/freshness.py
@@ -117,7 +117,7 @@
         poll_started_at = self._clock.monotonic()
         batch = await self._clock.wait_for(self._poll(), POLL_TIMEOUT_SECONDS)
         self._behind.clear()
-        mirror.take_batch(batch)
+        mirror.apply_batch(batch)
         mirror.confirm(poll_started_at)
         age_seconds = self._clock.monotonic() - poll_started_at
         prefix = mirror.feed.prefix
--- a/tests/kv_contract.py
+++ b/tests/kv_contract.py
@@ -1,4 +1,4 @@
-"""The contract of a key-value store, run against every implementation."""
+"""Contract tests of a key-value store, run against every implementation."""
 
 import asyncio
 import random
@@ -24,13 +24,13 @@
 from drumbay.standins.kv_model import KeyValueModel
 from drumbay.standins.kv_records import ChangeCause, LoggedChange
 
-ABSENT = Revision(0)
+KEY_ABSENT = Revision(0)
 ANSWER_TIMEOUT_SECONDS = 2.0
-"""Long against every answer on a busy machine: the verdicts must not depend on its speed."""
+"""Generous, so that results do not depend on the speed of the machine."""
 
 
 class AdvancingClock(SystemClock):
-    """The system's clock plus an offset that a test moves forward."""
+    """The system clock plus an offset that a test increases."""
 
     def __init__(self) -> None:
         self.offset_seconds = 0.0
@@ -67,7 +67,7 @@
         return (await self.store.transact((), (operation,))).revision
 
     async def create(self, key: str) -> bool:
-        compare = ModRevisionIs(key=key, mod_revision=ABSENT)
+        compare = ModRevisionIs(key=key, mod_revision=KEY_ABSENT)
         result = await self.store.transact((compare,), (Put(key=key, value=b""),))
         return result.succeeded
 
@@ -197,7 +197,7 @@
         self.model.set_faults(KeyValueFaults())
         self.assertEqual((await self.store.range_prefix("")).revision, revision)
 
-    async def test_lost_answer_took_effect(self) -> None:
+    async def test_write_with_lost_response_took_effect(self) -> None:
         self.model.set_faults(KeyValueFaults(lost_answers=1))
         with self.assertRaises(KeyValueOutcomeUnknownError):
             await self.create("/k")
@@ -205,14 +205,14 @@
         self.assertFalse(await self.create("/k"))
         self.assertEqual(len(self.model.log), 1)
 
-    async def test_lost_request_had_no_effect(self) -> None:
+    async def test_lost_write_request_had_no_effect(self) -> None:
         self.model.set_faults(KeyValueFaults(lost_requests=1))
         with self.assertRaises(KeyValueOutcomeUnknownError):
             await self.create("/k")
         self.assertEqual(await self.keys(), [])
         self.assertTrue(await self.create("/k"))
 
-    async def test_write_takes_effect_after_its_caller_gave_up(self) -> None:
+    async def test_write_takes_effect_after_its_caller_timed_out(self) -> None:
         delay_seconds = 3 * ANSWER_TIMEOUT_SECONDS
         self.model.set_faults(KeyValueFaults(request_delay_seconds=delay_seconds))
         with self.assertRaises(KeyValueOutcomeUnknownError):
--- a/tests/test_answer_time.py
+++ b/tests/test_answer_time.py
@@ -1,39 +1,39 @@
-"""The limit for answers of the store: close while it is quick, wide once it is slow."""
+"""Adaptive timeout of store calls: short while the store is fast, longer once it is slow."""
 
 import unittest
 
-from drumbay.kv.answer_time import MAXIMUM_SECONDS, MINIMUM_SECONDS, AnswerTime
+from drumbay.kv.answer_time import MAX_TIMEOUT_SECONDS, MIN_TIMEOUT_SECONDS, AnswerTime
 
 
-class AnswerTimeTest(unittest.TestCase):
-    def test_the_first_call_has_the_longest_limit(self) -> None:
-        self.assertEqual(AnswerTime().limit_seconds, MAXIMUM_SECONDS)
+class TimeoutEstimatorTest(unittest.TestCase):
+    def test_first_call_has_the_maximum_timeout(self) -> None:
+        self.assertEqual(AnswerTime().limit_seconds, MAX_TIMEOUT_SECONDS)
 
-    def test_a_quick_service_is_not_waited_for_long(self) -> None:
-        answer_time = AnswerTime()
+    def test_fast_store_gets_a_short_timeout(self) -> None:
+        estimator = AnswerTime()
         for _ in range(20):
-            answer_time.note_answer(0.005)
-        self.assertEqual(answer_time.limit_seconds, MINIMUM_SECONDS)
+            estimator.note_answer(0.005)
+        self.assertEqual(estimator.limit_seconds, MIN_TIMEOUT_SECONDS)
 
-    def test_a_service_that_becomes_slow_is_waited_for_after_few_lost_answers(self) -> None:
-        answer_time = AnswerTime()
+    def test_timeout_adapts_to_a_slow_store_after_one_timeout(self) -> None:
+        estimator = AnswerTime()
         for _ in range(20):
-            answer_time.note_answer(0.005)
-        lost = 0
-        while answer_time.limit_seconds <= 0.4:
-            answer_time.note_silence()
-            lost += 1
-        self.assertEqual(lost, 1)
+            estimator.note_answer(0.005)
+        timeouts = 0
+        while estimator.limit_seconds <= 0.4:
+            estimator.note_silence()
+            timeouts += 1
+        self.assertEqual(timeouts, 1)
         for _ in range(20):
-            answer_time.note_answer(0.4)
-            self.assertGreater(answer_time.limit_seconds, 0.4)
+            estimator.note_answer(0.4)
+            self.assertGreater(estimator.limit_seconds, 0.4)
 
-    def test_the_limit_never_grows_beyond_its_bound(self) -> None:
-        answer_time = AnswerTime()
-        answer_time.note_answer(0.01)
+    def test_timeout_does_not_exceed_its_maximum(self) -> None:
+        estimator = AnswerTime()
+        estimator.note_answer(0.01)
         for _ in range(10):
-            answer_time.note_silence()
-        self.assertEqual(answer_time.limit_seconds, MAXIMUM_SECONDS)
+            estimator.note_silence()
+        self.assertEqual(estimator.limit_seconds, MAX_TIMEOUT_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/test_kv_gateway.py
+++ b/tests/test_kv_gateway.py
@@ -1,4 +1,4 @@
-"""The etcd gateway client and the stand-in's server keep the contract together."""
+"""Contract tests of the etcd gateway client against the emulated server."""
 
 import asyncio
 import json
@@ -23,8 +23,8 @@
 from tests.kv_contract import ANSWER_TIMEOUT_SECONDS, AdvancingClock, KeyValueContract
 
 
-class Service:
-    """A stand-in server on a free port of the loopback interface."""
+class EmulatedGateway:
+    """Emulated etcd gateway on a free loopback port."""
 
     def __init__(self, model: KeyValueModel) -> None:
         socket, port = bind_unused_port()
@@ -39,21 +39,21 @@
 
 class EtcdGatewayStoreTest(KeyValueContract):
     async def make_store(self) -> KeyValueStore:
-        service = Service(self.model)
-        self.addAsyncCleanup(service.close)
-        return EtcdGatewayStore((service.url,), self.clock, timeout_seconds=ANSWER_TIMEOUT_SECONDS)
+        gateway = EmulatedGateway(self.model)
+        self.addAsyncCleanup(gateway.close)
+        return EtcdGatewayStore((gateway.url,), self.clock, timeout_seconds=ANSWER_TIMEOUT_SECONDS)
 
 
 class GatewayProtocolTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.clock = AdvancingClock()
         self.model = KeyValueModel(self.clock, generator=random.Random(1))
-        self.service = Service(self.model)
-        self.addAsyncCleanup(self.service.close)
+        self.gateway = EmulatedGateway(self.model)
+        self.addAsyncCleanup(self.gateway.close)
 
     async def post(self, path: str, body: str) -> tuple[int, bytes]:
         client = AsyncHTTPClient()
-        url = self.service.url + path
+        url = self.gateway.url + path
         response = await client.fetch(url, method="POST", body=body, raise_error=False)
         return response.code, response.body
 
@@ -90,7 +90,7 @@
         _, body = await self.post("/v3/kv/lease/keepalive", keep_alive)
         self.assertEqual(json.loads(body), {"result": lease})
 
-    async def test_bad_requests_are_refused(self) -> None:
+    async def test_invalid_requests_are_rejected(self) -> None:
         for path, body in (
             ("/v3/kv/put", "{"),
             ("/v3/kv/range", '{"key": "Zm9v"}'),
@@ -102,30 +102,30 @@
             self.assertEqual(code, 400, path)
 
     async def test_faults_and_log_over_http(self) -> None:
-        store = EtcdGatewayStore((self.service.url,), self.clock)
+        store = EtcdGatewayStore((self.gateway.url,), self.clock)
         await store.transact((), (Put(key="/k", value=b""),))
         code, _ = await self.post("/faults", '{"outage": true}')
         self.assertEqual(code, 200)
         with self.assertRaises(KeyValueUnavailableError):
             await store.transact((), (Put(key="/k", value=b""),))
-        response = await AsyncHTTPClient().fetch(self.service.url + "/log")
+        response = await AsyncHTTPClient().fetch(self.gateway.url + "/log")
         page = msgspec.json.decode(response.body, type=LogPage)
         self.assertEqual(page, LogPage(next_position=1, entries=self.model.log))
-        response = await AsyncHTTPClient().fetch(self.service.url + "/log?position=1")
+        response = await AsyncHTTPClient().fetch(self.gateway.url + "/log?position=1")
         self.assertEqual(msgspec.json.decode(response.body, type=LogPage).entries, [])
 
-    async def test_refused_connection_had_no_effect_and_the_next_member_serves(self) -> None:
+    async def test_refused_connection_has_no_effect_and_the_next_member_is_used(self) -> None:
         closed_socket, closed_port = bind_unused_port()
         closed_socket.close()
         closed_url = f"http://127.0.0.1:{closed_port}"
         with self.assertRaises(KeyValueUnavailableError):
             await EtcdGatewayStore((closed_url,), self.clock).grant_lease(5.0)
-        store = EtcdGatewayStore((closed_url, self.service.url), self.clock)
+        store = EtcdGatewayStore((closed_url, self.gateway.url), self.clock)
         await store.grant_lease(5.0)
         self.assertEqual(len(self.model.log), 1)
 
     async def test_closing_a_watch_closes_its_connection(self) -> None:
-        store = EtcdGatewayStore((self.service.url,), self.clock)
+        store = EtcdGatewayStore((self.gateway.url,), self.clock)
         revision = (await store.transact((), (Put(key="/k", value=b""),))).revision
         for _ in range(20):
             watch = store.watch_prefix("/k", revision)
@@ -139,7 +139,7 @@
 
 
 class GatewayErrorTest(unittest.TestCase):
-    def test_only_proof_counts_as_no_effect(self) -> None:
+    def test_only_definite_errors_count_as_no_effect(self) -> None:
         for status, body, expected in (
             (503, b'{"message":"etcdserver: no leader","code":14}', KeyValueUnavailableError),
             (
--- a/tests/test_leader_turns.py
+++ b/tests/test_leader_turns.py
@@ -1,9 +1,7 @@
-"""A machine that was elected and gave no order does not shorten the turn of the one before it.
+"""Regression: orders of two leaders could be closer together than the leader's turn.
 
-Symptom: a worker got orders of two machines 2.87 s apart, though turns are 3 s, in a soak with
-planned stops of all nodes that overlapped. Sequence: a leader gives an order and stops; its
-successor stops within its quiet time; that machine is elected again after its restart. Cause: it
-finds itself noted as the last leader (``leader_elected successor=false``) and waits for nobody.
+A leader that stops during its quiet time without giving an order, and is elected again after its
+restart, must still wait for the turn of its predecessor to end.
 """
 
 import asyncio
@@ -40,62 +38,62 @@
             await asyncio.sleep(1.0)
             await successor.leader.resign()
             await successor.kill()
-            again = WorldNode(world, 2, 2)
-            again.lead()
+            restarted = WorldNode(world, 2, 2)
+            restarted.lead()
             for _ in range(100):
                 await asyncio.sleep(0.05)
                 now = world.clock.monotonic()
                 if now - ordered_at < TURN_SECONDS:
-                    self.assertIsNone(again.leader.fence(now))
+                    self.assertIsNone(restarted.leader.fence(now))
 
         play(scenario)
 
 
-class NotingTest(unittest.TestCase):
-    def test_renewals_go_on_while_the_answer_to_its_note_is_lost(self) -> None:
-        """A leader that waited for the note would lose its lease of 2 s."""
+class LostResponseTest(unittest.TestCase):
+    def test_lease_renewals_continue_while_responses_are_lost(self) -> None:
+        """A leader that waited for this write would lose its lease."""
 
         async def scenario(world: ServingWorld) -> None:
-            store = LosesNotes(world.model, world.clock, timeout_seconds=1.0)
-            before = LeaderRecord(machine="m1", boot="b1")
+            store = ResponseLosingStore(world.model, world.clock, timeout_seconds=1.0)
+            first_record = LeaderRecord(machine="m1", boot="b1")
             policy = LeadPolicy(quiet_seconds=0.0)
-            store.losing = False
+            store.loses_responses = False
             first = LeaderElection(
-                world.clock, store, before, random.Random(1), policy, lambda: True
+                world.clock, store, first_record, random.Random(1), policy, lambda: True
             )
-            leading = asyncio.ensure_future(first.run())
+            election_task = asyncio.ensure_future(first.run())
             await asyncio.sleep(1.0)
-            leading.cancel()
+            election_task.cancel()
             await first.resign()
-            store.losing = True
-            after = LeaderRecord(machine="m2", boot="b2")
+            store.loses_responses = True
+            second_record = LeaderRecord(machine="m2", boot="b2")
             second = LeaderElection(
-                world.clock, store, after, random.Random(2), policy, lambda: True
+                world.clock, store, second_record, random.Random(2), policy, lambda: True
             )
-            leading = asyncio.ensure_future(second.run())
+            election_task = asyncio.ensure_future(second.run())
             await asyncio.sleep(1.0)
             for _ in range(200):
                 await asyncio.sleep(0.05)
                 now = world.clock.monotonic()
                 self.assertIsNotNone(second.fence(now))
                 self.assertIsNone(second.duty_fence(now))
-            store.losing = False
+            store.loses_responses = False
             await asyncio.sleep(2.0)
             self.assertIsNotNone(second.duty_fence(world.clock.monotonic()))
-            leading.cancel()
+            election_task.cancel()
 
         play(scenario, node_count=0)
 
 
-class LosesNotes(MemoryKeyValueStore):
-    """A store whose answers to notes of the last leader are lost."""
+class ResponseLosingStore(MemoryKeyValueStore):
+    """Store that loses the responses to writes of the last leader's key."""
 
-    losing = True
+    loses_responses = True
 
     async def transact(
         self, compares: tuple[ModRevisionIs, ...], operations: tuple[Put | Delete, ...]
     ) -> TransactionResult:
-        if self.losing and [operation.key for operation in operations] == [LAST_KEY]:
+        if self.loses_responses and [operation.key for operation in operations] == [LAST_KEY]:
             await asyncio.sleep(1.0)
             raise KeyValueOutcomeUnknownError("lost")
         return await super().transact(compares, operations)
--- a/tests/test_shared_feeds.py
+++ b/tests/test_shared_feeds.py
@@ -6,7 +6,7 @@
 from drumbay.comm.http_exchange import NetworkAddress
 from drumbay.identifiers import Revision
 from drumbay.kv.interface import KeyValue, Put, RangeResult, WatchBatch, WatchEvent
-from drumbay.kv.mirror import MAXIMUM_HISTORY, FeedCursor, FeedMirror, PrefixFeed
+from drumbay.kv.mirror import MAX_HISTORY_EVENTS, FeedCursor, FeedMirror, PrefixFeed
 from drumbay.peers.watchers import RegisteredNode, WatcherRanking
 from drumbay.standins.kv_faults import KeyValueFaults
 from tests.serving_world import ServingWorld, WorldNode, play
@@ -41,13 +41,13 @@
 
     def feed(self) -> PrefixFeed:
         return PrefixFeed(
-            prefix="config/", on_snapshot=self.take_snapshot, on_event=self.take_event
+            prefix="config/", on_snapshot=self.apply_snapshot, on_event=self.apply_event
         )
 
-    def take_snapshot(self, items: tuple[KeyValue, ...], unseen_seconds: float) -> None:
+    def apply_snapshot(self, items: tuple[KeyValue, ...], unseen_seconds: float) -> None:
         self.values.extend(found.value for found in items)
 
-    def take_event(self, change: WatchEvent) -> None:
+    def apply_event(self, change: WatchEvent) -> None:
         if change.item is not None:
             self.values.append(change.item.value)
 
@@ -59,46 +59,46 @@
 
     def test_older_snapshot_is_ignored(self) -> None:
         mirror, seen = self.mirror()
-        mirror.take_snapshot(RangeResult(revision=Revision(9), items=(item(9, b"new"),)))
-        mirror.take_snapshot(RangeResult(revision=Revision(8), items=(item(8, b"old"),)))
+        mirror.apply_snapshot(RangeResult(revision=Revision(9), items=(item(9, b"new"),)))
+        mirror.apply_snapshot(RangeResult(revision=Revision(8), items=(item(8, b"old"),)))
         self.assertEqual(seen.values, [b"new"])
 
     def test_event_is_delivered_once(self) -> None:
         mirror, seen = self.mirror()
-        mirror.take_snapshot(RangeResult(revision=Revision(1), items=()))
+        mirror.apply_snapshot(RangeResult(revision=Revision(1), items=()))
         batch = WatchBatch(revision=Revision(3), events=(event(2, b"2"), event(3, b"3")))
-        mirror.take_batch(batch)
-        mirror.take_batch(batch)
+        mirror.apply_batch(batch)
+        mirror.apply_batch(batch)
         self.assertEqual(seen.values, [b"2", b"3"])
 
     def test_reader_gets_only_missing_changes(self) -> None:
         mirror, _ = self.mirror()
-        mirror.take_snapshot(RangeResult(revision=Revision(5), items=(item(4, b"4"),)))
-        mirror.take_batch(WatchBatch(revision=Revision(7), events=(event(6, b"6"),)))
+        mirror.apply_snapshot(RangeResult(revision=Revision(5), items=(item(4, b"4"),)))
+        mirror.apply_batch(WatchBatch(revision=Revision(7), events=(event(6, b"6"),)))
         reader, seen = self.mirror()
         changes = mirror.changes_for(reader.cursor)
         assert changes is not None
-        reader.take_changes(changes)
+        reader.apply_changes(changes)
         self.assertEqual(seen.values, [b"6"])
         self.assertIsNone(mirror.changes_for(reader.cursor))
-        mirror.take_batch(WatchBatch(revision=Revision(8), events=(event(8, b"8"),)))
+        mirror.apply_batch(WatchBatch(revision=Revision(8), events=(event(8, b"8"),)))
         changes = mirror.changes_for(reader.cursor)
         assert changes is not None
         self.assertIsNone(changes.snapshot)
-        reader.take_changes(changes)
+        reader.apply_changes(changes)
         self.assertEqual(seen.values, [b"6", b"8"])
 
     def test_reader_that_is_ahead_gets_nothing(self) -> None:
         mirror, _ = self.mirror()
-        mirror.take_snapshot(RangeResult(revision=Revision(5), items=(item(4, b"4"),)))
+        mirror.apply_snapshot(RangeResult(revision=Revision(5), items=(item(4, b"4"),)))
         ahead = FeedCursor(prefix="config/", revision=Revision(6))
         self.assertIsNone(mirror.changes_for(ahead))
 
     def test_reader_behind_the_history_gets_a_snapshot(self) -> None:
         mirror, _ = self.mirror()
-        mirror.take_snapshot(RangeResult(revision=Revision(1), items=()))
-        for number in range(2, MAXIMUM_HISTORY + 4):
-            mirror.take_batch(
+        mirror.apply_snapshot(RangeResult(revision=Revision(1), items=()))
+        for number in range(2, MAX_HISTORY_EVENTS + 4):
+            mirror.apply_batch(
                 WatchBatch(revision=Revision(number), events=(event(number, b"%d" % number),))
             )
         behind = mirror.changes_for(FeedCursor(prefix="config/", revision=Revision(1)))
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the key-value service, counted by what they are for."""
+"""Counting of calls to the key-value store by purpose."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 class SubjectTest(unittest.TestCase):
-    def test_what_keys_are_about(self) -> None:
+    def test_subject_of_each_kind_of_key(self) -> None:
         table = {
             f"{PREFIX}b1/owner": StoreSubject.BATCH_OWNER,
             f"{PREFIX}b1/progress/000000000007-0001": StoreSubject.BATCH_PROGRESS,
@@ -44,7 +44,7 @@
         }
         self.assertEqual({key: subject_of_key(key) for key in table}, table)
 
-    def test_a_new_batch_job_is_told_from_a_change_of_its_owner(self) -> None:
+    def test_new_batch_job_is_distinguished_from_an_owner_change(self) -> None:
         owner = f"{PREFIX}b1/owner"
         put = Put(key=owner, value=b"")
         is_new = ModRevisionIs(key=owner, mod_revision=Revision(0))
@@ -55,7 +55,7 @@
 
 
 class CountedStoreTest(unittest.IsolatedAsyncioTestCase):
-    async def test_each_call_counts_once_and_each_answer_of_a_watch(self) -> None:
+    async def test_each_call_and_each_watch_response_is_counted(self) -> None:
         clock = SystemClock()
         model = KeyValueModel(clock, generator=random.Random(1))
         metrics = ServingMetrics()
@@ -67,10 +67,10 @@
         found = await store.range_prefix(directory.PREFIX)
         self.assertEqual([item.key for item in found.items], [key])
         watch = store.watch_prefix(directory.PREFIX, Revision(found.revision + 1))
-        coming = asyncio.ensure_future(anext(watch))
+        next_batch = asyncio.ensure_future(anext(watch))
         await asyncio.sleep(0)
         await store.revoke_lease(lease.lease_id)
-        self.assertEqual([event.key for event in (await coming).events], [key])
+        self.assertEqual([event.key for event in (await next_batch).events], [key])
         self.assertEqual(
             store.counts,
             {
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -1,4 +1,4 @@
-"""Following a prefix of the store: outages, silent connections, lost history, relayed reads."""
+"""Prefix followers: outages, silent connections, compacted history, relayed reads."""
 
 import asyncio
 import random
@@ -27,10 +27,10 @@
 
 
 class SilentStore(MemoryKeyValueStore):
-    """A client whose waiting watches say nothing more once it was cut off, as TCP may do.
+    """Store client whose open watches go silent without an error, as TCP connections may do.
 
-    Its other calls fail while it is cut off. Where only its open connections fall silent, they go
-    on, and so do new watches.
+    ``cut`` also makes all other calls fail. After ``silence_open``, other calls and new watches
+    still work.
     """
 
     def __init__(self, model: KeyValueModel, clock: Clock) -> None:
@@ -39,11 +39,11 @@
         self.polls = 0
 
     def silence_open(self) -> None:
-        """Let the watches that are open now say nothing more."""
+        """Silence the watches that are open now."""
         self.cuts += 1
 
     def cut(self) -> None:
-        """Cut the client off; its open watches are dead from now on."""
+        """Disconnect the client, and silence its open watches for good."""
         self.reachable = False
         self.cuts += 1
 
@@ -61,16 +61,16 @@
             yield batch
 
 
-class Seen:
-    """What a follower was told."""
+class RecordingFeed:
+    """Records the current values that a feed delivers."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
 
-    def take_snapshot(self, items: tuple[KeyValue, ...], unseen_seconds: float) -> None:
+    def apply_snapshot(self, items: tuple[KeyValue, ...], unseen_seconds: float) -> None:
         self.values = {item.key: item.value for item in items}
 
-    def take_event(self, event: WatchEvent) -> None:
+    def apply_event(self, event: WatchEvent) -> None:
         if event.item is None:
             self.values.pop(event.key, None)
         else:
@@ -80,13 +80,13 @@
 class FollowerTest(unittest.TestCase):
     async def follow(
         self, world: ServingWorld, store: SilentStore | None = None
-    ) -> tuple[WorldNode, Seen]:
-        seen = Seen()
+    ) -> tuple[WorldNode, RecordingFeed]:
+        seen = RecordingFeed()
         node = world.nodes[0]
         if store is not None:
             node = WorldNode(world, 9, 0, store)
         feed = PrefixFeed(
-            prefix="config/", on_snapshot=seen.take_snapshot, on_event=seen.take_event
+            prefix="config/", on_snapshot=seen.apply_snapshot, on_event=seen.apply_event
         )
         world.nodes[1].lead()
         node.node.start((feed,))
@@ -122,9 +122,9 @@
         play(scenario)
 
     def test_a_watch_that_alone_fell_silent_is_replaced_in_time(self) -> None:
-        """At any moment of a watch; the heartbeat and new watches work all the time.
+        """Silenced at several points of a watch, while the heartbeat and new watches work.
 
-        Service fell to 72% while connections were silent: see ``test_silent_connections``.
+        See also ``test_silent_connections``.
         """
         for phase in range(8):
 
@@ -206,8 +206,8 @@
             await self.follow(world)
             before = world.model.injector.arrived
             await asyncio.sleep(60.0)
-            # Two nodes: a heartbeat a second each, the leader's lease, and the proofs of the one
-            # copy whose age must be known, 0.56 s apart at the soonest.
+            # Two nodes: a heartbeat per second each, the leader's lease, and verifications of the
+            # one age-relevant mirror, at least 0.56 s apart.
             self.assertLess(world.model.injector.arrived - before, 2 * 60 + 60 + 107 + 20)
 
         play(scenario)
@@ -216,9 +216,9 @@
 class DirectClockTest(unittest.TestCase):
     def test_a_follower_needs_no_relay(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            seen = Seen()
+            seen = RecordingFeed()
             feed = PrefixFeed(
-                prefix="config/", on_snapshot=seen.take_snapshot, on_event=seen.take_event
+                prefix="config/", on_snapshot=seen.apply_snapshot, on_event=seen.apply_event
             )
             store = MemoryKeyValueStore(world.model, world.clock)
             follower = PrefixFollower(OutsideClock(), store, FeedMirror(feed), random.Random(1))
@@ -233,12 +233,9 @@
 
 
 class RenewalTest(unittest.TestCase):
-    """Watches that this process ends itself are no evidence that connections fell silent.
+    """Regression: followers kept ending each other's watches, and missed changes for seconds.
 
-    Symptom: a worker that had left got new requests for 2.8 s. Sequence: watches were ended once;
-    each one's follower read a snapshot at once, took that for a silent connection and ended all
-    watches again, the others' new ones among them, until waits had grown to seconds
-    (``connections_renewed`` 274 times a day, ``missing_workers_kept unseen_seconds=2.378``).
+    Watches that this process ends itself must not count as silent connections.
     """
 
     def test_ending_all_watches_once_ends_them_once(self) -> None:
@@ -247,33 +244,33 @@
             address = NetworkAddress("10.0.0.9", 7000)
             directory = PeerDirectory(world.clock, direct, address, random.Random(1), lambda: None)
             store = RelayingStore(world.clock, direct, world.peers, directory, ServingMetrics())
-            renewals = 0
+            silence_reports = 0
 
-            def renew() -> None:
-                nonlocal renewals
-                renewals += 1
+            def count_and_end_watches() -> None:
+                nonlocal silence_reports
+                silence_reports += 1
                 store.end_watches()
 
-            seen = [Seen() for _ in range(4)]
+            seen = [RecordingFeed() for _ in range(4)]
             tasks = []
             for number, each in enumerate(seen):
                 feed = PrefixFeed(
                     prefix=f"feed-{number}/",
-                    on_snapshot=each.take_snapshot,
-                    on_event=each.take_event,
+                    on_snapshot=each.apply_snapshot,
+                    on_event=each.apply_event,
                 )
                 follower = PrefixFollower(
                     world.clock,
                     store,
                     FeedMirror(feed),
                     random.Random(number),
-                    on_silent_connection=renew,
+                    on_silent_connection=count_and_end_watches,
                 )
                 tasks.append(asyncio.ensure_future(follower.run()))
             await asyncio.sleep(1.0)
             store.end_watches()
             await asyncio.sleep(2.0)
-            self.assertEqual(renewals, 0)
+            self.assertEqual(silence_reports, 0)
             for number in range(4):
                 world.model.transact((), (Put(key=f"feed-{number}/k", value=b"v"),))
             await asyncio.sleep(0.3)
