--- a/drumbay/storage/__init__.py
+++ b/drumbay/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable storage of records under the data folder of a node that has a disk."""
+"""Durable record logs in the data directory of a node that has a disk."""
--- a/drumbay/storage/durable_log.py
+++ b/drumbay/storage/durable_log.py
@@ -1,10 +1,9 @@
 """A record log in an SQLite database in WAL mode, with group commit.
 
-SQLite gives atomic commits, a checksummed write-ahead log whose torn tail is dropped at the
-next open, and typed errors for a full disk. One writer thread commits: appends that arrive
-while a commit is being synchronised to the disk are committed together by the next one
-(group commit; DeWitt et al., "Implementation Techniques for Main Memory Database Systems",
-SIGMOD 1984, section 5).
+SQLite provides atomic commits, a checksummed write-ahead log whose torn tail is discarded at the
+next open, and distinct errors for a full disk. A single thread commits: appends that arrive during
+a commit are written together by the next one (group commit; DeWitt et al., "Implementation
+Techniques for Main Memory Database Systems", SIGMOD 1984, section 5).
 """
 
 import asyncio
@@ -27,8 +26,8 @@
 
 FILE_SUFFIX = ".sqlite3"
 DEFAULT_MAX_BYTES = 4 * 1024**3
-WAL_KEPT_BYTES = 16 * 1024**2
-"""The write-ahead file is cut back to this size after a checkpoint."""
+WAL_SIZE_LIMIT_BYTES = 16 * 1024**2
+"""The write-ahead log is truncated to this size after a checkpoint."""
 
 CREATE_TABLES = """
 CREATE TABLE IF NOT EXISTS identity (store_id TEXT NOT NULL);
@@ -42,7 +41,7 @@
 
 
 class _PendingWrite(msgspec.Struct, kw_only=True):
-    """One append or snapshot that waits for its commit."""
+    """An append or snapshot that waits for its commit."""
 
     records: Sequence[bytes]
     replaces_all: bool
@@ -50,12 +49,12 @@
 
 
 def _checksum(payload: bytes) -> bytes:
-    """Return the checksum stored beside a record."""
+    """Return the checksum that is stored with a record."""
     return xxhash.xxh3_64_digest(payload)
 
 
-def _typed_error(error: sqlite3.Error) -> StorageError:
-    """Translate an SQLite error into the exception tree."""
+def _to_storage_error(error: sqlite3.Error) -> StorageError:
+    """Convert an SQLite error to a :class:`StorageError`."""
     code = getattr(error, "sqlite_errorcode", None)
     primary_code = None if code is None else code & 0xFF
     if primary_code == sqlite3.SQLITE_FULL:
@@ -66,22 +65,21 @@
 
 
 def _connect(path: Path, max_bytes: int) -> sqlite3.Connection:
-    """Open the database for one process, synchronised at every commit."""
+    """Open the database exclusively, with an fsync at every commit."""
     connection = sqlite3.connect(path, timeout=0, isolation_level=None, check_same_thread=False)
-    # NOTE: exclusive locking must be set before WAL mode is entered: SQLite then keeps the
-    # WAL index on the heap instead of in a shared memory file, and a second process that
-    # opens the same store fails instead of writing to it.
+    # NOTE: exclusive locking must be set before WAL mode: SQLite then keeps the WAL index on the
+    # heap instead of in shared memory, and a second process fails to open the same store.
     connection.execute("PRAGMA locking_mode=EXCLUSIVE")
     connection.execute("PRAGMA journal_mode=WAL")
     connection.execute("PRAGMA synchronous=FULL")
-    connection.execute(f"PRAGMA journal_size_limit={WAL_KEPT_BYTES}")
+    connection.execute(f"PRAGMA journal_size_limit={WAL_SIZE_LIMIT_BYTES}")
     page_size_bytes = connection.execute("PRAGMA page_size").fetchone()[0]
     connection.execute(f"PRAGMA max_page_count={max_bytes // page_size_bytes}")
     return connection
 
 
-def _ensure_identity(connection: sqlite3.Connection, new_store_id: StoreId) -> StoreId:
-    """Return the stored identity; a store without one is new and gets ``new_store_id``."""
+def _ensure_store_id(connection: sqlite3.Connection, new_store_id: StoreId) -> StoreId:
+    """Return the stored id; a new store gets ``new_store_id``."""
     connection.executescript(CREATE_TABLES)
     row = connection.execute("SELECT store_id FROM identity").fetchone()
     if row is not None:
@@ -90,8 +88,8 @@
     return new_store_id
 
 
-def _synchronise_folder(folder: Path) -> None:
-    """Make the names of newly created files durable."""
+def _fsync_directory(folder: Path) -> None:
+    """Make the directory entries of newly created files durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -103,7 +101,7 @@
     """A :class:`~drumbay.storage.interface.RecordLog` on the local disk."""
 
     def __init__(self, connection: sqlite3.Connection, path: Path, store_id: StoreId) -> None:
-        """Use an open database; callers use :meth:`open`."""
+        """Use an open database; call :meth:`open` instead."""
         self._connection = connection
         self._path = path
         self._store_id = store_id
@@ -122,13 +120,13 @@
         new_store_id: StoreId,
         max_bytes: int = DEFAULT_MAX_BYTES,
     ) -> "DurableLog":
-        """Open the log ``name`` in ``folder``; make it if it does not exist.
+        """Open the log ``name`` in ``folder``; create it if it does not exist.
 
         Args:
-            folder: The node's data folder; made if it does not exist.
-            name: Name of the log, unique in the folder.
-            new_store_id: Identity for the store if it is new; must be random.
-            max_bytes: Limit on the size of the database file.
+            folder: The node's data directory; created if it does not exist.
+            name: Name of the log, unique in the directory.
+            new_store_id: Id of the store if it is new; must be random.
+            max_bytes: Maximum size of the database file.
 
         Raises:
             StorageError: The store cannot be opened, or another process has it open.
@@ -137,30 +135,30 @@
         try:
             folder.mkdir(parents=True, exist_ok=True)
             connection = _connect(path, max_bytes)
-            store_id = _ensure_identity(connection, new_store_id)
-            _synchronise_folder(folder)
+            store_id = _ensure_store_id(connection, new_store_id)
+            _fsync_directory(folder)
         except sqlite3.Error as error:
-            raise _typed_error(error) from error
+            raise _to_storage_error(error) from error
         except OSError as error:
             raise StorageError(str(error)) from error
         return cls(connection, path, store_id)
 
     @property
     def store_id(self) -> StoreId:
-        """Return the identity given when the store was first made."""
+        """Return the id assigned when the store was created."""
         return self._store_id
 
     @property
     def size_bytes(self) -> int:
-        """Return the size of the database and its write-ahead file in bytes."""
+        """Return the size of the database and its write-ahead log in bytes."""
         files = (self._path, self._path.with_name(f"{self._path.name}-wal"))
         return sum(file.stat().st_size for file in files if file.exists())
 
     def replay(self) -> Iterator[bytes]:
-        """Yield every record in order, from the last snapshot on.
+        """Yield every record in order, starting with the last snapshot.
 
         Raises:
-            StorageCorruptError: A record differs from what was written.
+            StorageCorruptError: The checksum of a record does not match.
             StorageError: The disk could not be read.
         """
         try:
@@ -172,13 +170,13 @@
                     raise StorageCorruptError(f"record {sequence} of {self._path.name}")
                 yield payload
         except sqlite3.Error as error:
-            raise _typed_error(error) from error
+            raise _to_storage_error(error) from error
 
     async def append(self, records: Sequence[bytes]) -> None:
-        """Append records atomically; on return they are durable.
+        """Append records atomically; they are durable on return.
 
         Raises:
-            StorageFullError: There is no room.
+            StorageFullError: The disk is full, or the log has reached its maximum size.
             StorageError: The write failed.
         """
         await self._write(records, replaces_all=False)
@@ -187,7 +185,7 @@
         """Atomically replace everything appended before this call by ``records``.
 
         Raises:
-            StorageFullError: There is no room.
+            StorageFullError: The disk is full, or the log has reached its maximum size.
             StorageError: The write failed.
         """
         await self._write(records, replaces_all=True)
@@ -202,11 +200,11 @@
         self._pending.append(pending)
         if self._committing is None:
             self._committing = loop.create_task(self._commit_pending())
-        # NOTE: a cancelled caller must not cancel the write: later ones build on it.
+        # NOTE: a cancelled caller must not cancel the write, since later writes depend on it.
         await asyncio.shield(pending.done)
 
     async def _commit_pending(self) -> None:
-        """Commit until nothing is pending; each commit takes all that has arrived."""
+        """Commit until nothing is pending; each commit includes all writes that have arrived."""
         loop = asyncio.get_running_loop()
         while self._pending:
             batch = self._pending
@@ -216,20 +214,20 @@
                 failure = await loop.run_in_executor(self._writer, self._commit, batch)
             self._failure = failure
             for pending in batch:
-                self._finish(pending, failure)
+                self._complete(pending, failure)
         self._committing = None
 
     @staticmethod
-    def _finish(pending: _PendingWrite, failure: StorageError | None) -> None:
+    def _complete(pending: _PendingWrite, failure: StorageError | None) -> None:
         if failure is None:
             pending.done.set_result(None)
             return
         pending.done.set_exception(failure)
-        # The caller may have been cancelled; asyncio would then report the error as unseen.
+        # Keeps asyncio from reporting the error if the caller was cancelled.
         pending.done.exception()
 
     def _commit(self, batch: list[_PendingWrite]) -> StorageError | None:
-        """Write a batch in one transaction; runs on the writer thread."""
+        """Write a batch in one transaction, on the writer thread."""
         try:
             self._connection.execute("BEGIN IMMEDIATE")
             for pending in batch:
@@ -242,11 +240,11 @@
         except sqlite3.Error as error:
             if self._connection.in_transaction:
                 self._connection.rollback()
-            return _typed_error(error)
+            return _to_storage_error(error)
         return None
 
     async def close(self) -> None:
-        """Wait for the writes under way and release the files."""
+        """Wait for pending writes and close the files."""
         while self._committing is not None:
             await self._committing
         self._failure = self._failure or StorageClosedError("closed")
--- a/drumbay/storage/interface.py
+++ b/drumbay/storage/interface.py
@@ -7,74 +7,72 @@
 from drumbay.exceptions import UnavailableError
 
 StoreId = NewType("StoreId", str)
-"""Identity of one store, written when it is first made; an emptied disk has another."""
+"""Id assigned when a store is created; a store that lost its data gets another one."""
 
 
 DURABLE_REPLY_SECONDS = 8.0
-"""Time limit of a call to a replica that makes its reply durable first: a small write took up to
-8.5 s, and 2.1 s at the 99th percentile, beside writers that filled the page cache. A caller that
-gives up before and begins anew never gets through to replicas whose disks are busy. Below the 10 s
-that a request waits which is passed on to the owner of a stream."""
+"""Timeout of a call to a replica that commits to disk before it replies. It allows for slow writes
+on busy disks, and is below the 10 s timeout of requests that are forwarded to a stream's owner."""
 
 
 class StorageError(UnavailableError):
-    """A record log could not be read or written; its last appends may not be durable."""
+    """A record log could not be read or written; recent appends may not be durable."""
 
     code = "storage"
 
 
 class StorageFullError(StorageError):
-    """The disk or the log's size limit is full; the append had no effect."""
+    """The disk is full or the log has reached its maximum size; the append had no effect."""
 
     code = "storage_full"
 
 
 class StorageCorruptError(StorageError):
-    """What the disk returned is not what was written."""
+    """Stored data is corrupt."""
 
     code = "storage_corrupt"
 
 
 class StorageClosedError(StorageError):
-    """The log was closed, or an earlier write of it failed."""
+    """The log is closed, or an earlier write to it failed."""
 
     code = "storage_closed"
 
 
 class RecordLog(Protocol):
-    """An append-only log of opaque records that outlives the process.
+    """A persistent append-only log of opaque records.
 
-    Operations take effect in the order in which they are called, also when the caller does
-    not await one before it starts the next. After a failed write the log refuses every
-    later one until it is opened again, so that no append is kept whose predecessor is lost.
+    Operations take effect in call order, even if the caller does not await one before it starts
+    the next. After a failed write the log rejects all writes until it is reopened, so that no
+    append survives whose predecessor is lost.
     """
 
     @property
     def store_id(self) -> StoreId:
-        """Return the identity given when the store was first made."""
+        """Return the id assigned when the store was created."""
         ...
 
     @property
     def size_bytes(self) -> int:
-        """Return the space taken on the disk in bytes."""
+        """Return the disk space used in bytes."""
         ...
 
     def replay(self) -> Iterator[bytes]:
-        """Yield every record in order, from the last snapshot on.
+        """Yield every record in order, starting with the last snapshot.
 
-        Call it before the first append.
+        Must be called before the first append.
 
         Raises:
-            StorageCorruptError: A record differs from what was written.
+            StorageCorruptError: The checksum of a record does not match.
             StorageError: The disk could not be read.
         """
         ...
 
     async def append(self, records: Sequence[bytes]) -> None:
-        """Append records atomically; on return they are durable.
+        """Append records atomically; they are durable on return.
 
         Raises:
-            StorageFullError: There is no room.
+            StorageFullError: The disk is full, or the log has reached its maximum size.
             StorageError: The write failed.
         """
         ...
@@ -83,21 +81,21 @@
         """Atomically replace everything appended before this call by ``records``.
 
         Raises:
-            StorageFullError: There is no room.
+            StorageFullError: The disk is full, or the log has reached its maximum size.
             StorageError: The write failed.
         """
         ...
 
     async def close(self) -> None:
-        """Wait for the writes under way and release the files."""
+        """Wait for pending writes and close the files."""
         ...
 
 
 class LogOpener(Protocol):
-    """Opens a record log below a data folder, on a disk or a simulated one."""
+    """Opens a record log in a data directory, on a real or a simulated disk."""
 
     def __call__(self, folder: Path, name: str, *, new_store_id: StoreId) -> RecordLog:
-        """Open the log ``name``; ``new_store_id`` names the store if it is new.
+        """Open the log ``name``; a new store gets ``new_store_id``.
 
         Raises:
             StorageError: The log cannot be opened.
--- a/drumbay/storage/simulated_log.py
+++ b/drumbay/storage/simulated_log.py
@@ -1,8 +1,7 @@
 """A record log on a simulated disk, for deterministic simulation.
 
-The disk object outlives the simulated process; the log object dies with it. A record is on
-the disk only after the commit time has passed, so a process that is killed before loses it,
-as on a real disk.
+The disk object outlives the simulated process, the log object does not. A record is durable only
+after the commit time, so a process that is killed earlier loses it, as on a real disk.
 """
 
 from collections.abc import Iterator, Sequence
@@ -14,11 +13,11 @@
 
 
 class SimulatedDisk:
-    """The durable content of one disk: a list of records per log.
+    """Durable content of one disk: a list of records per log.
 
     Attributes:
-        full: Makes every write fail while true.
-        busy_commit_seconds: Shortest time that a write takes while others fill the disk.
+        full: While true, every write fails.
+        busy_commit_seconds: Minimum duration of a write, to simulate a busy disk.
     """
 
     def __init__(self) -> None:
@@ -30,7 +29,7 @@
 
 
 class _PendingWrite(msgspec.Struct, frozen=True, kw_only=True):
-    """One append or snapshot that is not on the disk yet."""
+    """An append or snapshot that is not durable yet."""
 
     number: int
     records: Sequence[bytes]
@@ -49,7 +48,7 @@
         new_store_id: StoreId,
         commit_seconds: float,
     ) -> None:
-        """Open the log ``name``; a log that is not on the disk is made."""
+        """Open the log ``name``; create it if it does not exist."""
         self._disk = disk
         self._clock = clock
         self._commit_seconds = commit_seconds
@@ -57,11 +56,11 @@
         self._records = disk.records.setdefault(name, [])
         self._failed = False
         self._pending: list[_PendingWrite] = []
-        self._writes = 0
+        self._write_count = 0
 
     @property
     def store_id(self) -> StoreId:
-        """Return the identity given when the store was first made."""
+        """Return the id assigned when the store was created."""
         return self._store_id
 
     @property
@@ -70,7 +69,7 @@
         return sum(len(record) for record in self._records)
 
     def replay(self) -> Iterator[bytes]:
-        """Yield every durable record in order, from the last snapshot on."""
+        """Yield every durable record in order, starting with the last snapshot."""
         return iter(tuple(self._records))
 
     async def append(self, records: Sequence[bytes]) -> None:
@@ -83,7 +82,7 @@
         await self._write(records, replaces_all=False)
 
     async def snapshot(self, records: Sequence[bytes]) -> None:
-        """Replace every record after the commit time.
+        """Replace all records after the commit time.
 
         Raises:
             StorageFullError: The disk is full.
@@ -92,8 +91,8 @@
         await self._write(records, replaces_all=True)
 
     async def _write(self, records: Sequence[bytes], *, replaces_all: bool) -> None:
-        self._writes += 1
-        number = self._writes
+        self._write_count += 1
+        number = self._write_count
         self._pending.append(
             _PendingWrite(number=number, records=records, replaces_all=replaces_all)
         )
@@ -106,9 +105,9 @@
         self._commit_through(number)
 
     def _commit_through(self, number: int) -> None:
-        """Put every write up to ``number`` on the disk, in the order of the calls.
+        """Make every write up to ``number`` durable, in call order.
 
-        NOTE: timers due at the same instant fire in any order.
+        NOTE: timers due at the same time fire in arbitrary order.
         """
         while self._pending and self._pending[0].number <= number:
             write = self._pending.pop(0)
@@ -117,5 +116,5 @@
             self._records.extend(write.records)
 
     async def close(self) -> None:
-        """Refuse later writes."""
+        """Reject all later writes."""
         self._failed = True
--- a/drumbay/storage/writer_thread.py
+++ b/drumbay/storage/writer_thread.py
@@ -1,7 +1,7 @@
-"""Work that blocks on a disk, kept off the event loop of a node.
+"""Runs blocking disk operations outside the event loop.
 
-Making a file durable takes some milliseconds as a rule and seconds on a busy disk. On the event
-loop, every caller of the node would wait as long.
+An fsync usually takes milliseconds, but seconds on a busy disk, and would block the event loop for
+as long.
 """
 
 import asyncio
@@ -9,24 +9,24 @@
 from concurrent.futures import ThreadPoolExecutor
 
 RunBlocking = Callable[[Callable[[], None]], Awaitable[None]]
-"""Does blocking work, one after the other in the order of the calls, and raises what it raises."""
+"""Runs blocking functions one at a time in call order, and propagates their exceptions."""
 
 
 class WriterThread:
-    """One thread that does blocking work in the order of the calls.
+    """A single thread that runs blocking functions in call order.
 
-    A caller that is cancelled does not end its work half way, and the next one waits for it.
+    Cancelling a caller does not interrupt its function, and the next function waits for it.
     """
 
     def __init__(self, name: str) -> None:
-        """Name the thread, which starts with the first work."""
+        """Create a thread called ``name``, which starts with the first call."""
         self._executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix=name)
 
-    async def run(self, work: Callable[[], None]) -> None:
-        """Do blocking work and raise what it raises."""
-        await asyncio.get_running_loop().run_in_executor(self._executor, work)
+    async def run(self, function: Callable[[], None]) -> None:
+        """Run a blocking function and propagate its exception."""
+        await asyncio.get_running_loop().run_in_executor(self._executor, function)
 
 
-async def run_inline(work: Callable[[], None]) -> None:
-    """Do the work at once, where threads must not be used or nobody waits meanwhile."""
-    work()
+async def run_inline(function: Callable[[], None]) -> None:
+    """Run the function directly, for simulations or where blocking is harmless."""
+    function()
--- a/tests/delivery_cluster.py
+++ b/tests/delivery_cluster.py
@@ -43,7 +43,7 @@
 
 
 class StepClock:
-    """Virtual time that a sleep moves at once."""
+    """Virtual clock that a sleep advances immediately."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -63,10 +63,10 @@
 
 
 class MemoryNetwork:
-    """Handlers by address, with switchable losses.
+    """Handlers by address, with configurable message loss.
 
-    ``cut`` addresses get nothing, ``mute`` ones lose replies, ``lost_batches`` ones get no
-    log entry after the first.
+    Addresses in ``cut`` receive nothing, those in ``mute`` lose their replies, and those in
+    ``lost_batches`` receive no log entry after the first.
     """
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
 
 
 class Cluster:
-    """Three replicas; owners are made by ``owner`` and never share memory."""
+    """Three replicas; owners are created by ``owner`` and share no memory."""
 
     def __init__(self, replica_type: type[DeliveryReplica] = DeliveryReplica) -> None:
         self.clock = StepClock()
@@ -132,7 +132,7 @@
         return replica
 
     def replace_replica(self, index: int) -> None:
-        """Put an empty replica in a member's place, by a new replica set epoch."""
+        """Replace a member by an empty replica in a new replica set epoch."""
         self.disks[index] = SimulatedDisk()
         self.replicas[index] = self.start_replica(index)
         self.epoch = Epoch(self.epoch + 1)
@@ -170,7 +170,7 @@
 
 
 def finished(key: SampleKey, version: int, author: str) -> Sample:
-    """Return a finished sample whose text tells who generated it."""
+    """Return a finished sample whose text is the name of its author."""
     span = TokenSpan(
         weight_version=WeightVersion(version),
         boot_id=BootId("engine"),
@@ -194,7 +194,7 @@
 
 
 class Consumption(msgspec.Struct, frozen=True, kw_only=True):
-    """One answer that a trainer got: a batch, or ``None`` for a refused cursor."""
+    """One result of a pull: a batch, or ``None`` for a rejected cursor."""
 
     cursor: int
     accepted: int
@@ -202,7 +202,7 @@
 
 
 class RecordingTrainer:
-    """Pulls batches and writes down what it truly got."""
+    """Pulls batches and records every result."""
 
     def __init__(self) -> None:
         self.log: list[Consumption] = []
@@ -223,7 +223,7 @@
 
 
 def find_violations(log: Sequence[Consumption]) -> list[str]:
-    """Check a trainer's consumption log; reads no state of drumbay."""
+    """Return the violations in a trainer's log, independently of drumbay's state."""
     found: list[str] = []
     contents: dict[int, bytes] = {}
     refused: list[int] = []
--- a/tests/test_delivery_storage.py
+++ b/tests/test_delivery_storage.py
@@ -1,4 +1,4 @@
-"""Stream replicas whose disks are full for a while, or were emptied."""
+"""Stream replicas with temporarily full disks or lost data."""
 
 import asyncio
 import unittest
@@ -31,7 +31,7 @@
         ReplicaReopener(replica, open_log, cluster.clock, cluster.tasks).start()
 
     async def submits_after_full_disks(self, *, reopens: bool) -> bool:
-        """Fill two of three disks for a while; return whether a step can be submitted then."""
+        """Fill two of three disks temporarily; return whether a later step can be submitted."""
         cluster = Cluster()
         if reopens:
             for index in range(3):
@@ -61,11 +61,11 @@
         for _ in range(20):
             await asyncio.sleep(0)
 
-    async def test_a_replica_serves_again_once_its_disk_has_room(self) -> None:
+    async def test_replica_recovers_once_its_disk_has_space(self) -> None:
         self.assertFalse(await self.submits_after_full_disks(reopens=False))
         self.assertTrue(await self.submits_after_full_disks(reopens=True))
 
-    async def test_an_emptied_store_does_not_serve(self) -> None:
+    async def test_replica_with_lost_data_does_not_serve(self) -> None:
         cluster = Cluster()
         self.reopen_after_failures(cluster, 0)
         owner = await cluster.owner_with_step("a", 1)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The durable log keeps what it acknowledged and refuses to go on after a failed write."""
+"""The durable log keeps acknowledged records and rejects writes after a failed one."""
 
 import asyncio
 import tempfile
@@ -34,15 +34,15 @@
             self.folder, NAME, new_store_id=StoreId(store_id), max_bytes=max_bytes
         )
 
-    async def test_records_and_identity_outlive_the_process(self) -> None:
+    async def test_records_and_store_id_are_persistent(self) -> None:
         log = self.open()
         await log.append([b"a", b"b"])
         await log.append([b"c"])
         await log.close()
-        again = self.open("second")
-        self.assertEqual(again.store_id, "first")
-        self.assertEqual(list(again.replay()), [b"a", b"b", b"c"])
-        await again.close()
+        reopened = self.open("second")
+        self.assertEqual(reopened.store_id, "first")
+        self.assertEqual(list(reopened.replay()), [b"a", b"b", b"c"])
+        await reopened.close()
 
     async def test_concurrent_appends_share_commits_and_keep_their_order(self) -> None:
         log = self.open()
@@ -58,7 +58,7 @@
         self.assertEqual(list(log.replay()), [b"state", b"new"])
         await log.close()
 
-    async def test_full_store_fails_typed_and_takes_no_later_write(self) -> None:
+    async def test_full_store_raises_and_rejects_later_writes(self) -> None:
         log = self.open(max_bytes=64 * 1024)
         await log.append([b"kept"])
         with self.assertRaises(StorageFullError):
@@ -68,7 +68,7 @@
         self.assertEqual(list(log.replay()), [b"kept"])
         await log.close()
 
-    async def test_claims_outlive_the_process(self) -> None:
+    async def test_claims_are_persistent(self) -> None:
         def create(log: RecordLog) -> Acceptor:
             return Acceptor(log.store_id, TableLimits())
 
@@ -89,29 +89,29 @@
         await store.append([row])
         await store.take_snapshot()
         await store.close()
-        again = ReplicaStore(self.open(), create)
-        self.assertEqual(again.running_seconds, 7.0)
-        verdict = again.acceptor.table.claim(key, claims[1], 7.0).verdict
+        reopened = ReplicaStore(self.open(), create)
+        self.assertEqual(reopened.running_seconds, 7.0)
+        verdict = reopened.acceptor.table.claim(key, claims[1], 7.0).verdict
         self.assertIs(verdict, ClaimVerdict.HELD)
-        await again.close()
+        await reopened.close()
 
-    async def test_second_opener_is_refused(self) -> None:
+    async def test_second_open_is_rejected(self) -> None:
         log = self.open()
         with self.assertRaises(StorageError):
             self.open()
         await log.close()
 
-    def copy_cut_to(self, cut_bytes: int, copy: Path) -> None:
-        """Copy the files as a crash leaves them, the write-ahead file cut short."""
+    def copy_truncated(self, wal_bytes: int, copy: Path) -> None:
+        """Copy the files as after a crash, with a truncated write-ahead log."""
         copy.mkdir()
         for source in self.folder.glob(f"{NAME}*"):
             (copy / source.name).write_bytes(source.read_bytes())
         with (copy / f"{NAME}.sqlite3-wal").open("r+b") as wal:
-            wal.truncate(cut_bytes)
+            wal.truncate(wal_bytes)
 
-    async def replay_cut_to(self, cut_bytes: int, copy: Path) -> list[bytes]:
-        """Return what is replayed when the write-ahead file ends after ``cut_bytes``."""
-        self.copy_cut_to(cut_bytes, copy)
+    async def replay_truncated(self, wal_bytes: int, copy: Path) -> list[bytes]:
+        """Return the replayed records if the write-ahead log ends after ``wal_bytes``."""
+        self.copy_truncated(wal_bytes, copy)
         log = DurableLog.open(copy, NAME, new_store_id=StoreId("new"))
         records = list(log.replay())
         await log.close()
@@ -125,21 +125,21 @@
         for payload in payloads:
             await log.append([payload])
             durable_at.append(wal.stat().st_size)
-        for cut in range(durable_at[0], durable_at[-1] + 1, 1021):
+        for wal_length in range(durable_at[0], durable_at[-1] + 1, 1021):
             with tempfile.TemporaryDirectory() as other:
-                records = await self.replay_cut_to(cut, Path(other) / "copy")
-            acknowledged = sum(1 for size in durable_at if size <= cut)
+                records = await self.replay_truncated(wal_length, Path(other) / "copy")
+            acknowledged = sum(1 for size in durable_at if size <= wal_length)
             self.assertEqual(records, payloads[: len(records)])
             self.assertGreaterEqual(len(records), acknowledged)
         await log.close()
 
-    async def test_changed_record_is_reported(self) -> None:
+    async def test_corrupt_record_is_detected(self) -> None:
         log = self.open()
         await log.append([b"the original content"])
         await log.close()
         path = self.folder / f"{NAME}.sqlite3"
         path.write_bytes(path.read_bytes().replace(b"the original", b"xxx original"))
-        again = self.open()
+        reopened = self.open()
         with self.assertRaises(StorageCorruptError):
-            list(again.replay())
-        await again.close()
+            list(reopened.replay())
+        await reopened.close()
