--- a/drumbay/observability/__init__.py
+++ b/drumbay/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics."""
+"""Structured logs and Prometheus metrics."""
--- a/drumbay/observability/logs.py
+++ b/drumbay/observability/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs per event, through loguru."""
+"""Structured logs through loguru, with one logfmt line per event."""
 
 import logging
 import sys
@@ -13,7 +13,7 @@
 
 LogValue = str | int | float | bool | None
 
-EVENT_KEY = "event_fields"
+EVENT_FIELDS_KEY = "event_fields"
 
 
 def _format_record(record: "Record") -> str:
@@ -26,14 +26,14 @@
 
     Args:
         record: The record of one event.
-        leading_fields: Written before the level, the event and its own fields.
+        leading_fields: Fields placed before the level, the event and its own fields.
     """
     fields: dict[str, object] = {
         **leading_fields,
         "level": record["level"].name.lower(),
         "event": record["message"],
     }
-    fields.update(record["extra"].get(EVENT_KEY, {}))
+    fields.update(record["extra"].get(EVENT_FIELDS_KEY, {}))
     line: str = Logfmter.format_params(fields)
     # NOTE: loguru applies str.format and markup to what a format function returns.
     record["extra"]["line"] = line
@@ -41,10 +41,10 @@
 
 
 class _LibraryLogHandler(logging.Handler):
-    """Takes what libraries log, so that it comes out as events too."""
+    """Converts log messages of libraries to events."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log one message of a library."""
+        """Log one message of a library as an event."""
         log_event(
             "library_message",
             level=record.levelname,
@@ -54,16 +54,16 @@
 
 
 def _write_line(line: str) -> None:
-    # NOTE: looked up for each line, as a test runner may replace and close the stream.
+    # NOTE: sys.stderr is looked up for each line, since a test runner may replace the stream.
     sys.stderr.write(line)
 
 
 def configure_logs(level: str = "INFO", write_line: Callable[[str], None] = _write_line) -> None:
-    """Send logs out, one key=value line per event, those of libraries included.
+    """Configure the output of logs, including those of libraries.
 
     Args:
-        level: Name of the lowest level that is written.
-        write_line: Takes each line; standard error by default.
+        level: Name of the lowest level to output.
+        write_line: Receives each line; writes to standard error by default.
     """
     logging.basicConfig(handlers=[_LibraryLogHandler()], level=logging.WARNING, force=True)
     logger.remove()
@@ -76,6 +76,6 @@
     Args:
         event: Stable name of the event, listed in ``docs/OPERATIONS.md``.
         level: Name of the loguru level.
-        fields: Values of the event; units stand in the key names.
+        fields: Fields of the event; key names include the unit.
     """
-    logger.bind(**{EVENT_KEY: fields}).log(level, event)
+    logger.bind(**{EVENT_FIELDS_KEY: fields}).log(level, event)
--- a/drumbay/observability/metrics.py
+++ b/drumbay/observability/metrics.py
@@ -1,8 +1,8 @@
-"""Prometheus metrics of one node that are counted as things happen.
+"""Event-driven Prometheus metrics of one node.
 
-Each node has its own registry, so that several nodes in one process do not clash. What can be
-read off a node's state at any time is not counted here; see :mod:`drumbay.node.state_metrics`.
-Labels hold names of routes, streams and failure codes only, never ids of requests or back ends.
+Each node has its own registry, so that several nodes can run in one process. Metrics derived from
+the node's state on scrape are in :mod:`drumbay.node.state_metrics`. To limit cardinality, labels
+contain names of routes, streams and failure codes only, never ids of requests or back ends.
 """
 
 from enum import StrEnum
@@ -10,14 +10,14 @@
 from prometheus_client import CollectorRegistry, Counter, Histogram
 
 NO_ROUTE = "none"
-"""Value of the label ``route`` for requests that no route carries."""
+"""Value of the label ``route`` for requests without a route."""
 
 REQUEST_BUCKETS_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 300)
 CLAIM_BUCKETS_SECONDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)
 
 
 class AttemptEnd(StrEnum):
-    """How one attempt on a back end ended."""
+    """Outcome of an attempt on a back end."""
 
     SUCCEEDED = "succeeded"
     REFUSED = "refused"
@@ -29,61 +29,67 @@
     """Counters and histograms of one node.
 
     Attributes:
-        registry: Holds them, and whatever else is to be served at ``/metrics``.
+        registry: Registry of these and all other metrics served at ``/metrics``.
 
     Args:
-        registry: Registry of the node; a new one if not given.
+        registry: Registry of the node; a new one by default.
     """
 
     def __init__(self, registry: CollectorRegistry | None = None) -> None:
         """Register the metrics."""
         self.registry = registry or CollectorRegistry()
         self._requests = self._counter(
-            "drumbay_requests", "Ended requests by final answer.", ("route", "outcome")
+            "drumbay_requests", "Completed requests by outcome.", ("route", "outcome")
         )
         self._request_duration = self._histogram(
             "drumbay_request_duration_seconds",
-            "Time from taking a request to its final answer.",
+            "Time from the arrival of a request to its final response.",
             REQUEST_BUCKETS_SECONDS,
             ("route",),
         )
         self._attempts = self._counter(
-            "drumbay_attempts", "Attempts on back ends by how they ended.", ("outcome",)
+            "drumbay_attempts", "Attempts on back ends by outcome.", ("outcome",)
         )
         self._retries = self._counter(
-            "drumbay_retries", "Attempts after the first one of a request.", ("route",)
+            "drumbay_retries", "Retries of requests, not including the first attempt.", ("route",)
         )
         self._refusals = self._counter(
             "drumbay_refusals", "Requests not admitted, by reason.", ("route", "reason")
         )
         self._claims = self._counter(
-            "drumbay_claims", "Ended claims of idempotency keys.", ("outcome",)
+            "drumbay_claims", "Completed claims of idempotency keys by outcome.", ("outcome",)
         )
         self._claim_duration = self._histogram(
             "drumbay_claim_duration_seconds",
-            "Time from a claim's start to the permission to dispatch.",
+            "Time from the start of a claim until its request may be dispatched.",
             CLAIM_BUCKETS_SECONDS,
         )
         self._samples_finished = self._counter(
-            "drumbay_samples_finished", "Samples generated to their end.", ("stream",)
+            "drumbay_samples_finished", "Samples that were completely generated.", ("stream",)
         )
         self._samples_stale = self._counter(
-            "drumbay_samples_stale", "Finished samples dropped as too old.", ("stream",)
+            "drumbay_samples_stale", "Finished samples discarded as stale.", ("stream",)
         )
         self._batches_stale = self._counter(
-            "drumbay_batches_stale", "Pulls of a batch that had become too old.", ("stream",)
+            "drumbay_batches_stale",
+            "Pulls rejected because the batch had become stale.",
+            ("stream",),
         )
 
-    def _counter(self, name: str, text: str, labels: tuple[str, ...] = ()) -> Counter:
-        return Counter(name, text, labels, registry=self.registry)
+    def _counter(self, name: str, documentation: str, labels: tuple[str, ...] = ()) -> Counter:
+        return Counter(name, documentation, labels, registry=self.registry)
 
     def _histogram(
-        self, name: str, text: str, buckets: tuple[float, ...], labels: tuple[str, ...] = ()
+        self,
+        name: str,
+        documentation: str,
+        buckets: tuple[float, ...],
+        labels: tuple[str, ...] = (),
     ) -> Histogram:
-        return Histogram(name, text, labels, buckets=buckets, registry=self.registry)
+        return Histogram(name, documentation, labels, buckets=buckets, registry=self.registry)
 
     def record_request(self, route: str, outcome: str, duration_seconds: float) -> None:
-        """Count a request that got its final answer, or whose caller went away."""
+        """Count a request that got its final response, or whose caller disconnected."""
         self._requests.labels(route, outcome).inc()
         self._request_duration.labels(route).observe(duration_seconds)
 
@@ -92,7 +98,7 @@
         self._attempts.labels(end.value).inc()
 
     def record_retry(self, route: str) -> None:
-        """Count an attempt that follows a failed one of the same request."""
+        """Count an attempt after a failed one of the same request."""
         self._retries.labels(route).inc()
 
     def record_refusal(self, route: str, reason: str) -> None:
@@ -100,11 +106,11 @@
         self._refusals.labels(route, reason).inc()
 
     def record_claim(self, outcome: str) -> None:
-        """Count a claim that ended."""
+        """Count a completed claim."""
         self._claims.labels(outcome).inc()
 
     def record_claim_duration(self, duration_seconds: float) -> None:
-        """Observe how long a claim took until its dispatch."""
+        """Observe the time from the start of a claim until its dispatch."""
         self._claim_duration.observe(duration_seconds)
 
     def record_sample_finished(self, stream: str) -> None:
@@ -112,9 +118,9 @@
         self._samples_finished.labels(stream).inc()
 
     def record_samples_stale(self, stream: str, count: int) -> None:
-        """Count finished samples that no batch may take any more."""
+        """Count finished samples that are too old for any batch."""
         self._samples_stale.labels(stream).inc(count)
 
     def record_batch_stale(self, stream: str) -> None:
-        """Count a pull that was refused since its batch had become too old."""
+        """Count a pull that was rejected because its batch had become stale."""
         self._batches_stale.labels(stream).inc()
--- a/tests/test_bounded_writer.py
+++ b/tests/test_bounded_writer.py
@@ -1,4 +1,4 @@
-"""Logs are bounded and never block."""
+"""Log output is rate-limited and never blocks."""
 
 import os
 import unittest
@@ -36,7 +36,7 @@
             self.read_lines(), ["level=warning event=log_lines_dropped lines=3", "later"]
         )
 
-    def test_a_reader_that_has_stopped_holds_nobody_up(self) -> None:
+    def test_stalled_reader_does_not_block_the_writer(self) -> None:
         writer = self.writer(lines_per_second=1e9, burst_lines=1_000_000)
         for _ in range(2_000):
             writer.write("x" * 200 + "\n")
@@ -50,7 +50,7 @@
         self.assertTrue(text.startswith("x" * 200))
         self.assertTrue(text.endswith("after"))
 
-    def test_a_closed_reader_is_no_failure(self) -> None:
+    def test_closed_reader_does_not_raise(self) -> None:
         reader, pipe = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, pipe)
--- a/tests/test_operations_document.py
+++ b/tests/test_operations_document.py
@@ -1,4 +1,4 @@
-"""The operations document names every log event, its keys, and every metric."""
+"""The operations document lists every log event with its keys, and every metric."""
 
 import ast
 import re
@@ -20,7 +20,7 @@
 
 
 def rows(title: str) -> dict[str, set[str]]:
-    """Return the second cell's words of each row of a section's only table, by the first."""
+    """Return the names in the second column of a section's table, keyed by the first column."""
     found = {}
     for line in sections(DOCUMENT)[title].text.splitlines():
         cells = line.split("|")
@@ -30,13 +30,13 @@
 
 
 class LogEventTableTest(unittest.TestCase):
-    def test_every_event_stands_in_the_table_with_its_keys(self) -> None:
+    def test_every_event_is_documented_with_its_keys(self) -> None:
         documented, in_code = rows("Log events"), events_in_code()
         for name in sorted({*documented, *in_code}):
             with self.subTest(event=name):
                 self.assertEqual(documented.get(name), in_code.get(name))
 
-    def test_events_are_found_however_they_are_named(self) -> None:
+    def test_events_with_computed_names_are_found(self) -> None:
         source = (
             'log_event("plain", level="INFO", one=1)\n'
             'event = "first" if x else "second"\n'
@@ -57,7 +57,7 @@
 
 class MetricTableTest(unittest.TestCase):
     def metrics_in_code(self) -> set[str]:
-        """Return every name in the modules that define metrics."""
+        """Return the names of all metrics defined in code."""
         names = set()
         for module in (metrics, state_metrics, serving_metrics):
             tree = ast.parse(Path(str(module.__file__)).read_text())
@@ -66,11 +66,11 @@
                     names.add(str(node.value))
         return names
 
-    def test_every_metric_stands_in_the_table(self) -> None:
+    def test_every_metric_is_documented(self) -> None:
         documented = {name.removesuffix("_total") for name in rows("Metrics")}
         self.assertEqual(documented, self.metrics_in_code())
 
-    def test_counters_are_named_as_they_are_scraped(self) -> None:
+    def test_counters_are_documented_with_their_exported_names(self) -> None:
         registry = CollectorRegistry()
         NodeMetrics(registry)
         counters = {family.name for family in registry.collect() if family.type == "counter"}
@@ -104,7 +104,7 @@
 
 
 class LinkTest(unittest.TestCase):
-    def test_links_between_documents_lead_somewhere(self) -> None:
+    def test_links_between_documents_are_valid(self) -> None:
         for name in (DOCUMENT, "CONFIGURATION.md", "operations/security.md"):
             file = DOCS / name
             for target in LINK.findall(file.read_text()):
