--- a/drumbay/kv/mirror.py
+++ b/drumbay/kv/mirror.py
@@ -29,8 +29,8 @@
 
     ``on_snapshot`` receives the items and the seconds for which changes may have been missed.
     ``pause_seconds`` is the pause after each batch, so that simultaneous changes take one call.
-    ``quiet_seconds`` is how long a watch may be silent before it is considered dead. ``tells_age``
-    states whether the age of this mirror counts toward the age of the node's data.
+    ``quiet_seconds`` is how long a watch may be silent before it is considered dead.
+    ``tells_age`` states whether the mirror's age counts toward the age of the node's data.
     """
 
     prefix: str
--- a/drumbay/peers/directory.py
+++ b/drumbay/peers/directory.py
@@ -165,7 +165,7 @@
             self._unresponsive_until[address] = max(self._unresponsive_until[address], until)
 
     def is_silent(self, address: NetworkAddress) -> bool:
-        """Return whether a node recently failed to answer."""
+        """Return whether a node recently failed to reply."""
         unresponsive_until = self._unresponsive_until.get(address, float("-inf"))
         return unresponsive_until > self._clock.monotonic()
 
--- a/drumbay/peers/feeds.py
+++ b/drumbay/peers/feeds.py
@@ -82,7 +82,7 @@
             in_force_seconds: Bound on the time from the acceptance of a configuration until it is
                 in force at every node.
             report_usage: Returns this node's usage counters, which are sent along to a watcher.
-            on_silent_connection: Called when a watch was dead although the store answers.
+            on_silent_connection: Called when a watch was dead although the store responds.
             notify_watchers: Sends a freshness confirmation to the other watchers.
             task_owner: Owner of background tasks.
         """
@@ -279,7 +279,7 @@
         return True
 
     async def _probe_store(self) -> None:
-        """Switch to watching the store if it answers this node while no watcher is up to date."""
+        """Switch to watching the store if it responds while no watcher is up to date."""
         jitter = self._generator.uniform(0.0, PROBE_JITTER_SECONDS)
         await self._clock.sleep(PROBE_DELAY_SECONDS + jitter)
         if self._clock.monotonic() < self._next_probe_at:
--- a/drumbay/peers/messages.py
+++ b/drumbay/peers/messages.py
@@ -140,7 +140,7 @@
 
 
 class LoadingNotice(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The leader announces that it tells a worker to load a version, which takes some seconds.
+    """The leader announces that it orders a worker to load a version, which takes some seconds.
 
     ``holder`` is the leader's machine; ``started_at_ms`` is the start time of the worker process,
     0 if unknown.
--- a/drumbay/peers/transport.py
+++ b/drumbay/peers/transport.py
@@ -35,7 +35,7 @@
 
 
 class PeerUnavailableError(UnavailableError):
-    """A node did not answer a call."""
+    """A node did not reply to a call."""
 
     code = "peer_unavailable"
 
@@ -132,11 +132,11 @@
         self._server.stop()
 
     def _accept(self, request: HTTPServerRequest) -> None:
-        task = asyncio.get_running_loop().create_task(self._answer(request))
+        task = asyncio.get_running_loop().create_task(self._handle_request(request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, request: HTTPServerRequest) -> None:
+    async def _handle_request(self, request: HTTPServerRequest) -> None:
         if request.path == METRICS_PATH:
             await _reply(request, HttpAnswer(status=200, body=self._render_metrics()))
             return
@@ -149,11 +149,11 @@
         await _reply(request, HttpAnswer(status=200, body=body))
 
 
-async def _reply(request: HTTPServerRequest, answer: HttpAnswer) -> None:
+async def _reply(request: HTTPServerRequest, response: HttpAnswer) -> None:
     if request.connection is None:
         return
-    if await deliver_answer(request.connection, answer, _is_stalled) is Delivery.NOT_READ:
-        log_event("peer_reply_not_read", peer=request.remote_ip, body_bytes=len(answer.body))
+    if await deliver_answer(request.connection, response, _is_stalled) is Delivery.NOT_READ:
+        log_event("peer_reply_not_read", peer=request.remote_ip, body_bytes=len(response.body))
 
 
 def _is_stalled(stalled_seconds: float) -> bool:
--- a/tests/kv_contract.py
+++ b/tests/kv_contract.py
@@ -86,9 +86,9 @@
         self.assertEqual((item.version, item.value, second - first), (2, b"2", 1))
         self.assertTrue((await self.store.transact((), (Delete(key="/a/x"),))).succeeded)
         await self.put("/a/x", b"\x00\xff")
-        (again,) = (await self.store.range_prefix("/a/")).items
-        self.assertGreater(again.create_revision, second)
-        self.assertEqual((again.version, again.value), (1, b"\x00\xff"))
+        (recreated,) = (await self.store.range_prefix("/a/")).items
+        self.assertGreater(recreated.create_revision, second)
+        self.assertEqual((recreated.version, recreated.value), (1, b"\x00\xff"))
 
     async def test_failed_compare_changes_nothing(self) -> None:
         self.assertTrue(await self.create("/k"))
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -75,7 +75,7 @@
         oldest = VERIFY_FRACTION * VERIFY_JITTER * in_force_seconds + SLOW_RESPONSE_SECONDS
         self.assertLess(oldest, MAX_AGE_FRACTION * in_force_seconds)
 
-    def test_changes_are_in_force_while_all_open_watches_are_silent(self) -> None:
+    def test_changes_arrive_while_all_open_watches_are_silent(self) -> None:
         for phase in range(4):
 
             async def scenario(world: ServingWorld, phase: int = phase) -> None:
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -48,7 +48,7 @@
 
 
 class NoticeQueuesTest(unittest.TestCase):
-    def tell(self, count: int) -> RecordingPeers:
+    def send_notices(self, count: int) -> RecordingPeers:
         async def main() -> RecordingPeers:
             peers, tasks = RecordingPeers(), TaskOwner()
             queues = NoticeQueues(peers, tasks)
@@ -61,13 +61,13 @@
         return run_simulation(main)
 
     def test_concurrent_notices_take_one_call_per_node(self) -> None:
-        peers = self.tell(1_000)
+        peers = self.send_notices(1_000)
         self.assertEqual(peers.calls, len(NODES))
         expected = [f"w{number}" for number in range(1_000)]
         self.assertEqual(peers.received, dict.fromkeys(NODES[1:], expected))
 
     def test_oldest_notices_are_dropped_when_a_queue_is_full(self) -> None:
-        peers = self.tell(MAX_QUEUE_LENGTH + 10)
+        peers = self.send_notices(MAX_QUEUE_LENGTH + 10)
         self.assertEqual(peers.received[NODES[1]][0], "w10")
         self.assertEqual(len(peers.received[NODES[1]]), MAX_QUEUE_LENGTH)
 
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -97,7 +97,7 @@
     def put(world: ServingWorld, value: bytes) -> None:
         world.model.transact((), (Put(key="config/a", value=value),))
 
-    def test_changes_are_seen_at_once(self) -> None:
+    def test_changes_arrive_immediately(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             _, seen = await self.follow(world)
             for number in range(5):
@@ -140,7 +140,7 @@
             with self.subTest(phase=phase):
                 play(scenario)
 
-    def test_a_node_that_alone_is_cut_off_hears_through_others(self) -> None:
+    def test_disconnected_node_gets_changes_through_others(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             store = SilentStore(world.model, world.clock)
             _, seen = await self.follow(world, store)
@@ -173,7 +173,7 @@
 
         play(scenario)
 
-    def test_changes_made_while_history_was_dropped_are_seen(self) -> None:
+    def test_changes_arrive_after_their_history_was_compacted(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             _, seen = await self.follow(world)
             world.model.set_faults(KeyValueFaults(watches_stalled=True))
@@ -186,7 +186,7 @@
 
         play(scenario)
 
-    def test_what_was_seen_stays_while_the_store_is_away(self) -> None:
+    def test_data_is_kept_during_an_outage(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             _, seen = await self.follow(world)
             self.put(world, b"1")
@@ -201,7 +201,7 @@
 
         play(scenario)
 
-    def test_a_calm_store_is_asked_little(self) -> None:
+    def test_idle_followers_make_few_store_calls(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.follow(world)
             before = world.model.injector.arrived
@@ -214,7 +214,7 @@
 
 
 class DirectClockTest(unittest.TestCase):
-    def test_a_follower_needs_no_relay(self) -> None:
+    def test_follower_works_without_a_relay(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             seen = RecordingFeed()
             feed = PrefixFeed(
@@ -253,11 +253,11 @@
 
             seen = [RecordingFeed() for _ in range(4)]
             tasks = []
-            for number, each in enumerate(seen):
+            for number, feed_recorder in enumerate(seen):
                 feed = PrefixFeed(
                     prefix=f"feed-{number}/",
-                    on_snapshot=each.apply_snapshot,
-                    on_event=each.apply_event,
+                    on_snapshot=feed_recorder.apply_snapshot,
+                    on_event=feed_recorder.apply_event,
                 )
                 follower = PrefixFollower(
                     world.clock,
@@ -274,7 +274,7 @@
             for number in range(4):
                 world.model.transact((), (Put(key=f"feed-{number}/k", value=b"v"),))
             await asyncio.sleep(0.3)
-            self.assertEqual([len(each.values) for each in seen], [1] * 4)
+            self.assertEqual([len(feed_recorder.values) for feed_recorder in seen], [1] * 4)
             for task in tasks:
                 task.cancel()
 
