--- a/drumbay/batches/__init__.py
+++ b/drumbay/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: many requests submitted together, run by one owner, read at stable positions."""
+"""Batch jobs: sets of rollout requests that one node runs and any node serves results of."""
--- a/drumbay/batches/decisions.py
+++ b/drumbay/batches/decisions.py
@@ -1,4 +1,4 @@
-"""What the scheduler of a batch job decides, and how runs of its items end."""
+"""Decisions of the batch scheduler, its inputs, and the outcomes of item runs."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -6,55 +6,59 @@
 import msgspec
 
 from drumbay.batches.records import BatchItem, ItemId, RewardRequest
-from drumbay.batches.shared_places import Competition
+from drumbay.batches.slot_contention import Contention
 from drumbay.identifiers import BackendId
 
 
 class StartLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Which items must not start as others do, since workers have ended under them.
+    """Restrictions on starting items under which workers have crashed.
 
     Attributes:
-        held: Those that must not start now.
-        apart: Those that start on a worker where no other of them runs, nor one that is likely
-            to end it: then it is known which of them does.
-        apart_from: Workers where such a one runs already.
+        held_back: Items that must not start now.
+        isolated: Items that may start only on a worker that runs no other isolated item and no
+            request that is likely to crash it, so that a crash can be attributed.
+        isolated_workers: Workers on which such an item or request runs already.
     """
 
-    held: frozenset[ItemId] = frozenset()
-    apart: frozenset[ItemId] = frozenset()
-    apart_from: frozenset[BackendId] = frozenset()
+    held_back: frozenset[ItemId] = frozenset()
+    isolated: frozenset[ItemId] = frozenset()
+    isolated_workers: frozenset[BackendId] = frozenset()
 
 
-class PlaceShare(msgspec.Struct, frozen=True, kw_only=True):
-    """What other batch jobs leave to one.
+class SlotShare(msgspec.Struct, frozen=True, kw_only=True):
+    """The worker slots that other batch jobs leave to one job.
 
     Attributes:
-        held: Runs of other owners by worker; ``None`` to go by the workers' reports.
-        competition: What others want; ``None`` if no other job competes.
-        long_only: Whether only long items may start: what others hold and want is not known yet.
+        used_by_others: Runs of other owners by worker; ``None`` to use the workers' load reports.
+        contention: Demand of the other jobs; ``None`` if no other job competes.
+        long_items_only: Whether only long items may start, as the demand of others is not known
+            yet.
     """
 
-    held: Mapping[BackendId, int] | None = None
-    competition: Competition | None = None
-    long_only: bool = False
+    used_by_others: Mapping[BackendId, int] | None = None
+    contention: Contention | None = None
+    long_items_only: bool = False
 
 
 class StopReason(StrEnum):
     """Why a run is stopped."""
 
     SILENT = "silent"
-    """Its worker made events and makes none any more, for any run."""
+    """The worker sent events before and now sends none for any run."""
     UNSTARTED = "unstarted"
-    """It never made an event there, nor did another one lately."""
+    """The run got no event, and neither did any other run on the worker lately."""
     QUEUED = "queued"
-    """It never made an event there, while others did: it waits for a place."""
+    """The run got no event while others did: it waits in the worker's queue."""
     STALLED = "stalled"
+    """The run's events stopped while its worker serves other runs."""
     SLOW_WORKER = "slow_worker"
+    """The item moves to a faster worker."""
     GIVEN_UP = "given_up"
+    """The item has a result, so its run is no longer needed."""
 
 
 class StartRun(msgspec.Struct, frozen=True, kw_only=True):
-    """Decision: run an item on a worker, continuing after ``resume_after`` events."""
+    """Starts an item on a worker, resuming after event number ``resume_after``."""
 
     item: BatchItem
     worker_id: BackendId
@@ -63,7 +67,7 @@
 
 
 class StopRun(msgspec.Struct, frozen=True, kw_only=True):
-    """Decision: stop the run of an item; unless it is given up, the item is run again."""
+    """Stops the run of an item. Unless the item is given up, it is started again."""
 
     item_id: ItemId
     worker_id: BackendId
@@ -71,7 +75,7 @@
 
 
 class ScoreText(msgspec.Struct, frozen=True, kw_only=True):
-    """Decision: make the reward request of an item whose text is whole."""
+    """Sends the reward request of an item whose text is complete."""
 
     item_id: ItemId
     request: RewardRequest
@@ -81,10 +85,15 @@
 
 
 class RunFailure(StrEnum):
-    """How a run ended without a whole text."""
+    """How a run ended without a complete text."""
 
     REFUSED = "refused"
+    """The worker was unreachable or did not accept the request."""
     BROKEN = "broken"
+    """The stream broke or timed out; its text can be resumed."""
     FAILED = "failed"
+    """The worker reported a failure; the text is discarded."""
     REJECTED = "rejected"
+    """The worker rejected the request for good."""
     STOPPED = "stopped"
+    """This node stopped the run."""
--- a/drumbay/batches/exceptions.py
+++ b/drumbay/batches/exceptions.py
@@ -1,22 +1,22 @@
-"""Failures of batch jobs."""
+"""Exceptions of batch jobs."""
 
 from drumbay.exceptions import DrumbayError, RequestFailedError, UnavailableError
 
 
 class BatchError(DrumbayError):
-    """A call about a batch job was not served."""
+    """Base class of errors in calls about a batch job."""
 
     code = "batch"
 
 
 class BatchNotFoundError(BatchError):
-    """The store holds no such batch job or item."""
+    """The batch job or item does not exist in the store."""
 
     code = "batch_not_found"
 
 
 class BatchEndedError(BatchError):
-    """The batch job has ended: it takes no results and gives no bodies."""
+    """The batch job has ended: it accepts no results and serves no item bodies."""
 
     code = "batch_ended"
 
@@ -28,13 +28,13 @@
 
 
 class BatchInvalidError(BatchError):
-    """The submission is not a batch job."""
+    """The submission is not a valid batch job."""
 
     code = "batch_invalid"
 
 
 class BatchUnavailableError(UnavailableError):
-    """Neither the owner nor the store answered; nothing can be said for sure."""
+    """Neither the owner nor the store answered."""
 
     code = "batch_unavailable"
 
@@ -46,7 +46,7 @@
 
 
 class BatchOutcomeUnknownError(RequestFailedError):
-    """The store may have taken the batch job, but did not say so in time."""
+    """The store did not confirm in time whether it accepted the batch job."""
 
     code = "batch_outcome_unknown"
     http_status = 504
--- a/drumbay/batches/item_quarantine.py
+++ b/drumbay/batches/item_quarantine.py
@@ -1,4 +1,4 @@
-"""Which items of one batch job may run now, as far as workers have survived them."""
+"""Applies the node's request quarantine to the items of a batch job."""
 
 from collections.abc import Iterable
 
@@ -20,94 +20,98 @@
 )
 
 
-class _BegunRun(msgspec.Struct, frozen=True):
-    """A run of an item on a worker, since a monotonic time."""
+class _ActiveRun(msgspec.Struct, frozen=True):
+    """A run of an item on a worker, with its monotonic start time."""
 
     item: BatchItem
     worker: Worker
-    began_at: float
+    started_at: float
 
 
 class ItemQuarantine:
-    """Asks the node's quarantine about items, and tells it what becomes of their runs."""
+    """Queries the node's quarantine for items and reports the outcomes of their runs to it."""
 
     def __init__(self, quarantine: Quarantine, spec: BatchSpec) -> None:
-        """Create one for the items of a batch job."""
+        """Create the quarantine view of a batch job's items."""
         self._quarantine = quarantine
         self._spec = spec
         self._fingerprints: dict[ItemId, Fingerprint] = {}
-        self._runs: dict[ItemId, _BegunRun] = {}
-        self._held: set[ItemId] = set()
+        self._runs: dict[ItemId, _ActiveRun] = {}
+        self._logged_held_back: set[ItemId] = set()
 
     def limits(self, waiting: Iterable[BatchItem]) -> StartLimits:
-        """Return which of the waiting items must not start now, and which only apart.
+        """Return which waiting items are held back and which must run isolated.
 
-        Few of those under which workers have ended twice start at a time, and of these that ask for
-        the same only one: the next ones are decided on once these runs are known. After one
-        death the items of a group, which may all ask for the same, go on side by side: a worker
-        that ends by chance would hold up a step for as long as a text takes, again and again.
+        Items under which workers have crashed at least twice start isolated, a few at a time, and
+        only one of several identical requests; the others wait for the outcome. After a single
+        crash, identical items of a group keep running side by side: the crash may be unrelated, and
+        running them one by one would delay the step by a full generation each.
         """
         if self._quarantine.is_idle:
             return StartLimits()
-        held: set[ItemId] = set()
-        apart: set[ItemId] = set()
-        apart_from: frozenset[BackendId] = frozenset()
+        held_back: set[ItemId] = set()
+        isolated: set[ItemId] = set()
+        isolated_workers: frozenset[BackendId] = frozenset()
         starting: set[Fingerprint] = set()
         for item in waiting:
             fingerprint = self._fingerprint(item)
             if not self._quarantine.knows(fingerprint):
                 continue
-            verdict = self._quarantine.verdict(fingerprint, self._spec.service, len(apart))
+            verdict = self._quarantine.verdict(fingerprint, self._spec.service, len(isolated))
             if not _may_start(verdict) or fingerprint in starting:
-                self._hold(item, fingerprint, verdict)
-                held.add(item.item_id)
+                self._log_held_back(item, fingerprint, verdict)
+                held_back.add(item.item_id)
             elif verdict.deaths_in_a_row >= DEATHS_UNTIL_TRIAL:
                 starting.add(fingerprint)
-                apart.add(item.item_id)
-                apart_from = verdict.apart_from
-        self._held &= held
-        return StartLimits(held=frozenset(held), apart=frozenset(apart), apart_from=apart_from)
-
-    def _hold(self, item: BatchItem, fingerprint: Fingerprint, verdict: Verdict) -> None:
-        """Log an item once each time that it is held back."""
-        if verdict.decision is Decision.HOLD and item.item_id not in self._held:
-            self._held.add(item.item_id)
+                isolated.add(item.item_id)
+                isolated_workers = verdict.apart_from
+        self._logged_held_back &= held_back
+        return StartLimits(
+            held_back=frozenset(held_back),
+            isolated=frozenset(isolated),
+            isolated_workers=isolated_workers,
+        )
+
+    def _log_held_back(self, item: BatchItem, fingerprint: Fingerprint, verdict: Verdict) -> None:
+        """Log an item once for each period in which it is held back."""
+        if verdict.decision is Decision.HOLD and item.item_id not in self._logged_held_back:
+            self._logged_held_back.add(item.item_id)
             self._quarantine.log_held(item.item_id, fingerprint, verdict)
 
     def begin(self, item: BatchItem, worker: Worker, now: float) -> None:
-        """Note that a run begins; :meth:`end` it."""
-        self._runs[item.item_id] = _BegunRun(item, worker, now)
+        """Record the start of a run, whose end must be recorded too."""
+        self._runs[item.item_id] = _ActiveRun(item, worker, now)
         self._quarantine.begin(self._fingerprint(item), worker.worker_id)
 
     def end(self, item: BatchItem, worker: Worker) -> None:
-        """Note that a run on a worker has ended, however; the item's next one may have begun."""
+        """Record the end of a run. The item's next run may have started already."""
         run = self._runs.get(item.item_id)
         if run is not None and run.worker is worker:
             del self._runs[item.item_id]
         self._quarantine.end(self._fingerprint(item), worker.worker_id)
 
-    def note_answer(self, item: BatchItem) -> None:
-        """Note that a worker has run an item to its end."""
+    def record_survival(self, item: BatchItem) -> None:
+        """Record that a worker survived the run of an item."""
         if not self._quarantine.is_idle:
             self._quarantine.note_answer(self._fingerprint(item))
 
-    def note_error(self, item: BatchItem, error: WorkerError) -> None:
-        """Note how a run has failed."""
+    def record_error(self, item: BatchItem, error: WorkerError) -> None:
+        """Record the failure of a run."""
         run = self._runs.get(item.item_id)
         if run is None:
             return
         if isinstance(error, WorkerBrokenError):
             fingerprint = self._fingerprint(item)
-            self._quarantine.note_broken(fingerprint, item.item_id, run.worker, run.began_at)
+            self._quarantine.note_broken(fingerprint, item.item_id, run.worker, run.started_at)
         elif isinstance(error, WorkerFailedError | WorkerRejectedError):
-            self.note_answer(item)
+            self.record_survival(item)
 
     def note_silent(self, item_id: ItemId) -> None:
-        """Note that a run is given up whose worker says nothing."""
+        """Record that a run was stopped because its worker sent no events."""
         run = self._runs.get(item_id)
         if run is not None:
             fingerprint = self._fingerprint(run.item)
-            self._quarantine.note_unanswered(fingerprint, item_id, run.worker, run.began_at)
+            self._quarantine.note_unanswered(fingerprint, item_id, run.worker, run.started_at)
 
     def _fingerprint(self, item: BatchItem) -> Fingerprint:
         found = self._fingerprints.get(item.item_id)
@@ -123,7 +127,7 @@
 
 
 def _may_start(verdict: Verdict) -> bool:
-    is_beside_its_like = (
+    may_run_alongside = (
         verdict.reason is Reason.RUN_UNDER_WAY and verdict.deaths_in_a_row < DEATHS_UNTIL_TRIAL
     )
-    return verdict.decision is Decision.RUN or is_beside_its_like
+    return verdict.decision is Decision.RUN or may_run_alongside
--- a/drumbay/batches/item_run.py
+++ b/drumbay/batches/item_run.py
@@ -1,4 +1,4 @@
-"""The run of an item: what workers have made of it so far."""
+"""Progress of one item of a batch job."""
 
 import msgspec
 
@@ -8,29 +8,29 @@
 
 
 class ItemRun(msgspec.Struct, kw_only=True):
-    """Progress of an item over all the workers that it has been at.
+    """Progress of an item across the workers that have run it.
 
     Attributes:
-        item: What runs.
-        worker_id: Where it runs now; ``None`` while it waits for a place.
-        texts: Data of the events so far, in order.
+        item: The item.
+        worker_id: Worker that runs it; ``None`` while it waits for a slot.
+        texts: Data of the events received so far, in order.
         last_number: Number of the last event.
-        versions: Weight versions that made events, in the order of their first one.
-        events_here: Events from the worker it is at.
-        untold_gap: Seconds between the last two events; told once another event follows.
-        heard_at: Monotonic time of the last event or start.
-        not_before: Monotonic time before which it does not start again.
-        failures: Runs that the workers answered with a failure.
-        moves: How often it was moved off a slow worker.
-        generation: How often its text was thrown away.
-        avoid: Worker that it should not go to if there is another.
-        target: Worker that it is being moved to.
-        complete: Whether the text is whole; it then waits for its score, if it needs one.
-        reward: Score of the whole text.
-        is_scoring: Whether its reward request is under way.
-        score_not_before: Monotonic time before which its reward request is not made again.
-        reward_failures: Reward requests that a worker ran and failed.
-        reward_attempts: Reward requests that brought no score, in a row.
+        versions: Weight versions that generated the events, in order of first use.
+        events_on_worker: Events received from the current worker.
+        pending_gap: Seconds between the last two events; reported once another event follows.
+        last_activity_at: Monotonic time of the last event or of the start.
+        not_before: Monotonic time before which the item is not started again.
+        failures: Runs that a worker answered with a failure.
+        moves: How often the item was moved off a slow worker.
+        generation: How often its text was discarded.
+        avoided_worker: Worker to avoid if another one is available.
+        move_target: Worker that the item is being moved to.
+        complete: Whether the text is complete; the item then waits for its score, if any.
+        reward: Score of the complete text.
+        is_scoring: Whether its reward request is in flight.
+        score_not_before: Monotonic time before which its reward request is not sent again.
+        reward_failures: Reward requests that a worker executed and failed.
+        reward_attempts: Consecutive reward requests without a score.
     """
 
     item: BatchItem
@@ -38,15 +38,15 @@
     texts: list[str] = msgspec.field(default_factory=list)
     last_number: int | None = None
     versions: list[WeightVersion] = msgspec.field(default_factory=list)
-    events_here: int = 0
-    untold_gap: float | None = None
-    heard_at: float = 0.0
+    events_on_worker: int = 0
+    pending_gap: float | None = None
+    last_activity_at: float = 0.0
     not_before: float = 0.0
     failures: int = 0
     moves: int = 0
     generation: int = 0
-    avoid: BackendId | None = None
-    target: BackendId | None = None
+    avoided_worker: BackendId | None = None
+    move_target: BackendId | None = None
     complete: bool = False
     reward: Reward | None = None
     is_scoring: bool = False
@@ -55,20 +55,20 @@
     reward_attempts: int = 0
 
     def start(self, worker_id: BackendId, now: float) -> None:
-        """Note that it runs at a worker."""
+        """Record the start on a worker."""
         self.worker_id = worker_id
-        self.target = None
-        self.events_here = 0
-        self.untold_gap = None
-        self.heard_at = now
+        self.move_target = None
+        self.events_on_worker = 0
+        self.pending_gap = None
+        self.last_activity_at = now
 
     def release(self) -> None:
-        """Note that it is at no worker."""
+        """Record that the item has left its worker."""
         self.worker_id = None
-        self.events_here = 0
+        self.events_on_worker = 0
 
-    def forget_text(self) -> None:
-        """Throw away what was made."""
+    def discard_text(self) -> None:
+        """Discard the text generated so far."""
         self.generation += 1
         self.texts.clear()
         self.versions.clear()
@@ -77,21 +77,22 @@
         self.reward = None
 
     @property
-    def is_placed(self) -> bool:
-        """Return whether it needs no worker now: it is at one, or its text is whole."""
+    def is_running_or_complete(self) -> bool:
+        """Return whether the item is on a worker or its text is complete."""
         return self.worker_id is not None or self.complete
 
     @property
     def is_finished(self) -> bool:
-        """Return whether nothing is missing: a whole text, and its score if it needs one."""
+        """Return whether the text is complete and, if required, scored."""
         return self.complete and self.item.accepts(self.reward)
 
-    def take(self, event: StreamEvent, now: float, *, arrived_alone: bool) -> float | None:
-        """Add an event; return the seconds between the two events before it.
+    def add_event(self, event: StreamEvent, now: float, *, arrived_alone: bool) -> float | None:
+        """Append an event; return the gap between the two events before it, in seconds.
 
-        The first event at a worker has no time: prompt and queue stand before it. The last one
-        of a text holds fewer tokens than others and comes sooner: a time is told only once
-        another event follows. An event that arrived with others has no time of its own.
+        ``None`` if that gap does not tell the worker's pace. The first event on a worker includes
+        queueing and prefill, and the last one of a text is shorter than the others, so a gap is
+        reported only once another event follows it. Events that were read together have no arrival
+        time of their own.
         """
         if self.last_number is not None and event.number <= self.last_number:
             return None
@@ -99,14 +100,16 @@
         self.last_number = event.number
         if event.version not in self.versions:
             self.versions.append(event.version)
-        told = self.untold_gap
-        self.untold_gap = now - self.heard_at if self.events_here and arrived_alone else None
-        self.events_here += 1
-        self.heard_at = now
-        return told
-
-    def adopt(self, partial_text: PartialText) -> None:
-        """Go on from a text that was made before."""
+        completed_gap = self.pending_gap
+        self.pending_gap = (
+            now - self.last_activity_at if self.events_on_worker and arrived_alone else None
+        )
+        self.events_on_worker += 1
+        self.last_activity_at = now
+        return completed_gap
+
+    def restore(self, partial_text: PartialText) -> None:
+        """Continue from a text that was generated earlier."""
         self.texts = list(partial_text.texts)
         self.last_number = partial_text.last_number
         self.versions = list(partial_text.versions)
@@ -115,7 +118,7 @@
         self.reward = partial_text.reward if has_score else None
 
     def result(self) -> ItemResult:
-        """Return the finished item."""
+        """Return the result of the finished item."""
         return ItemResult(
             item_id=self.item.item_id,
             state=ResultState.DONE,
@@ -125,7 +128,7 @@
         )
 
     def partial_text(self) -> PartialText:
-        """Return what was made so far; there must be some."""
+        """Return the text so far, which must not be empty."""
         assert self.last_number is not None
         return PartialText(
             item_id=self.item.item_id,
--- a/drumbay/batches/item_scoring.py
+++ b/drumbay/batches/item_scoring.py
@@ -1,11 +1,11 @@
-"""The reward requests of one batch job that are under way: performs the scheduler's decisions."""
+"""Executes the reward requests of one batch job."""
 
 import asyncio
 from collections.abc import Callable
 
 from drumbay.batches.decisions import ScoreText
 from drumbay.batches.records import BatchId, ItemId, ItemResult
-from drumbay.batches.reward_scorer import RewardNotGivenError, RewardScorer
+from drumbay.batches.reward_scorer import RewardScorer, RewardUnavailableError
 from drumbay.batches.scheduler import BatchScheduler
 from drumbay.clock import Clock
 from drumbay.forwarding.records import RewardOrder
@@ -14,7 +14,7 @@
 
 
 class ItemScoring:
-    """Asks for scores, and tells the scheduler what came of it."""
+    """Sends reward requests and reports their outcomes to the scheduler."""
 
     def __init__(
         self,
@@ -27,17 +27,17 @@
         on_result: Callable[[ItemResult], None],
         on_change: Callable[[], None],
     ) -> None:
-        """Create one without requests.
+        """Create an instance without requests.
 
         Args:
             clock: Time.
-            scorer: Makes reward requests.
-            scheduler: Decides what becomes of an item.
+            scorer: Sends reward requests.
+            scheduler: Receives scores and failures.
             task_owner: Runs the requests.
             batch_id: The batch job.
-            order: Its place among batch jobs: the one submitted first goes first.
+            order: Priority of the batch job's reward requests; earlier submissions go first.
             on_result: Called with the result of an item that is finished or given up.
-            on_change: Called when the scheduler may decide anew.
+            on_change: Called when the scheduler should plan again.
         """
         self._clock = clock
         self._scorer = scorer
@@ -50,7 +50,7 @@
         self._tasks: dict[ItemId, asyncio.Task[None]] = {}
 
     def start(self, decision: ScoreText) -> None:
-        """Make the reward request of an item."""
+        """Send the reward request of an item."""
         log_event(
             "reward_requested",
             batch=self._batch_id,
@@ -61,13 +61,13 @@
         self._tasks[decision.item_id] = task
 
     def stop(self, item_id: ItemId) -> None:
-        """Stop the request of an item, if one is under way."""
+        """Cancel the request of an item, if one is in flight."""
         task = self._tasks.pop(item_id, None)
         if task is not None:
             task.cancel()
 
     def stop_all(self) -> None:
-        """Stop every request."""
+        """Cancel every request."""
         for item_id in list(self._tasks):
             self.stop(item_id)
 
@@ -75,17 +75,19 @@
         item_id = decision.item_id
         try:
             reward = await self._scorer.score(decision.request, self._order)
-        except RewardNotGivenError as error:
+        except RewardUnavailableError as error:
             result = self._note_failure(decision, error)
         else:
-            result = self._scheduler.take_reward(item_id, reward)
+            result = self._scheduler.handle_reward(item_id, reward)
         self._tasks.pop(item_id, None)
         if result is not None:
             self._on_result(result)
         self._on_change()
 
-    def _note_failure(self, decision: ScoreText, error: RewardNotGivenError) -> ItemResult | None:
-        result = self._scheduler.take_reward_failure(
+    def _note_failure(
+        self, decision: ScoreText, error: RewardUnavailableError
+    ) -> ItemResult | None:
+        result = self._scheduler.handle_reward_failure(
             decision.item_id,
             error.worker_failures,
             error.attempts,
--- a/drumbay/batches/ledger.py
+++ b/drumbay/batches/ledger.py
@@ -1,21 +1,20 @@
-"""Batch jobs in the key-value store: what is accepted, listed or ended, and by whom.
+"""Persistence of batch jobs in the key-value store.
 
-``INDEX_PREFIX`` and its identifier: a :class:`IndexEntry`, so that old batch jobs are found
-without reading their texts. ``OPEN_PREFIX``, the owner's address and the identifier: an empty
-value while the batch job is open, so that a restarted node finds what it owned.
+* ``drumbay/batch-index/ID``: an :class:`IndexEntry`, to find old batch jobs without reading their
+  items.
+* ``drumbay/batches-open/ADDRESS/ID``: an empty value while the batch job is open, so that a
+  restarted node finds the jobs that it owned at its address.
 
-Keys of a batch job, below ``PREFIX`` and its identifier:
+Keys of a batch job, below ``drumbay/batches/ID/``:
 
-* ``owner``: the :class:`OwnerRecord`. Every write of results compares its revision, so that an
-  owner that was replaced, or an ended batch job, takes no more results: the revision is the
-  fencing token.
+* ``owner``: the :class:`OwnerRecord`. Its revision is the fencing token: every write of results
+  compares it, so that a replaced owner or an ended batch job cannot list further results.
 * ``spec/NNNN``: parts of the submitted batch job.
-* ``progress/NNNN``: pieces of the texts of long items under way, so that a new owner need not
-  make them again.
-* ``results/NNNNNNNN``: results from that position on. Each key is written once.
+* ``progress/NNNNNNNNNNNN-NNNN``: partial texts of long items, from which a new owner resumes.
+* ``results/NNNNNNNN``: results starting at that position. Each key is written once.
 
-A write whose answer is lost may be carried out later. It is repeated unchanged until the store
-answers; once any copy has been carried out, the others fail their comparison.
+A write whose answer is lost may still be applied later. It is retried unchanged until the store
+answers; once one copy has been applied, the comparisons of the others fail.
 """
 
 import msgspec
@@ -40,13 +39,13 @@
 PREFIX = "drumbay/batches/"
 INDEX_PREFIX = "drumbay/batch-index/"
 OPEN_PREFIX = "drumbay/batches-open/"
-KEYS_PER_DELETION = 30
-PART_BYTES = 1_000_000
-"""Below the 1 MB that a value may have; a transaction takes 32 entries."""
+KEYS_PER_DELETE = 30
+SPEC_PART_BYTES = 1_000_000
+"""Within the store's limits of 1 MB per value and 32 operations per transaction."""
 ABSENT = Revision(0)
 
 RESULTS_PER_WRITE = 64
-"""At the most, so that the write that holds a position is found from the position."""
+"""Maximum number, so that the write that contains a position can be located."""
 
 _encoder = msgspec.msgpack.Encoder()
 _owner_decoder = msgspec.msgpack.Decoder(OwnerRecord)
@@ -56,7 +55,7 @@
 
 
 class IndexEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """When a batch job was submitted, in seconds since the Unix epoch."""
+    """Submission time of a batch job, in Unix seconds."""
 
     submitted_at: float
 
@@ -65,7 +64,7 @@
 
 
 class StoredBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """All that the store holds of a batch job."""
+    """Complete stored state of a batch job."""
 
     owner: StoredOwner
     spec: BatchSpec
@@ -77,16 +76,19 @@
     """Reads and writes batch jobs; every method may raise ``KeyValueError``."""
 
     def __init__(self, store: KeyValueStore) -> None:
-        """Use a key-value store."""
+        """Create a ledger in a key-value store."""
         self._store = store
 
     async def accept(
         self, spec: BatchSpec, owner: OwnerRecord, submitted_at: float
     ) -> Revision | None:
-        """Store a new batch job; return the owner's revision, ``None`` if it exists already."""
+        """Store a new batch job; return the owner's revision, or ``None`` if the job exists."""
         key = _owner_key(spec.batch_id)
         encoded = _encoder.encode(spec)
-        parts = [encoded[at : at + PART_BYTES] for at in range(0, len(encoded), PART_BYTES)]
+        parts = [
+            encoded[offset : offset + SPEC_PART_BYTES]
+            for offset in range(0, len(encoded), SPEC_PART_BYTES)
+        ]
         entry = IndexEntry(submitted_at=submitted_at)
         puts = [
             Put(key=key, value=_encoder.encode(owner)),
@@ -101,10 +103,10 @@
         return outcome.revision if outcome.succeeded else None
 
     async def read_owner(self, batch_id: BatchId) -> StoredOwner:
-        """Return who owns a batch job.
+        """Return the owner of a batch job.
 
         Raises:
-            BatchNotFoundError: There is no such batch job.
+            BatchNotFoundError: The batch job does not exist.
         """
         found = await self._store.range_prefix(_owner_key(batch_id))
         for item in found.items:
@@ -113,32 +115,32 @@
         raise BatchNotFoundError(batch_id)
 
     async def replace_owner(
-        self, batch_id: BatchId, before: StoredOwner, record: OwnerRecord
+        self, batch_id: BatchId, previous: StoredOwner, record: OwnerRecord
     ) -> Revision:
-        """Put another owner record in the place of the one read before.
+        """Replace the owner record read before.
 
         Raises:
-            BatchMovedError: The record had changed in between.
+            BatchMovedError: The record has changed since it was read.
         """
         key = _owner_key(batch_id)
         operations: list[Put | Delete] = [Put(key=key, value=_encoder.encode(record))]
         is_open = record.state is OwnerState.OPEN
-        if not is_open or record.address != before.record.address:
-            operations.append(Delete(key=_open_key(before.record.address, batch_id)))
+        if not is_open or record.address != previous.record.address:
+            operations.append(Delete(key=_open_key(previous.record.address, batch_id)))
         if is_open:
             operations.append(Put(key=_open_key(record.address, batch_id), value=b""))
         outcome = await self._store.transact(
-            (ModRevisionIs(key=key, mod_revision=before.revision),), tuple(operations)
+            (ModRevisionIs(key=key, mod_revision=previous.revision),), tuple(operations)
         )
         if not outcome.succeeded:
             raise BatchMovedError(batch_id)
         return outcome.revision
 
     async def read(self, batch_id: BatchId) -> StoredBatch:
-        """Return a batch job whole.
+        """Return the complete stored state of a batch job.
 
         Raises:
-            BatchNotFoundError: There is no such batch job.
+            BatchNotFoundError: The batch job does not exist.
         """
         found = await self._store.range_prefix(f"{PREFIX}{batch_id}/")
         owner: StoredOwner | None = None
@@ -154,7 +156,7 @@
                 spec += item.value
             elif part.startswith("progress/"):
                 for piece in _progress_decoder.decode(item.value):
-                    _extend(progress, piece)
+                    _merge_progress(progress, piece)
             else:
                 results.extend(_results_decoder.decode(item.value))
         if owner is None:
@@ -169,14 +171,14 @@
     async def read_results(
         self, batch_id: BatchId, position: int, total: int, size_bytes: int
     ) -> ResultPage:
-        """Return listed results from a position on: one if there is any, else up to a size.
+        """Return results from a position on: at least one if there is any, otherwise up to a size.
 
-        One answer of the store is read where it holds that position: a batch job may be several
-        megabytes, which take a second on the link of a small machine.
+        A single store page is read where it contains the position, since all results of a batch job
+        may take several megabytes.
         """
         prefix = _result_prefix(batch_id)
-        is_far = position >= RESULTS_PER_WRITE
-        after = _result_key(batch_id, position - RESULTS_PER_WRITE) if is_far else ""
+        can_skip = position >= RESULTS_PER_WRITE
+        after = _result_key(batch_id, position - RESULTS_PER_WRITE) if can_skip else ""
         results: list[ItemResult] = []
         while not results:
             found = await self._store.range_page(prefix, after)
@@ -197,7 +199,7 @@
         position: int,
         results: tuple[ItemResult, ...],
     ) -> None:
-        """List results from a position on; repeat unchanged after an unknown outcome.
+        """Write results starting at a position; retry unchanged after an unknown outcome.
 
         Raises:
             BatchMovedError: Another node owns the batch job.
@@ -215,7 +217,7 @@
         if outcome.succeeded:
             return
         await self.check_owner(batch_id, owner_revision)
-        # NOTE: only the owner writes here, and always the same: an earlier copy was carried out.
+        # Only the owner writes this key, always with the same value: an earlier copy was applied.
 
     async def save_progress(
         self,
@@ -224,7 +226,7 @@
         number: int,
         pieces: tuple[PartialText, ...],
     ) -> bool:
-        """Store pieces of texts; return whether this node still owns the batch job."""
+        """Store partial texts; return whether this node still owns the batch job."""
         key = f"{PREFIX}{batch_id}/progress/{owner_revision:012d}-{number:04d}"
         outcome = await self._store.transact(
             (ModRevisionIs(key=_owner_key(batch_id), mod_revision=owner_revision),),
@@ -233,13 +235,13 @@
         return outcome.succeeded
 
     async def open_at(self, address: NetworkAddress) -> tuple[BatchId, ...]:
-        """Return the open batch jobs whose owner has an address."""
+        """Return the open batch jobs whose owner has the given address."""
         prefix = _open_key(address, BatchId(""))
         found = await self._store.range_prefix(prefix)
         return tuple(BatchId(item.key.removeprefix(prefix)) for item in found.items)
 
     async def submitted_before(self, wall_seconds: float) -> tuple[BatchId, ...]:
-        """Return the batch jobs that were submitted before a time."""
+        """Return the batch jobs that were submitted before a wall-clock time."""
         found = await self._store.range_prefix(INDEX_PREFIX)
         return tuple(
             BatchId(item.key.removeprefix(INDEX_PREFIX))
@@ -248,16 +250,16 @@
         )
 
     async def delete(self, batch_id: BatchId) -> None:
-        """Remove everything of an ended batch job, its index entry last."""
+        """Delete an ended batch job, its index entry last."""
         found = await self._store.range_prefix(f"{PREFIX}{batch_id}/")
         keys = sorted((item.key for item in found.items), reverse=True)
-        for at in range(0, len(keys), KEYS_PER_DELETION):
-            some = keys[at : at + KEYS_PER_DELETION]
-            await self._store.transact((), tuple(Delete(key=key) for key in some))
+        for offset in range(0, len(keys), KEYS_PER_DELETE):
+            chunk = keys[offset : offset + KEYS_PER_DELETE]
+            await self._store.transact((), tuple(Delete(key=key) for key in chunk))
         await self._store.transact((), (Delete(key=f"{INDEX_PREFIX}{batch_id}"),))
 
     async def check_owner(self, batch_id: BatchId, owner_revision: Revision) -> None:
-        """Return if the owner's revision still holds.
+        """Verify that the owner's revision is current.
 
         Raises:
             BatchMovedError: Another node owns the batch job.
@@ -270,15 +272,15 @@
             raise BatchMovedError(batch_id)
 
 
-def _extend(progress: dict[ItemId, PartialText], piece: PartialText) -> None:
-    """Add a piece to the text it continues; a gap makes it useless."""
-    before = progress.get(piece.item_id)
-    if before is None or piece.first:
+def _merge_progress(progress: dict[ItemId, PartialText], piece: PartialText) -> None:
+    """Append a piece to the text that it continues; drop it if an earlier piece is missing."""
+    previous = progress.get(piece.item_id)
+    if previous is None or piece.first:
         if piece.first:
             progress[piece.item_id] = piece
         return
     progress[piece.item_id] = msgspec.structs.replace(
-        piece, texts=before.texts + piece.texts, first=True
+        piece, texts=previous.texts + piece.texts, first=True
     )
 
 
--- /dev/null
+++ b/drumbay/batches/lingering.py
@@ -0,0 +1,89 @@
+"""Partial texts of ended batch jobs, for reuse by later ones.
+
+Trainers resubmit groups that an ended batch job left unfinished. The node that owned the job lets
+their runs continue for a while; the owner of the later job requests the texts from recent owners.
+"""
+
+import asyncio
+from collections.abc import Iterable
+
+from drumbay.batches.records import BatchSpec, ItemId, PartialText, ReturnedItems
+from drumbay.batches.runner import BatchRunner
+from drumbay.comm.http_exchange import NetworkAddress
+from drumbay.observability.logs import log_event
+from drumbay.peers.messages import PartialTextsReply, TakePartialTexts
+from drumbay.peers.transport import PeerClient, PeerUnavailableError
+
+REQUEST_TIMEOUT_SECONDS = 0.15
+"""Bounds the delay of a batch job's start when a node does not answer."""
+
+
+class LingeringBatches:
+    """Ended batch jobs of this node whose runs continue, and access to those of other nodes."""
+
+    def __init__(self, peers: PeerClient) -> None:
+        """Create an empty collection; ``peers`` calls other nodes."""
+        self._peers = peers
+        self._runners: list[BatchRunner] = []
+
+    def add(self, runner: BatchRunner) -> None:
+        """Add the runner of an ended batch job."""
+        self._runners.append(runner)
+
+    @property
+    def active(self) -> tuple[BatchRunner, ...]:
+        """Return the runners that are still lingering."""
+        return tuple(runner for runner in self._runners if runner.is_lingering)
+
+    def close(self) -> None:
+        """Stop all runs."""
+        for runner in self._runners:
+            runner.close()
+        self._runners.clear()
+
+    def release_texts(self, request: TakePartialTexts) -> ReturnedItems:
+        """Stop the runs of items and return their partial texts."""
+        self._runners = [runner for runner in self._runners if runner.is_lingering]
+        return _merge(
+            runner.release_texts(request.item_ids, request.minimum_version)
+            for runner in self._runners
+        )
+
+    async def collect(self, spec: BatchSpec, nodes: Iterable[NetworkAddress]) -> ReturnedItems:
+        """Return the items of a batch job that this or the given nodes know, and their texts."""
+        request = TakePartialTexts(
+            item_ids=tuple(item.item_id for item in spec.items),
+            minimum_version=spec.minimum_version,
+        )
+        replies = [self.release_texts(request)]
+        replies.extend(
+            await asyncio.gather(*(self._request_texts(node, request) for node in nodes))
+        )
+        resubmitted = _merge(replies)
+        if resubmitted.item_ids:
+            log_event(
+                "items_returned",
+                batch=spec.batch_id,
+                items=len(resubmitted.item_ids),
+                usable=len(resubmitted.partial_texts),
+            )
+        return resubmitted
+
+    async def _request_texts(
+        self, node: NetworkAddress, request: TakePartialTexts
+    ) -> ReturnedItems:
+        try:
+            reply = await self._peers.call(node, request, REQUEST_TIMEOUT_SECONDS)
+        except PeerUnavailableError:
+            return ReturnedItems()
+        return reply.returned if isinstance(reply, PartialTextsReply) else ReturnedItems()
+
+
+def _merge(parts: Iterable[ReturnedItems]) -> ReturnedItems:
+    """Merge the items known to several batch jobs or nodes."""
+    item_ids: dict[ItemId, None] = {}
+    partial_texts: dict[ItemId, PartialText] = {}
+    for resubmitted in parts:
+        item_ids.update(dict.fromkeys(resubmitted.item_ids))
+        partial_texts.update({text.item_id: text for text in resubmitted.partial_texts})
+    return ReturnedItems(item_ids=tuple(item_ids), partial_texts=tuple(partial_texts.values()))
--- a/drumbay/batches/owned.py
+++ b/drumbay/batches/owned.py
@@ -1,4 +1,4 @@
-"""The batch jobs that this node owns: started, taken over, handed to other nodes, let go."""
+"""The batch jobs that this node owns: start, takeover, hand-over to other nodes and end."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -9,8 +9,8 @@
     BatchUnavailableError,
 )
 from drumbay.batches.ledger import BatchLedger
+from drumbay.batches.lingering import LingeringBatches
 from drumbay.batches.owners import OwnerTable
-from drumbay.batches.place_sharing import PlaceSharing
 from drumbay.batches.records import (
     BatchId,
     BatchSpec,
@@ -19,9 +19,9 @@
     ReturnedItems,
     StoredOwner,
 )
-from drumbay.batches.returning import ReturningItems
 from drumbay.batches.reward_scorer import RewardScorer
 from drumbay.batches.runner import BatchRunner
+from drumbay.batches.slot_sharing import SlotSharing
 from drumbay.clock import Clock
 from drumbay.comm.http_exchange import NetworkAddress
 from drumbay.forwarding.routes import ServiceUse
@@ -39,11 +39,11 @@
 
 
 class OwnedBatches:
-    """Runners by batch job.
+    """The runners of the owned batch jobs.
 
     Attributes:
-        is_leaving: Whether nothing more is owned; what is owned goes on.
-        sharing: The places that the batch jobs share with those of other owners.
+        is_draining: Whether no further batch jobs are accepted; the owned ones go on.
+        slot_sharing: Shares worker slots with the batch jobs of other owners.
     """
 
     def __init__(
@@ -59,31 +59,31 @@
         peers: PeerClient,
         task_owner: TaskOwner,
         newest_version: Callable[[str], WeightVersion],
-        tell: Callable[[Iterable[NetworkAddress], PlacesNotice], None],
+        send_notice: Callable[[Iterable[NetworkAddress], PlacesNotice], None],
         service_use: ServiceUse,
-        shares_places: bool,
+        shares_slots: bool,
         metrics: ServingMetrics,
     ) -> None:
-        """Own nothing.
+        """Create the collection without batch jobs.
 
         Args:
             clock: Time.
             ledger: Batch jobs in the store.
-            owners: Who owns which batch job.
+            owners: Maps batch jobs to owners.
             directory: The workers.
-            client: Calls to workers.
-            silence_check: Asks workers whose streams are silent.
-            quarantine: Says which items may run.
-            scorer: Makes reward requests.
-            peers: Calls to other nodes.
+            client: Calls workers.
+            silence_check: Probes workers whose streams are silent.
+            quarantine: Decides which items may run.
+            scorer: Sends reward requests.
+            peers: Calls other nodes.
             task_owner: Runs the tasks of runners.
-            newest_version: Returns the newest version named for a model.
-            tell: Sends a notice to other nodes.
+            newest_version: Returns the newest weight version announced for a model.
+            send_notice: Sends a notice to other nodes.
             service_use: Tells which kinds of requests reach a service.
-            shares_places: Whether batch jobs share places with those of other owners.
-            metrics: Counts what happens to batch jobs.
+            shares_slots: Whether batch jobs share worker slots with those of other owners.
+            metrics: Counts batch job events.
         """
-        self.is_leaving = False
+        self.is_draining = False
         self._clock = clock
         self._ledger = ledger
         self._owners = owners
@@ -96,16 +96,16 @@
         self._newest_version = newest_version
         self._metrics = metrics
         self._runners: dict[BatchId, BatchRunner] = {}
-        self._taking: dict[BatchId, asyncio.Event] = {}
-        self._returning = ReturningItems(peers)
-        self.sharing = PlaceSharing(
+        self._takeovers: dict[BatchId, asyncio.Event] = {}
+        self._lingering = LingeringBatches(peers)
+        self.slot_sharing = SlotSharing(
             clock,
             directory,
             owners,
             service_use,
-            tell,
+            send_notice,
             lambda: [runner.share for runner in self._all_runners()],
-            is_enabled=shares_places,
+            is_enabled=shares_slots,
         )
         directory.add_listener(self._wake_runners)
 
@@ -114,17 +114,19 @@
             runner.wake()
 
     def __len__(self) -> int:
-        """Return how many batch jobs are owned."""
+        """Return the number of owned batch jobs."""
         return len(self._runners)
 
-    def unfinished(self) -> int:
-        """Return how many owned batch jobs have unlisted items that may still run here."""
+    def unfinished_count(self) -> int:
+        """Return how many owned batch jobs have unlisted items that are not blocked."""
         return sum(
-            1 for runner in self._runners.values() if not runner.is_finished and not runner.is_held
+            1
+            for runner in self._runners.values()
+            if not runner.is_finished and not runner.is_blocked
         )
 
     def _all_runners(self) -> tuple[BatchRunner, ...]:
-        return (*self._runners.values(), *self._returning.lingering)
+        return (*self._runners.values(), *self._lingering.active)
 
     def get(self, batch_id: BatchId) -> BatchRunner | None:
         """Return the runner of a batch job, if it is owned."""
@@ -132,38 +134,41 @@
 
     # New batch jobs
 
-    async def place(self, spec: BatchSpec, owner: StoredOwner) -> None:
-        """Run a batch job that was accepted, here or at the node that the store names."""
-        if self._owners.is_own_boot(owner.record):
+    async def assign(self, spec: BatchSpec, owner: StoredOwner) -> None:
+        """Run an accepted batch job here or on the node that the store names as its owner."""
+        if self._owners.is_own_process(owner.record):
             self.start(spec, owner)
         elif await self._owners.hand_over(spec, owner):
-            self._owners.note(OwnerNotice(batch_id=spec.batch_id, owner=owner))
+            self._owners.handle_notice(OwnerNotice(batch_id=spec.batch_id, owner=owner))
         else:
-            await self._take_back(spec, owner)
+            await self._own_unaccepted(spec, owner)
 
     def start(self, spec: BatchSpec, owner: StoredOwner) -> None:
-        """Run a new batch job whose owner this process is; a leaving one does not."""
-        if self.is_leaving or spec.batch_id in self._runners:
+        """Run a new batch job owned by this process; does nothing while draining."""
+        if self.is_draining or spec.batch_id in self._runners:
             return
-        runner = self._own(spec, owner.revision, ())
+        runner = self._create_runner(spec, owner.revision, ())
         self._owners.announce(spec.batch_id, owner)
         self._task_owner.spawn(self._start(runner), f"batch-start-{spec.batch_id}")
 
-    async def _take_back(self, spec: BatchSpec, owner: StoredOwner) -> None:
-        """Own a batch job that its owner did not take; if it has after all, it stops."""
-        record = self._owners.own_record(spec.stream, len(spec.items), spec.tenant)
+    async def _own_unaccepted(self, spec: BatchSpec, owner: StoredOwner) -> None:
+        """Take over a batch job that its designated owner did not confirm.
+
+        An owner that accepted it without its reply arriving stops once its revision is replaced.
+        """
+        record = self._owners.new_record(spec.stream, len(spec.items), spec.tenant)
         try:
             revision = await self._ledger.replace_owner(spec.batch_id, owner, record)
         except (BatchMovedError, KeyValueError):
-            # The next reader finds an owner that does not know the batch job.
+            # The next reader finds an owner without the batch job, and takes over.
             return
         self.start(spec, StoredOwner(record=record, revision=revision))
 
     async def _start(self, runner: BatchRunner) -> None:
         nodes = self._owners.recent_owners(runner.spec.stream)
-        runner.start(await self._returning.collect(runner.spec, nodes))
+        runner.start(await self._lingering.collect(runner.spec, nodes))
 
-    def _own(
+    def _create_runner(
         self, spec: BatchSpec, revision: Revision, listed: tuple[ItemResult, ...]
     ) -> BatchRunner:
         runner = BatchRunner(
@@ -174,68 +179,68 @@
             self._silence_check,
             self._quarantine,
             self._scorer,
-            self.sharing,
+            self.slot_sharing,
             self._task_owner,
             self._metrics,
             spec,
             revision,
             listed,
             newest_version=lambda: self._newest_version(spec.model),
-            on_lost=self._forget,
+            on_lost=self._drop_runner,
         )
         self._runners[spec.batch_id] = runner
-        self.sharing.note_change()
+        self.slot_sharing.schedule_notice()
         return runner
 
-    def _forget(self, batch_id: BatchId) -> None:
+    def _drop_runner(self, batch_id: BatchId) -> None:
         runner = self._runners.pop(batch_id, None)
         if runner is not None and runner.is_lingering:
-            self._returning.keep(runner)
+            self._lingering.add(runner)
         self._owners.forget(batch_id)
 
-    # Batch jobs of other nodes
+    # Takeover
 
     async def take_over(
-        self, batch_id: BatchId, silent: StoredOwner, *, owner_is_gone: bool
+        self, batch_id: BatchId, lost_owner: StoredOwner, *, owner_is_gone: bool
     ) -> None:
-        """Own a batch job whose owner did not answer for it; callers meanwhile wait."""
+        """Take over a batch job whose owner did not answer; concurrent callers wait."""
         self._owners.forget(batch_id)
-        if self.is_leaving:
+        if self.is_draining:
             return
-        if await self.wait_while_taking(batch_id):
+        if await self.wait_for_takeover(batch_id):
             return
-        taken = self._taking[batch_id] = asyncio.Event()
+        finished = self._takeovers[batch_id] = asyncio.Event()
         try:
-            await self._replace_owner(batch_id, silent, owner_is_gone=owner_is_gone)
+            await self._replace_owner(batch_id, lost_owner, owner_is_gone=owner_is_gone)
         finally:
-            del self._taking[batch_id]
-            taken.set()
+            del self._takeovers[batch_id]
+            finished.set()
 
-    async def wait_while_taking(self, batch_id: BatchId) -> bool:
-        """Wait until a takeover that is under way here has ended; return whether one was.
+    async def wait_for_takeover(self, batch_id: BatchId) -> bool:
+        """Wait for a takeover in progress on this node; return whether there was one.
 
-        The store names this node the owner before it has read the batch job: whoever asks in
-        between must not take it for one that has lost it.
+        The store names this node the owner before the batch job has been read, so callers in
+        between must not conclude that it does not own the job.
         """
-        taken = self._taking.get(batch_id)
-        if taken is None:
+        finished = self._takeovers.get(batch_id)
+        if finished is None:
             return False
-        await taken.wait()
+        await finished.wait()
         return True
 
     async def _replace_owner(
-        self, batch_id: BatchId, silent: StoredOwner, *, owner_is_gone: bool
+        self, batch_id: BatchId, lost_owner: StoredOwner, *, owner_is_gone: bool
     ) -> None:
-        """Take the place of an owner in the store, and run the batch job.
+        """Replace an owner in the store and run the batch job.
 
-        The record is read again: if it has changed, the new owner is asked instead.
+        The record is read again first: if it has changed, the caller asks the new owner instead.
         """
         try:
             owner = await self._ledger.read_owner(batch_id)
-            if owner.revision != silent.revision or owner.record.state is OwnerState.ENDED:
+            if owner.revision != lost_owner.revision or owner.record.state is OwnerState.ENDED:
                 return
-            before = owner.record
-            record = self._owners.own_record(before.stream, before.total, before.tenant)
+            previous = owner.record
+            record = self._owners.new_record(previous.stream, previous.total, previous.tenant)
             revision = await self._ledger.replace_owner(batch_id, owner, record)
             stored = await self._ledger.read(batch_id)
         except BatchMovedError:
@@ -249,49 +254,49 @@
             "batch_taken_over",
             level="WARNING",
             batch=batch_id,
-            previous=str(silent.record.address),
+            previous=str(lost_owner.record.address),
             owner_is_gone=owner_is_gone,
             listed=len(stored.results),
             saved=len(stored.progress),
             items=len(stored.spec.items),
         )
-        runner = self._own(stored.spec, revision, stored.results)
+        runner = self._create_runner(stored.spec, revision, stored.results)
         self._owners.announce(batch_id, stored.owner)
         runner.resume(stored.progress, owner_is_gone=owner_is_gone)
         runner.start(ReturnedItems())
 
-    async def take_up(self, batch_id: BatchId) -> None:
-        """Own a batch job again that an earlier process at this address owned.
+    async def reclaim(self, batch_id: BatchId) -> None:
+        """Take over a batch job that an earlier process at this address owned.
 
-        Its trainer would notice only by its next call, and that may be held for seconds by a
-        connection that died with the process.
+        Waiting for the trainer's next call could take seconds if its connection died with the
+        process.
         """
         try:
             owner = await self._ledger.read_owner(batch_id)
         except BatchNotFoundError:
             return
         is_own = self._owners.is_own_address(owner.record)
-        if is_own and not self._owners.is_own_boot(owner.record):
+        if is_own and not self._owners.is_own_process(owner.record):
             await self.take_over(batch_id, owner, owner_is_gone=True)
 
-    # Ends
+    # End
 
     def stop(self, batch_id: BatchId) -> None:
-        """Let the runs of an ended batch job go on for a while; it lists nothing more."""
+        """Stop listing results of an ended batch job; its runs linger."""
         runner = self._runners.pop(batch_id, None)
         self._owners.forget(batch_id)
         if runner is not None:
             runner.linger()
-            self._returning.keep(runner)
+            self._lingering.add(runner)
 
-    def give_up_texts(self, request: TakePartialTexts) -> ReturnedItems:
-        """Stop working on items of ended batch jobs and return what was made of them."""
-        return self._returning.give_up(request)
+    def release_texts(self, request: TakePartialTexts) -> ReturnedItems:
+        """Stop the runs of items of ended batch jobs and return their partial texts."""
+        return self._lingering.release_texts(request)
 
-    def leave(self) -> None:
-        """Own nothing more: the process is about to end; the next caller takes over."""
-        self.is_leaving = True
-        self._returning.close()
+    def shut_down(self) -> None:
+        """Stop all batch jobs before the process ends; the next caller's node takes over."""
+        self.is_draining = True
+        self._lingering.close()
         for runner in self._runners.values():
             runner.close()
         self._runners.clear()
--- a/drumbay/batches/owners.py
+++ b/drumbay/batches/owners.py
@@ -1,4 +1,4 @@
-"""Who owns which batch job, as far as this node knows, and calls to owners."""
+"""Maps batch jobs to the nodes that own them, and calls owners."""
 
 from collections.abc import Callable, Container
 
@@ -35,36 +35,36 @@
 from drumbay.tenants.records import TenantName
 
 STORE_RETRY_SECONDS = 0.1
-PEER_SLACK_SECONDS = 0.5
-PING_SECONDS = 0.4
-OWNER_WAIT_SECONDS = 0.4
-"""An owner is asked to wait so long at a time, so that one that stands still is soon noticed."""
+PEER_TIMEOUT_MARGIN_SECONDS = 0.5
+PING_TIMEOUT_SECONDS = 0.4
+OWNER_POLL_SECONDS = 0.4
+"""Maximum wait per call to an owner, so that a stalled one is noticed soon."""
 
-KNOWN_OWNERS = 4_096
-KNOWN_STREAMS = 256
-HAND_OVER_SECONDS = 0.2
-"""A submission waits so long for the owner of its stream; then this node owns it."""
+MAX_CACHED_OWNERS = 4_096
+MAX_CACHED_STREAMS = 256
+HAND_OVER_TIMEOUT_SECONDS = 0.2
+"""After this time the node that received a submission owns it itself."""
 
-RECENT_OWNER_SECONDS = 60.0
-"""An owner that nothing names for so long is forgotten: several steps of a trainer."""
+RECENT_OWNER_TTL_SECONDS = 60.0
+"""Owners that no record has named for this long are forgotten."""
 
 
 class ServiceIdentity(msgspec.Struct, frozen=True, kw_only=True):
-    """This process: where peers call it, and its boot."""
+    """Identifies this process: the address for peers, and its boot identifier."""
 
     address: NetworkAddress
     boot: str
 
 
 class _StreamOwners(msgspec.Struct, kw_only=True):
-    """Who owned the batch jobs of a stream: each one's newest record, and when it was named."""
+    """Recent owners of a stream's batch jobs: newest record, and monotonic time it was seen."""
 
     latest: dict[NetworkAddress, StoredOwner]
-    named_at: dict[NetworkAddress, float]
+    last_seen_at: dict[NetworkAddress, float]
 
 
 class OwnerTable:
-    """Owners by batch job. The store decides if what is known turns out to be wrong."""
+    """Cache of batch job owners. The store is authoritative."""
 
     def __init__(
         self,
@@ -74,22 +74,22 @@
         identity: ServiceIdentity,
         announce: Callable[[OwnerNotice], None],
     ) -> None:
-        """Create a table that knows nobody; ``announce`` tells the other nodes."""
+        """Create an empty table; ``announce`` notifies the other nodes."""
         self._clock = clock
         self._ledger = ledger
         self._peers = peers
         self._identity = identity
         self._announce = announce
-        self._known: dict[BatchId, StoredOwner] = {}
+        self._cached: dict[BatchId, StoredOwner] = {}
         self._streams: dict[BatchStream, _StreamOwners] = {}
 
     @property
     def identity(self) -> ServiceIdentity:
-        """Return this process."""
+        """Return the identity of this process."""
         return self._identity
 
-    def own_record(self, stream: BatchStream, total: int, tenant: TenantName | None) -> OwnerRecord:
-        """Return the record that makes this process the owner of a batch job."""
+    def new_record(self, stream: BatchStream, total: int, tenant: TenantName | None) -> OwnerRecord:
+        """Return a record that names this process the owner of a batch job."""
         return OwnerRecord(
             address=self._identity.address,
             boot=self._identity.boot,
@@ -99,44 +99,44 @@
             tenant=tenant,
         )
 
-    def record_for(self, spec: BatchSpec, reachable: Container[NetworkAddress]) -> OwnerRecord:
-        """Return the record of the owner that a new batch job is to have.
+    def choose_owner(self, spec: BatchSpec, reachable: Container[NetworkAddress]) -> OwnerRecord:
+        """Return the owner record of a new batch job.
 
-        An owner of earlier batch jobs of the stream knows the paces of the workers, has open
-        connections to them, and may still work on items that come back. One that has an open
-        batch job is passed over.
+        A recent owner of the stream is preferred: it has pace estimates of the workers and open
+        connections to them, and may still run resubmitted items. Nodes with an open batch job are
+        passed over.
         """
-        own = self.own_record(spec.stream, len(spec.items), spec.tenant)
+        own = self.new_record(spec.stream, len(spec.items), spec.tenant)
         owners = self._streams.get(spec.stream)
         if owners is None:
             return own
-        busy = self.owners_of_open()
-        for named in sorted(owners.latest.values(), key=lambda o: o.revision, reverse=True):
-            address = named.record.address
+        busy = self.open_batch_owners()
+        for candidate in sorted(owners.latest.values(), key=lambda o: o.revision, reverse=True):
+            address = candidate.record.address
             if address in reachable and address not in busy:
-                return msgspec.structs.replace(own, address=address, boot=named.record.boot)
+                return msgspec.structs.replace(own, address=address, boot=candidate.record.boot)
         return own
 
-    def owners_of_open(self) -> set[NetworkAddress]:
-        """Return the nodes that run batch jobs: one more would share their processor."""
+    def open_batch_owners(self) -> set[NetworkAddress]:
+        """Return the nodes that own open batch jobs, as far as known."""
         return {
             owner.record.address
-            for owner in self._known.values()
+            for owner in self._cached.values()
             if owner.record.state is OwnerState.OPEN
         }
 
     def recent_owners(self, stream: BatchStream) -> list[NetworkAddress]:
-        """Return the other nodes that have lately owned batch jobs of a stream."""
+        """Return the other nodes that recently owned batch jobs of a stream."""
         owners = self._streams.get(stream)
         if owners is None:
             return []
         return [address for address in owners.latest if address != self._identity.address]
 
     async def hand_over(self, spec: BatchSpec, owner: StoredOwner) -> bool:
-        """Give a batch job to the owner that the store names; return whether it took it."""
+        """Send a batch job to its designated owner; return whether that accepted it."""
         request = OwnBatch(spec=spec, owner=owner)
         try:
-            reply = await self._peers.call(owner.record.address, request, HAND_OVER_SECONDS)
+            reply = await self._peers.call(owner.record.address, request, HAND_OVER_TIMEOUT_SECONDS)
         except PeerUnavailableError:
             reply = UnavailableReply()
         log_event(
@@ -147,59 +147,63 @@
         )
         return isinstance(reply, DoneReply)
 
-    def is_own_boot(self, record: OwnerRecord) -> bool:
-        """Return whether this very process wrote a record."""
+    def is_own_process(self, record: OwnerRecord) -> bool:
+        """Return whether a record names this process."""
         return record.boot == self._identity.boot
 
     def is_own_address(self, record: OwnerRecord) -> bool:
-        """Return whether this process or an earlier one of its machine wrote a record."""
+        """Return whether a record names this process or an earlier one at its address."""
         return record.address == self._identity.address
 
-    def note(self, notice: OwnerNotice) -> None:
-        """Remember what another node tells."""
-        known = self._known.get(notice.batch_id)
+    def handle_notice(self, notice: OwnerNotice) -> None:
+        """Cache the owner from another node's notice, unless a newer one is known."""
+        known = self._cached.get(notice.batch_id)
         if known is None or known.revision < notice.owner.revision:
-            self._remember(notice.batch_id, notice.owner)
+            self._cache_owner(notice.batch_id, notice.owner)
 
     def announce(self, batch_id: BatchId, owner: StoredOwner) -> None:
-        """Remember an owner and tell the other nodes."""
-        self._remember(batch_id, owner)
+        """Cache an owner and notify the other nodes."""
+        self._cache_owner(batch_id, owner)
         self._announce(OwnerNotice(batch_id=batch_id, owner=owner))
 
     def forget(self, batch_id: BatchId) -> None:
-        """Read the owner again next time."""
-        self._known.pop(batch_id, None)
+        """Drop a cached owner, so that it is read from the store again."""
+        self._cached.pop(batch_id, None)
 
-    def _note_stream(self, owner: StoredOwner) -> None:
+    def _record_stream_owner(self, owner: StoredOwner) -> None:
         stream = owner.record.stream
         address = owner.record.address
         now = self._clock.monotonic()
         known = self._streams.get(stream)
         if known is None:
-            if len(self._streams) >= KNOWN_STREAMS:
+            if len(self._streams) >= MAX_CACHED_STREAMS:
                 self._streams.pop(next(iter(self._streams)))
-            known = self._streams[stream] = _StreamOwners(latest={}, named_at={})
-        known.named_at[address] = now
+            known = self._streams[stream] = _StreamOwners(latest={}, last_seen_at={})
+        known.last_seen_at[address] = now
         newest = known.latest.get(address)
         if newest is None or owner.revision > newest.revision:
             known.latest[address] = owner
-        for old in [a for a, at in known.named_at.items() if at < now - RECENT_OWNER_SECONDS]:
-            del known.named_at[old], known.latest[old]
-
-    def _remember(self, batch_id: BatchId, owner: StoredOwner) -> None:
-        self._note_stream(owner)
-        if len(self._known) >= KNOWN_OWNERS:
-            self._known.pop(next(iter(self._known)))
-        self._known[batch_id] = owner
+        for old in [
+            a
+            for a, seen_at in known.last_seen_at.items()
+            if seen_at < now - RECENT_OWNER_TTL_SECONDS
+        ]:
+            del known.last_seen_at[old], known.latest[old]
+
+    def _cache_owner(self, batch_id: BatchId, owner: StoredOwner) -> None:
+        self._record_stream_owner(owner)
+        if len(self._cached) >= MAX_CACHED_OWNERS:
+            self._cached.pop(next(iter(self._cached)))
+        self._cached[batch_id] = owner
 
     async def find(self, batch_id: BatchId, deadline: float) -> StoredOwner:
-        """Return a batch job's owner as known here, else as the store has it.
+        """Return a batch job's owner, from the cache or the store.
 
         Raises:
-            BatchNotFoundError: There is no such batch job.
+            BatchNotFoundError: The batch job does not exist.
             BatchUnavailableError: The store did not answer before the deadline.
         """
-        known = self._known.get(batch_id)
+        known = self._cached.get(batch_id)
         if known is not None:
             return known
         while True:
@@ -207,12 +211,12 @@
                 owner = await self._ledger.read_owner(batch_id)
                 break
             except KeyValueError as error:
-                await self.pause_until(deadline, error)
-        self._remember(batch_id, owner)
+                await self.wait_before_retry(deadline, error)
+        self._cache_owner(batch_id, owner)
         return owner
 
-    async def pause_until(self, deadline: float, error: KeyValueError) -> None:
-        """Wait before the store is asked again.
+    async def wait_before_retry(self, deadline: float, error: KeyValueError) -> None:
+        """Wait before the store is read again.
 
         Raises:
             BatchUnavailableError: The deadline would pass.
@@ -221,21 +225,23 @@
             raise BatchUnavailableError(error.code) from error
         await self._clock.sleep(STORE_RETRY_SECONDS)
 
-    async def ask(
+    async def call_owner(
         self, owner: StoredOwner, request: OwnerRequest, wait_seconds: float = 0.0
     ) -> PeerReply:
         """Return an owner's reply.
 
-        :class:`NotOwnerReply` also if nobody listens at its address, or if it is this node's:
-        the process that owned the batch job has ended, or has let it go.
-        :class:`UnavailableReply` if no reply came: it may stand still, or be cut off.
-        :class:`BusyReply` if no reply came in time from a node that is alive.
+        :class:`NotOwnerReply` also if no process listens at its address, or if the address is this
+        node's: the owning process has ended or dropped the batch job.
+        :class:`UnavailableReply` if no reply came: the owner may be stalled or unreachable.
+        :class:`BusyReply` if no reply came in time but the node answers pings.
         """
         if self.is_own_address(owner.record):
             return NotOwnerReply()
         address = owner.record.address
         try:
-            return await self._peers.call(address, request, wait_seconds + PEER_SLACK_SECONDS)
+            return await self._peers.call(
+                address, request, wait_seconds + PEER_TIMEOUT_MARGIN_SECONDS
+            )
         except PeerGoneError:
             log_event(
                 "batch_owner_gone", level="WARNING", batch=request.batch_id, owner=str(address)
@@ -254,23 +260,23 @@
             return UnavailableReply()
 
     async def _is_alive(self, address: NetworkAddress) -> bool:
-        """Return whether a node that did not answer in time only has much to do, or to send."""
+        """Return whether a node that did not answer in time responds to a ping."""
         try:
-            await self._peers.call(address, Ping(), PING_SECONDS)
+            await self._peers.call(address, Ping(), PING_TIMEOUT_SECONDS)
         except PeerUnavailableError:
             return False
         return True
 
-    async def ask_results(
+    async def read_results_from(
         self, owner: StoredOwner, batch_id: BatchId, position: int, wait_seconds: float
     ) -> PeerReply:
-        """Ask an owner until it has results from a position on or the time is up."""
+        """Read from an owner until it returns results or the time is up."""
         until = self._clock.monotonic() + wait_seconds
         while True:
             remaining = max(0.0, until - self._clock.monotonic())
-            wait = min(remaining, OWNER_WAIT_SECONDS)
+            wait = min(remaining, OWNER_POLL_SECONDS)
             request = ReadResults(batch_id=batch_id, position=position, wait_seconds=wait)
-            reply = await self.ask(owner, request, wait)
+            reply = await self.call_owner(owner, request, wait)
             if not isinstance(reply, PageReply) or remaining <= wait:
                 return reply
             if reply.page.results or position >= reply.page.total:
--- a/drumbay/batches/places.py
+++ b/drumbay/batches/places.py
@@ -1,4 +1,4 @@
-"""The places at workers that batch jobs hold and still want, as owners tell each other."""
+"""Slot usage and demand of batch jobs, as owners exchange it."""
 
 from collections.abc import Mapping
 
@@ -8,31 +8,30 @@
 from drumbay.identifiers import BackendId
 
 TIME_SLOT_SECONDS = 0.25
-"""Times of day are told by the number of their slot of this length: a fraction of the time that an
-item takes, so that a few numbers say when hundreds of items must start."""
+"""Resolution of exchanged times; coarse enough to group the start times of many items."""
 
 
 class JobPlaces(msgspec.Struct, frozen=True, kw_only=True):
-    """One batch job: what it holds and wants at the workers of its service.
+    """Slots that one batch job uses and needs at the workers of its service.
 
-    Times of day are the owner's, given by the number of a slot of :data:`TIME_SLOT_SECONDS`.
+    Wall-clock times are the owner's, as numbers of time slots of :data:`TIME_SLOT_SECONDS`.
 
     Attributes:
         batch_id: The batch job.
         service: The service whose workers run its items.
-        model: The model that the items ask for.
-        priority: Its rank; 0 goes first.
-        is_open: Whether it is; an ended one still holds places for items that may come back.
+        model: The model that the items request.
+        priority: Its priority; 0 goes first.
+        is_open: Whether it is open; an ended one uses slots while its runs linger.
         began_slot: When it was submitted.
-        due_slot: When its step is due; ``None`` if nothing says so.
-        missed: How many steps of its trainer before it were late, in a row.
+        due_slot: When its step is due; ``None`` if unknown.
+        missed: Late streak: how many consecutive steps of its trainer before it were late.
         missing_groups: How many groups its trainer still waits for.
-        running: Runs by worker.
-        waiting: Items that need a place and have none.
-        startable: How many of these could start, were all places free that suit them.
-        starts: How many of these must start by which slot, so that they are in time.
-        work_seconds: For how long one place would be taken by what the trainer still waits for,
-            that which runs included.
+        running: Number of runs by worker.
+        waiting: Number of items that wait for a slot.
+        startable: How many of these could start if all usable slots were free.
+        starts: How many of these must start by which time slot for the step to be in time.
+        work_seconds: Slot-seconds needed for what the trainer still waits for, including runs in
+            progress.
     """
 
     batch_id: BatchId
@@ -52,22 +51,22 @@
 
     @property
     def wanted(self) -> int:
-        """Return how many places it could use now, those that it holds included."""
+        """Return how many slots the job could use now, including those in use."""
         return self.startable + sum(self.running.values())
 
     @property
     def deferrable(self) -> int:
-        """Return how many startable items are late already, or waited for by nobody."""
+        """Return how many startable items are late or not needed by the trainer."""
         return self.startable - sum(self.starts.values())
 
 
 class NoticeNumber(msgspec.Struct, frozen=True):
-    """The number of a notice, counted by one process of its sender."""
+    """Sequence number of a notice, counted by one process of the sender."""
 
     boot: str
     number: int
 
 
 def time_slot(wall_seconds: float) -> int:
-    """Return the number of the slot that a time of day falls into."""
+    """Return the number of the time slot that contains a wall-clock time."""
     return int(wall_seconds // TIME_SLOT_SECONDS)
--- a/drumbay/batches/progress.py
+++ b/drumbay/batches/progress.py
@@ -1,4 +1,4 @@
-"""Saves the texts of long items under way, so that a new owner need not make them again."""
+"""Saves partial texts of long items, from which a new owner resumes."""
 
 from collections.abc import Callable
 
@@ -12,12 +12,12 @@
 from drumbay.kv.interface import KeyValueError
 
 SAVE_INTERVAL_SECONDS = 1.0
-SAVED_EVENTS = 20
-"""Items with so many events are saved: they would take long to make again."""
+MIN_SAVED_EVENTS = 20
+"""Items with fewer events are cheap to generate again and are not saved."""
 
 
-class _Saved(msgspec.Struct, frozen=True, kw_only=True):
-    """How many texts of an item are saved, of which generation, and whether as a whole one."""
+class _SavedState(msgspec.Struct, frozen=True, kw_only=True):
+    """What is saved of an item: event count, generation, and whether the text is complete."""
 
     count: int
     generation: int
@@ -25,7 +25,7 @@
 
 
 class ProgressSaver:
-    """Writes what came since the last time, while items are unfinished."""
+    """Saves new events periodically while items are unfinished."""
 
     def __init__(
         self,
@@ -36,17 +36,17 @@
         scheduler: BatchScheduler,
         on_saved: Callable[[], None],
     ) -> None:
-        """Save what ``scheduler`` has; call ``on_saved`` after each write that stands."""
+        """Save the progress of ``scheduler``; ``on_saved`` is called after each write."""
         self._clock = clock
         self._ledger = ledger
         self._batch_id = batch_id
         self._revision = revision
         self._scheduler = scheduler
         self._on_saved = on_saved
-        self._saved: dict[ItemId, _Saved] = {}
+        self._saved: dict[ItemId, _SavedState] = {}
 
     async def run(self) -> None:
-        """Save each piece once until every item is finished, or the ownership is lost."""
+        """Save each piece once until all items are finished or the ownership is lost."""
         number = 0
         while not self._scheduler.is_finished:
             await self._clock.sleep(SAVE_INTERVAL_SECONDS)
@@ -59,7 +59,7 @@
                     self._batch_id, self._revision, number, pieces
                 )
             except KeyValueError:
-                # Pieces must follow each other: whole texts are sent next time.
+                # Pieces must be contiguous, so full texts are saved next time.
                 self._saved.clear()
                 continue
             if not is_owner:
@@ -67,16 +67,16 @@
             self._on_saved()
 
     def _new_pieces(self) -> tuple[PartialText, ...]:
-        """Return what came since the last call, and count it as saved."""
+        """Return the events since the last call, and mark them as saved."""
         pieces: list[PartialText] = []
-        for text in self._scheduler.progress(SAVED_EVENTS):
-            before = self._saved.get(text.item_id)
-            is_same = before is not None and before.generation == text.generation
-            count = before.count if before is not None and is_same else 0
-            was_complete = before is not None and is_same and before.complete
+        for text in self._scheduler.progress(MIN_SAVED_EVENTS):
+            saved = self._saved.get(text.item_id)
+            is_same = saved is not None and saved.generation == text.generation
+            count = saved.count if saved is not None and is_same else 0
+            was_complete = saved is not None and is_same and saved.complete
             if len(text.texts) <= count and text.complete == was_complete:
                 continue
-            self._saved[text.item_id] = _Saved(
+            self._saved[text.item_id] = _SavedState(
                 count=len(text.texts), generation=text.generation, complete=text.complete
             )
             piece = msgspec.structs.replace(text, texts=text.texts[count:], first=count == 0)
--- a/drumbay/batches/records.py
+++ b/drumbay/batches/records.py
@@ -14,9 +14,9 @@
 
 
 class RewardRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """The request whose answer scores an item's text, made once the text is whole.
+    """A request that scores the complete text of an item.
 
-    A scoring service answers it, by the route of ``host`` and ``target``. It may be repeated.
+    A scoring service answers it, through the route of ``host`` and ``target``. It may be repeated.
     """
 
     request_id: str
@@ -26,16 +26,17 @@
 
 
 class Reward(msgspec.Struct, frozen=True, kw_only=True):
-    """A text's score: the stamp of the answer to the reward request of that identifier."""
+    """Score of a text: the stamp of the response to the reward request ``request_id``."""
 
     request_id: str
     stamp: str
 
 
 class BatchItem(msgspec.Struct, frozen=True, kw_only=True):
-    """One request of a batch job. ``token_limit`` counts the prompt and the longest output.
+    """One request of a batch job.
 
-    An item with a ``reward_request`` is finished once its text is whole and scored.
+    ``token_limit`` covers the prompt and the longest possible output. An item with a
+    ``reward_request`` is finished once its text is complete and scored.
     """
 
     item_id: ItemId
@@ -48,28 +49,28 @@
     reward_request: RewardRequest | None = None
 
     def accepts(self, reward: Reward | None) -> bool:
-        """Return whether a whole text with this score, or none, is a finished item."""
+        """Return whether a complete text with this score, or none, finishes the item."""
         if self.reward_request is None:
             return True
         return reward is not None and reward.request_id == self.reward_request.request_id
 
 
 class BatchStream(msgspec.Struct, frozen=True, kw_only=True):
-    """The batch jobs that follow each other: those of one model at one service."""
+    """Identifies the successive batch jobs of one model at one service."""
 
     service: str
     model: str
 
 
 class BatchSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """A batch job as its client submitted it.
-
-    ``queue_limit_seconds`` is how long after the submission an item may be given up.
-    ``one_version_only`` asks that one weight version makes all of an item's text.
-    ``tenant`` is the one whose key submitted it: its items run for that tenant, whatever
-    becomes of the key. ``None`` where no keys are asked for. ``priority`` is its rank when it was
-    submitted: 0 goes first. Its results are due after ``due_seconds``, if anything says when.
-    ``submitted_at`` is the time of day at which a node took it, in Unix seconds; 0 if not known.
+    """A batch job as submitted by its client.
+
+    ``queue_limit_seconds`` is the time after submission at which unfinished items are given up.
+    ``one_version_only`` requires that a single weight version generates all of an item's text.
+    ``tenant`` is the tenant whose key submitted the job and on whose behalf its items run, even if
+    the key is revoked later; ``None`` without authentication. ``priority`` is its priority at
+    submission: 0 goes first. Its results are due after ``due_seconds``, if known. ``submitted_at``
+    is when a node accepted it, in Unix seconds; 0 if unknown.
     """
 
     batch_id: BatchId
@@ -91,7 +92,7 @@
 
     @property
     def stream(self) -> BatchStream:
-        """Return the stream that the batch job belongs to."""
+        """Return the stream of the batch job."""
         return BatchStream(service=self.service, model=self.model)
 
 
@@ -103,7 +104,7 @@
 
 
 class ItemResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The end of an item; its position in the batch job never changes."""
+    """Final result of an item; its position in the batch job's results never changes."""
 
     item_id: ItemId
     state: ResultState
@@ -112,17 +113,16 @@
     reward: Reward | None = None
 
     def size_bytes(self) -> int:
-        """Return about how many bytes the result takes on the wire."""
+        """Return the approximate encoded size."""
         return len(self.text) + 128
 
 
 class PartialText(msgspec.Struct, frozen=True, kw_only=True):
-    """What was made of an item that is not finished: events up to a number.
+    """Text generated so far for an unfinished item.
 
-    ``first`` says that the texts begin with the first event; otherwise they continue an
-    earlier piece. ``versions`` are those of the whole text up to here. ``generation`` grows
-    when an item's text is thrown away and made again. ``reward`` is the score of a complete
-    text, if it has one.
+    ``first`` is true if the texts start with the first event; otherwise they continue an earlier
+    piece. ``versions`` covers the text from its start. ``generation`` increases when the text is
+    discarded and generated again. ``reward`` is the score of a complete text, if available.
     """
 
     item_id: ItemId
@@ -136,14 +136,14 @@
 
 
 class ReturnedItems(msgspec.Struct, frozen=True, kw_only=True):
-    """Items of a batch job that an earlier one had left unfinished, and their usable texts."""
+    """Resubmitted items, known from an earlier batch job, and their reusable texts."""
 
     item_ids: tuple[ItemId, ...] = ()
     partial_texts: tuple[PartialText, ...] = ()
 
 
 class ResultPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Results from ``position`` on; ``total`` counts the items of the batch job."""
+    """Results from ``position`` on; ``total`` is the number of items in the batch job."""
 
     total: int
     position: int
@@ -156,17 +156,17 @@
 
 
 class OwnerState(StrEnum):
-    """Whether a batch job takes more results."""
+    """Whether a batch job accepts further results."""
 
     OPEN = "open"
     ENDED = "ended"
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Who runs a batch job: the node's address and the boot of its process.
+    """The owner of a batch job: the node's address and the boot identifier of its process.
 
-    ``tenant`` stands here too, so that a node can tell whose an ended batch job is without
-    reading its texts.
+    ``tenant`` is repeated here, so that access to an ended batch job can be checked without reading
+    its specification.
     """
 
     address: NetworkAddress
@@ -178,7 +178,7 @@
 
 
 class StoredOwner(msgspec.Struct, frozen=True, kw_only=True):
-    """An owner record and the revision that fences its writes."""
+    """An owner record and its revision, the fencing token of the owner's writes."""
 
     record: OwnerRecord
     revision: Revision
@@ -187,12 +187,12 @@
 def page_of(
     results: list[ItemResult] | tuple[ItemResult, ...], total: int, position: int, size_bytes: int
 ) -> ResultPage:
-    """Return the results from a position on: at least one if there is one, bounded in size."""
-    taken: list[ItemResult] = []
+    """Return results from a position on: at least one if available, otherwise up to a size."""
+    page: list[ItemResult] = []
     used_bytes = 0
     for result in results[position:]:
         used_bytes += result.size_bytes()
-        if taken and used_bytes > size_bytes:
+        if page and used_bytes > size_bytes:
             break
-        taken.append(result)
-    return ResultPage(total=total, position=position, results=tuple(taken))
+        page.append(result)
+    return ResultPage(total=total, position=position, results=tuple(page))
--- a/drumbay/batches/listing.py
+++ b/drumbay/batches/result_log.py
@@ -1,4 +1,4 @@
-"""Lists the results of one owned batch job durably, and serves them to readers."""
+"""Appends the results of an owned batch job to the store and serves them to readers."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -13,29 +13,30 @@
 from drumbay.observability.logs import log_event
 
 FLUSH_INTERVAL_SECONDS = 0.4
-"""Results wait this long for others: each write is one priced call to the store."""
+"""Results are collected for this long, since each store write has a cost."""
 
-LAST_FLUSH_INTERVAL_SECONDS = 1.0
-"""The same while few items are left, whose results come one by one. A trainer that has just read
-pauses for half a second: results listed shortly before the last ones make it read those late."""
+TAIL_FLUSH_INTERVAL_SECONDS = 1.0
+"""Flush interval while few items are left. It exceeds a trainer's pause between reads, so that the
+last results are not delayed by a read of the ones shortly before.
+"""
 
-URGENT_FLUSH_SECONDS = 0.03
-"""An urgent result hardly waits: only for those that end in the same moment, less than one event of
-0.04 s apart."""
+URGENT_FLUSH_DELAY_SECONDS = 0.03
+"""An urgent result waits only for results that finish at the same moment."""
 
-FLUSH_BYTES = 500_000
-PAGE_BYTES = 900_000
+MAX_FLUSH_BYTES = 500_000
+RESULT_PAGE_BYTES = 900_000
 STORE_RETRY_SECONDS = 0.15
-OWNER_CHECK_SECONDS = 1.2
-"""Without a successful write for this long, the owner lists what it has, or else asks the store
-whether it still owns. A little longer than results and saved texts wait for a write."""
+OWNER_CHECK_INTERVAL_SECONDS = 1.2
+"""Ownership is verified after this long without a successful write. Longer than results and partial
+texts wait for a write.
+"""
 
-WATCH_OWNER_SECONDS = 6.0
-"""How often the owner of a wholly listed batch job looks whether it has ended."""
+OWNER_WATCH_INTERVAL_SECONDS = 6.0
+"""Interval of ownership checks once all results are listed."""
 
 
-class ResultListing:
-    """The results of a batch job: those that the store has, and those that it shall get."""
+class ResultLog:
+    """The results of a batch job: those listed in the store, and pending ones."""
 
     def __init__(
         self,
@@ -48,15 +49,15 @@
         flush_interval_seconds: Callable[[], float],
         on_lost: Callable[[BatchError], None],
     ) -> None:
-        """Create a listing.
+        """Create the log.
 
         Args:
             clock: Time.
-            ledger: Where results are listed.
+            ledger: Stores the results.
             spec: The batch job.
             revision: The owner's revision in the ledger.
-            listed: Results that stand in the store already.
-            flush_interval_seconds: Returns how long results wait for others.
+            listed: Results that the store contains already.
+            flush_interval_seconds: Returns how long results are collected before a write.
             on_lost: Called once when another node owns the batch job, or it has ended.
         """
         self._clock = clock
@@ -71,26 +72,26 @@
         self._pending_changed = asyncio.Event()
         self._urgent = asyncio.Event()
         self._listed_changed = asyncio.Event()
-        self._confirmed_at = clock.monotonic()
+        self._ownership_confirmed_at = clock.monotonic()
         self._closed = False
 
     @property
     def listed_count(self) -> int:
-        """Return how many results the store has."""
+        """Return the number of stored results."""
         return len(self._listed)
 
     @property
-    def is_whole(self) -> bool:
-        """Return whether every item is listed."""
+    def is_complete(self) -> bool:
+        """Return whether the results of all items are stored."""
         return len(self._listed) == len(self._spec.items)
 
     @property
     def results(self) -> tuple[ItemResult, ...]:
-        """Return all results, also those that the store has not taken yet."""
+        """Return all results, including pending ones."""
         return (*self._listed, *self._pending)
 
     def add(self, result: ItemResult, *, is_urgent: bool) -> None:
-        """List a result soon; an urgent one, with all that wait, at once."""
+        """Queue a result; an urgent one triggers an early flush."""
         if not self._pending:
             self._pending_since = self._clock.monotonic()
         self._pending.append(result)
@@ -98,22 +99,22 @@
         if is_urgent:
             self._urgent.set()
 
-    def confirm(self) -> None:
-        """Note that the store has just taken a write of this owner."""
-        self._confirmed_at = self._clock.monotonic()
+    def confirm_ownership(self) -> None:
+        """Record that the store has just accepted a write of this owner."""
+        self._ownership_confirmed_at = self._clock.monotonic()
 
     def close(self) -> None:
-        """Let waiting readers go."""
+        """Wake waiting readers."""
         self._closed = True
-        self._announce()
+        self._notify_readers()
 
     async def read(self, position: int, wait_seconds: float, size_bytes: int) -> ResultPage:
-        """Return results from a position on, waiting until there is one or time is up.
+        """Return results from a position on, waiting until there is one or the time is up.
 
         The page has at least one result if there is one, and otherwise up to ``size_bytes``.
         """
         deadline = self._clock.monotonic() + wait_seconds
-        while len(self._listed) <= position and not self._closed and not self.is_whole:
+        while len(self._listed) <= position and not self._closed and not self.is_complete:
             remaining = deadline - self._clock.monotonic()
             if remaining <= 0:
                 break
@@ -123,25 +124,25 @@
         return page_of(self._listed, len(self._spec.items), position, size_bytes)
 
     async def run(self) -> None:
-        """List results until all are, then watch the ownership, until it is lost."""
+        """Write results until all are listed, then check the ownership until it is lost."""
         try:
-            while not self.is_whole:
-                await self._wait_until(self._pending_changed, self._check_due_at())
+            while not self.is_complete:
+                await self._wait_until(self._pending_changed, self._next_check_at())
                 self._pending_changed.clear()
-                await self._list_pending()
+                await self._flush_pending()
                 await self._check_owner()
             log_event("batch_listed", batch=self._spec.batch_id, items=len(self._listed))
             while True:
-                await self._clock.sleep(WATCH_OWNER_SECONDS)
+                await self._clock.sleep(OWNER_WATCH_INTERVAL_SECONDS)
                 await self._check_owner()
         except BatchError as error:
             self._on_lost(error)
 
-    def _check_due_at(self) -> float:
-        return self._confirmed_at + OWNER_CHECK_SECONDS
+    def _next_check_at(self) -> float:
+        return self._ownership_confirmed_at + OWNER_CHECK_INTERVAL_SECONDS
 
     async def _wait_until(self, event: asyncio.Event, until: float) -> None:
-        """Wait for an event, at the longest until a monotonic time."""
+        """Wait for an event, at most until a monotonic time."""
         remaining_seconds = until - self._clock.monotonic()
         if remaining_seconds <= 0 or event.is_set():
             return
@@ -149,33 +150,33 @@
             async with asyncio.timeout(remaining_seconds):
                 await event.wait()
 
-    async def _list_pending(self) -> None:
+    async def _flush_pending(self) -> None:
         if not self._pending:
             return
         flush_at = self._pending_since + self._flush_interval_seconds()
-        await self._wait_until(self._urgent, min(flush_at, self._check_due_at()))
+        await self._wait_until(self._urgent, min(flush_at, self._next_check_at()))
         if self._urgent.is_set():
-            await self._clock.sleep(URGENT_FLUSH_SECONDS)
+            await self._clock.sleep(URGENT_FLUSH_DELAY_SECONDS)
         self._urgent.clear()
         while self._pending:
-            count = self._fitting()
+            count = self._flush_size()
             await self._append(tuple(self._pending[:count]))
             self._listed.extend(self._pending[:count])
             del self._pending[:count]
             self._pending_since = self._clock.monotonic()
-            self._announce()
+            self._notify_readers()
 
-    def _fitting(self) -> int:
+    def _flush_size(self) -> int:
         used_bytes = 0
-        some = self._pending[:RESULTS_PER_WRITE]
-        for count, result in enumerate(some):
+        candidates = self._pending[:RESULTS_PER_WRITE]
+        for count, result in enumerate(candidates):
             used_bytes += result.size_bytes()
-            if count and used_bytes > FLUSH_BYTES:
+            if count and used_bytes > MAX_FLUSH_BYTES:
                 return count
-        return len(some)
+        return len(candidates)
 
     async def _append(self, results: tuple[ItemResult, ...]) -> None:
-        """Write results, always the same, until the store says that they stand."""
+        """Write results, retrying unchanged until the store confirms them."""
         position = len(self._listed)
         while True:
             try:
@@ -190,7 +191,7 @@
                 )
                 await self._clock.sleep(STORE_RETRY_SECONDS)
                 continue
-            self.confirm()
+            self.confirm_ownership()
             log_event(
                 "results_listed",
                 batch=self._spec.batch_id,
@@ -200,7 +201,7 @@
             return
 
     async def _check_owner(self) -> None:
-        if self._clock.monotonic() < self._check_due_at():
+        if self._clock.monotonic() < self._next_check_at():
             return
         try:
             await self._ledger.check_owner(self._spec.batch_id, self._revision)
@@ -213,8 +214,8 @@
             )
             await self._clock.sleep(STORE_RETRY_SECONDS)
             return
-        self.confirm()
+        self.confirm_ownership()
 
-    def _announce(self) -> None:
+    def _notify_readers(self) -> None:
         self._listed_changed.set()
         self._listed_changed = asyncio.Event()
--- a/drumbay/batches/retention.py
+++ b/drumbay/batches/retention.py
@@ -1,6 +1,6 @@
-"""Removes ended batch jobs from the store once nobody may read them any more.
+"""Deletes ended batch jobs from the store after their retention time.
 
-The leader looks now and again. A batch job that has not ended stays, however old it is.
+The leader sweeps periodically. Open batch jobs are kept regardless of their age.
 """
 
 from collections.abc import Callable
@@ -13,12 +13,12 @@
 from drumbay.observability.logs import log_event
 
 SWEEP_INTERVAL_SECONDS = 120.0
-MARGIN_SECONDS = 120.0
-"""Added to the time that results must stay: clocks of machines differ by seconds."""
+CLOCK_SKEW_MARGIN_SECONDS = 120.0
+"""Added to the retention time to allow for clock skew between machines."""
 
 
 class BatchRetention:
-    """Deletes what has been kept long enough, while this node leads."""
+    """Deletes expired batch jobs while this node is the leader."""
 
     def __init__(
         self,
@@ -27,14 +27,14 @@
         keep_seconds: float,
         is_leader: Callable[[], bool],
     ) -> None:
-        """Keep batch jobs for ``keep_seconds`` after their submission, and a margin."""
+        """Keep batch jobs for ``keep_seconds`` after their submission, plus a margin."""
         self._clock = clock
         self._ledger = ledger
         self._keep_seconds = keep_seconds
         self._is_leader = is_leader
 
     async def run(self) -> None:
-        """Sweep now and again until cancelled."""
+        """Sweep periodically until cancelled."""
         while True:
             await self._clock.sleep(SWEEP_INTERVAL_SECONDS)
             if not self._is_leader():
@@ -45,9 +45,9 @@
                 log_event("batch_sweep_failed", level="WARNING", error=error.code)
 
     async def sweep(self) -> None:
-        """Delete every ended batch job that is old enough."""
-        limit = self._clock.wall() - self._keep_seconds - MARGIN_SECONDS
-        for batch_id in await self._ledger.submitted_before(limit):
+        """Delete every ended batch job past its retention time."""
+        cutoff = self._clock.wall() - self._keep_seconds - CLOCK_SKEW_MARGIN_SECONDS
+        for batch_id in await self._ledger.submitted_before(cutoff):
             if await self._has_ended(batch_id):
                 await self._ledger.delete(batch_id)
                 log_event("batch_deleted", batch=batch_id)
@@ -56,6 +56,6 @@
         try:
             owner = await self._ledger.read_owner(batch_id)
         except BatchNotFoundError:
-            # An earlier deletion came as far as the owner record.
+            # An earlier, interrupted deletion removed the owner record.
             return True
         return owner.record.state is OwnerState.ENDED
--- a/drumbay/batches/reward_scorer.py
+++ b/drumbay/batches/reward_scorer.py
@@ -1,7 +1,6 @@
-"""Makes the reward requests of items: one scoring service's answer becomes a text's score.
+"""Sends the reward requests of items to scoring services.
 
-A reward request goes the way of a client's request, through the forwarder, by the route that
-is in force when it is made.
+A reward request is forwarded like a client request, by the route in effect when it is sent.
 """
 
 import asyncio
@@ -12,7 +11,7 @@
 import msgspec
 
 from drumbay.batches.records import Reward, RewardRequest
-from drumbay.batches.scoring_places import ScoringPlaces, Ticket, place_limit
+from drumbay.batches.scoring_slots import ScoringSlots, Ticket, slot_limit
 from drumbay.clock import Clock
 from drumbay.exceptions import UnavailableError
 from drumbay.forwarding.forwarder import Forwarder
@@ -23,28 +22,28 @@
 from drumbay.workers.directory import WorkerDirectory
 
 REWARD_BUDGET_SECONDS = 2.0
-"""How long workers are given for one reward request; after that it is made again."""
+"""Time limit for one reward request, after which it is sent again."""
 
 ADMIT_INTERVAL_SECONDS = 0.1
-"""A request that waits looks so often whether workers have come or have become free."""
+"""Interval at which waiting requests check for free slots."""
 
 
 class RewardFailure(StrEnum):
-    """Why a reward request brought no score."""
+    """Why a reward request returned no score."""
 
     NO_ROUTE = "no_route"
     NOT_SERVED = "not_served"
     REJECTED = "rejected"
 
 
-class RewardNotGivenError(UnavailableError):
-    """A reward request brought no score.
+class RewardUnavailableError(UnavailableError):
+    """A reward request returned no score.
 
     Attributes:
         reason: Why.
-        worker_failures: How many workers ran the request and failed.
-        attempts: How many workers the route allows; 0 if there is no route.
-        retry_after_seconds: Before then the request would not be sent.
+        worker_failures: How many workers executed the request and failed.
+        attempts: How many attempts the route allows; 0 if there is no route.
+        retry_after_seconds: Minimum delay before the request can be sent again.
     """
 
     code = "reward_not_given"
@@ -56,7 +55,7 @@
         attempts: int,
         retry_after_seconds: float = 0.0,
     ) -> None:
-        """Store what is known."""
+        """Store the details of the failure."""
         super().__init__(reason)
         self.reason = reason
         self.worker_failures = worker_failures
@@ -65,7 +64,7 @@
 
 
 class RewardScorer:
-    """Scores the texts of all batch jobs of one node."""
+    """Scores the texts of all batch jobs of a node."""
 
     def __init__(
         self,
@@ -80,8 +79,8 @@
         Args:
             clock: Time.
             forwarder: Sends the requests.
-            routes: The configuration in force.
-            directory: The workers, whose places bound the requests under way.
+            routes: The current configuration.
+            directory: The workers, whose slots limit the concurrent requests.
             metrics: Counts the requests.
         """
         self._clock = clock
@@ -92,35 +91,35 @@
         self._queues: dict[str, _ScoringQueue] = {}
 
     async def score(self, request: RewardRequest, order: RewardOrder) -> Reward:
-        """Return the score of a whole text.
+        """Return the score of a complete text.
 
         Args:
             request: The reward request.
-            order: Which reward requests go first.
+            order: Determines which reward requests go first.
 
         Raises:
-            RewardNotGivenError: No score came.
+            RewardUnavailableError: No score was obtained.
         """
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         outcome = "cancelled"
         try:
             route = self._route(request)
-            async with self._queue(route).place(order.batch_started_at):
-                reward = await self._ask(request, order)
+            async with self._queue(route).slot(order.batch_started_at):
+                reward = await self._send(request, order)
             outcome = "scored"
             return reward
-        except RewardNotGivenError as error:
+        except RewardUnavailableError as error:
             outcome = error.reason
             raise
         finally:
-            self._metrics.count_reward(outcome, self._clock.monotonic() - asked_at)
+            self._metrics.count_reward(outcome, self._clock.monotonic() - requested_at)
 
     def _route(self, request: RewardRequest) -> Route:
         current = self._routes.current
         route = current.find(request.host, request.target) if current is not None else None
         if route is None:
-            raise RewardNotGivenError(RewardFailure.NO_ROUTE, 0, 0)
-        # It may be repeated, whatever the route allows clients.
+            raise RewardUnavailableError(RewardFailure.NO_ROUTE, 0, 0)
+        # Reward requests are idempotent, whatever the route declares for clients.
         return msgspec.structs.replace(route, kind=RequestKind.IDEMPOTENT)
 
     def _queue(self, route: Route) -> "_ScoringQueue":
@@ -130,7 +129,7 @@
         return queue
 
     def _limit(self, route_name: str) -> int:
-        """Return how many reward requests of a route may be under way now."""
+        """Return how many reward requests of a route may be in flight now."""
         current = self._routes.current
         routes = current.routes if current is not None else ()
         records = [
@@ -140,10 +139,10 @@
             for share in route.shares
             for record in self._directory.of_service(share.service)
         ]
-        return place_limit(records, self._clock.monotonic())
+        return slot_limit(records, self._clock.monotonic())
 
-    async def _ask(self, request: RewardRequest, order: RewardOrder) -> Reward:
-        # The route may have changed while the request waited.
+    async def _send(self, request: RewardRequest, order: RewardOrder) -> Reward:
+        # The route may have changed while the request was queued.
         route = self._route(request)
         outgoing = ClientRequest(
             request_id=request.request_id,
@@ -159,7 +158,7 @@
         try:
             answer = await self._forwarder.forward(route, outgoing)
         except ForwardingError as error:
-            raise RewardNotGivenError(
+            raise RewardUnavailableError(
                 RewardFailure.NOT_SERVED,
                 error.worker_failures,
                 route.attempts,
@@ -167,35 +166,35 @@
             ) from error
         if not 200 <= answer.status < 300:
             log_event("reward_rejected", request=request.request_id, status=answer.status)
-            raise RewardNotGivenError(RewardFailure.REJECTED, 0, route.attempts)
+            raise RewardUnavailableError(RewardFailure.REJECTED, 0, route.attempts)
         return Reward(request_id=request.request_id, stamp=answer.stamp)
 
 
 class _ScoringQueue:
-    """Performs the decisions about the reward requests of one route."""
+    """Limits the concurrent reward requests of one route."""
 
     def __init__(self, limit: Callable[[], int]) -> None:
         self._limit = limit
-        self._places = ScoringPlaces()
+        self._slots = ScoringSlots()
         self._admitted: dict[Ticket, asyncio.Event] = {}
 
     @asynccontextmanager
-    async def place(self, batch_started_at: float) -> AsyncIterator[None]:
-        """Wait for a place and keep it until the context is left."""
-        ticket = self._places.wait(batch_started_at)
+    async def slot(self, batch_started_at: float) -> AsyncIterator[None]:
+        """Wait for a slot and hold it until the context exits."""
+        ticket = self._slots.wait(batch_started_at)
         admitted = self._admitted[ticket] = asyncio.Event()
         try:
-            await self._wait(admitted)
+            await self._wait_for_slot(admitted)
             yield
         finally:
             del self._admitted[ticket]
             if admitted.is_set():
-                self._places.release()
+                self._slots.release()
             else:
-                self._places.leave(ticket)
+                self._slots.cancel(ticket)
             self._admit()
 
-    async def _wait(self, admitted: asyncio.Event) -> None:
+    async def _wait_for_slot(self, admitted: asyncio.Event) -> None:
         self._admit()
         while not admitted.is_set():
             with suppress(TimeoutError):
@@ -204,5 +203,5 @@
             self._admit()
 
     def _admit(self) -> None:
-        for ticket in self._places.admit(self._limit()):
+        for ticket in self._slots.admit(self._limit()):
             self._admitted[ticket].set()
--- a/drumbay/batches/run_failure.py
+++ b/drumbay/batches/run_failure.py
@@ -1,4 +1,4 @@
-"""What a failed run of an item tells: how it ended, and what its worker is good for."""
+"""Classifies failed item runs and records what they reveal about the worker."""
 
 from drumbay.batches.decisions import RunFailure
 from drumbay.workers.directory import WorkerDirectory
@@ -14,14 +14,13 @@
 )
 
 MISDIRECTED_PAUSE_SECONDS = 1.0
-"""Another worker stands at the address: discovery mostly tells of that within a second, and a step
-has little time to pass over a worker that is back."""
+"""Pause of an address that another worker has taken, until discovery catches up."""
 
 
-def observe_failure(
+def record_run_failure(
     directory: WorkerDirectory, worker: Worker, model: str, error: WorkerError, now: float
 ) -> RunFailure:
-    """Note in the directory what a failed run of a model tells; return how the run ended."""
+    """Record a failed run in the directory; return how the run ended."""
     worker_id = worker.worker_id
     worker_start = worker.started_at_ms
     match error:
--- a/drumbay/batches/run_silence.py
+++ b/drumbay/batches/run_silence.py
@@ -1,4 +1,4 @@
-"""Pure: which runs of a batch job have fallen silent, and why each of them is stopped."""
+"""Detects runs of a batch job that have stopped receiving events. No I/O."""
 
 from collections.abc import Iterable, Set
 
@@ -6,62 +6,62 @@
 from drumbay.batches.item_run import ItemRun
 from drumbay.identifiers import BackendId
 
-SILENCE_BEFORE_FIRST_EVENT_SECONDS = 1.6
-SILENCE_BETWEEN_EVENTS_SECONDS = 1.2
-"""A run is stopped after so long without an event: its worker may have preempted it."""
+FIRST_EVENT_TIMEOUT_SECONDS = 1.6
+EVENT_GAP_TIMEOUT_SECONDS = 1.2
+"""A run without events for this long is stopped: its worker may have preempted it."""
 
 SILENCE_OF_A_WORKER_SECONDS = 0.7
-"""A worker that made events and now makes none for any run has gone. Many times the 0.04 s between
-events, and more than a plan may be late by."""
+"""A worker that sent events and has sent none for any run for this long is silent. Well above the
+usual event interval and planning delays.
+"""
 
-LONGEST_PLAN_GAP_SECONDS = 0.4
-"""Plans follow each other by a tenth of a second. After a longer gap this process has stood
-still or was busy, and events that came meanwhile are not read yet."""
+MAX_PLAN_GAP_SECONDS = 0.4
+"""A longer time between two plans means that this process was paused or overloaded, so events that
+arrived meanwhile may be unread.
+"""
 
 
-class RunSilence:
-    """Tells how long runs have been silent, apart from times when this process did not listen."""
+class SilenceDetector:
+    """Measures how long runs have been silent, excluding pauses of this process."""
 
     def __init__(self, now: float) -> None:
-        """Listen from a monotonic time on."""
-        self._planned_at = now
+        """Start listening at a monotonic time."""
+        self._last_plan_at = now
         self._listening_since = now
 
-    def note_plan(self, now: float) -> None:
-        """Note that a plan begins."""
-        if now - self._planned_at > LONGEST_PLAN_GAP_SECONDS:
+    def start_plan(self, now: float) -> None:
+        """Record the start of a planning round."""
+        if now - self._last_plan_at > MAX_PLAN_GAP_SECONDS:
             self._listening_since = now
-        self._planned_at = now
+        self._last_plan_at = now
 
     def silent_workers(self, runs: Iterable[ItemRun], now: float) -> frozenset[BackendId]:
-        """Return the workers that made events of these items and lately make none at all."""
-        heard_at: dict[BackendId, float] = {}
+        """Return the workers that sent events for these runs and have stopped entirely."""
+        last_activity_at: dict[BackendId, float] = {}
         for run in runs:
-            if run.worker_id is not None and run.events_here:
-                latest = heard_at.get(run.worker_id, self._listening_since)
-                heard_at[run.worker_id] = max(latest, run.heard_at)
+            if run.worker_id is not None and run.events_on_worker:
+                latest = last_activity_at.get(run.worker_id, self._listening_since)
+                last_activity_at[run.worker_id] = max(latest, run.last_activity_at)
         limit = SILENCE_OF_A_WORKER_SECONDS
-        return frozenset(worker for worker, latest in heard_at.items() if now - latest > limit)
+        return frozenset(
+            worker for worker, latest in last_activity_at.items() if now - latest > limit
+        )
 
     def is_silent(self, run: ItemRun, silent_workers: Set[BackendId], now: float) -> bool:
-        """Return whether a run has been silent for too long."""
-        silence = now - max(run.heard_at, self._listening_since)
+        """Return whether a run has exceeded its silence timeout."""
+        silence = now - max(run.last_activity_at, self._listening_since)
         if run.worker_id in silent_workers:
             return silence > SILENCE_OF_A_WORKER_SECONDS
-        limit = (
-            SILENCE_BETWEEN_EVENTS_SECONDS
-            if run.events_here
-            else SILENCE_BEFORE_FIRST_EVENT_SECONDS
-        )
+        limit = EVENT_GAP_TIMEOUT_SECONDS if run.events_on_worker else FIRST_EVENT_TIMEOUT_SECONDS
         return silence > limit
 
 
 def silence_reason(
-    run: ItemRun, silent_workers: Set[BackendId], *, is_worker_heard: bool
+    run: ItemRun, silent_workers: Set[BackendId], *, is_worker_active: bool
 ) -> StopReason:
-    """Return why a silent run is stopped; ``is_worker_heard`` if others hear of its worker."""
+    """Return why a silent run is stopped; ``is_worker_active`` if other runs get events."""
     if run.worker_id in silent_workers:
         return StopReason.SILENT
-    if run.events_here:
+    if run.events_on_worker:
         return StopReason.STALLED
-    return StopReason.QUEUED if is_worker_heard else StopReason.UNSTARTED
+    return StopReason.QUEUED if is_worker_active else StopReason.UNSTARTED
--- a/drumbay/batches/runner.py
+++ b/drumbay/batches/runner.py
@@ -1,4 +1,4 @@
-"""Runs one owned batch job: performs the scheduler's decisions and lists what comes of them."""
+"""Runs one owned batch job: executes the scheduler's decisions and lists the results."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -18,12 +18,6 @@
 from drumbay.batches.item_scoring import ItemScoring
 from drumbay.batches.job_share import JobShare
 from drumbay.batches.ledger import BatchLedger
-from drumbay.batches.listing import (
-    FLUSH_INTERVAL_SECONDS,
-    LAST_FLUSH_INTERVAL_SECONDS,
-    ResultListing,
-)
-from drumbay.batches.place_sharing import PlaceSharing
 from drumbay.batches.progress import ProgressSaver
 from drumbay.batches.records import (
     BatchId,
@@ -36,9 +30,15 @@
     ResultState,
     ReturnedItems,
 )
+from drumbay.batches.result_log import (
+    FLUSH_INTERVAL_SECONDS,
+    TAIL_FLUSH_INTERVAL_SECONDS,
+    ResultLog,
+)
 from drumbay.batches.reward_scorer import RewardScorer
-from drumbay.batches.run_failure import observe_failure
+from drumbay.batches.run_failure import record_run_failure
 from drumbay.batches.scheduler import BatchScheduler
+from drumbay.batches.slot_sharing import SlotSharing
 from drumbay.clock import Clock
 from drumbay.forwarding.records import RewardOrder
 from drumbay.identifiers import BackendId, Revision, WeightVersion
@@ -56,35 +56,35 @@
 from drumbay.workers.silence_check import SilenceCheck
 from drumbay.workers.worker_record import WorkerRecord
 
-TICK_SECONDS = 0.1
-WAKE_DELAY_SECONDS = 0.005
-"""Several runs end in one moment; one plan is made for all of them."""
+PLAN_INTERVAL_SECONDS = 0.1
+PLAN_DEBOUNCE_SECONDS = 0.005
+"""Delay before planning, to cover runs that end at the same moment."""
 
-LAST_ITEMS_SHARE = 0.25
-"""With no more than this share of the items left, the results come one by one."""
+TAIL_ITEM_SHARE = 0.25
+"""With at most this share of items left, results arrive one by one."""
 
 LINGER_SECONDS = 8.0
-"""How long runs go on after the end of a batch job: their items may come back in a later one."""
+"""How long runs continue after the end of a batch job, for items that are resubmitted."""
 
 RESUME_DELAY_SECONDS = 1.7
-RESUME_EVENTS = 45
-"""An owner that may be alive stops within ``OWNER_CHECK_SECONDS`` of its replacement; only
-texts that took longer to make are worth waiting until then."""
+MIN_RESUMED_EVENTS = 45
+"""A replaced owner that is still alive stops within ``OWNER_CHECK_INTERVAL_SECONDS``. Only longer
+texts are worth waiting for that; shorter ones are generated again.
+"""
 
 RUN_BUDGET_SECONDS = 30.0
-"""A bound for runs that nothing else stops, beyond the longest text at the slowest worker."""
+"""Upper bound of a run, above the generation time of the longest text."""
 
-LONGEST_AGE_SECONDS = 60.0
-"""Ages come from the clocks of two machines. A step is due within seconds; a greater age tells of a
-clock that is wrong."""
+MAX_BATCH_AGE_SECONDS = 60.0
+"""Bounds the computed age of a batch job, as clocks of two machines may differ."""
 
-_SILENT_REASONS = frozenset(
+_NO_EVENT_REASONS = frozenset(
     {StopReason.SILENT, StopReason.UNSTARTED, StopReason.QUEUED, StopReason.STALLED}
 )
 
 
 class BatchRunner:
-    """Owns one batch job until it is ended, moved or let go."""
+    """Runs a batch job until it ends, moves to another node or is closed."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         silence_check: SilenceCheck,
         quarantine: Quarantine,
         scorer: RewardScorer,
-        sharing: PlaceSharing,
+        slot_sharing: SlotSharing,
         task_owner: TaskOwner,
         metrics: ServingMetrics,
         spec: BatchSpec,
@@ -109,19 +109,19 @@
 
         Args:
             clock: Time.
-            ledger: Where results are listed.
+            ledger: Stores the results.
             directory: The workers.
-            client: Calls to workers.
-            silence_check: Asks workers whose streams are silent.
-            quarantine: Says which items may run.
-            scorer: Makes reward requests.
-            sharing: What other batch jobs leave to this one.
+            client: Calls workers.
+            silence_check: Probes workers whose streams are silent.
+            quarantine: Decides which items may run.
+            scorer: Sends reward requests.
+            slot_sharing: Computes the job's share of worker slots.
             task_owner: Runs the runner's tasks.
             metrics: Counts runs and results.
             spec: The batch job.
             revision: The owner's revision in the ledger.
-            listed: Results that stand in the store already.
-            newest_version: Returns the newest version named for the batch job's model.
+            listed: Results that the store contains already.
+            newest_version: Returns the newest version announced for the batch job's model.
             on_lost: Called when another node owns the batch job, or it has ended.
         """
         self.spec = spec
@@ -135,27 +135,34 @@
         self._metrics = metrics
         self._started_at = clock.monotonic()
         self._on_lost = on_lost
-        self._sharing = sharing
+        self._slot_sharing = slot_sharing
         self._newest_version = newest_version
         self._version_at_start = newest_version()
         began_at = self._started_at - _age_seconds(spec, clock.wall())
         self._scheduler = BatchScheduler(
-            spec, self._started_at, listed, sharing.event_size_of(spec.model), began_at
+            spec, self._started_at, listed, slot_sharing.event_size_of(spec.model), began_at
+        )
+        self.share = JobShare(
+            clock, directory, slot_sharing, metrics, spec, self._scheduler, began_at
         )
-        self.share = JobShare(clock, directory, sharing, metrics, spec, self._scheduler, began_at)
         self._missing_groups = self._scheduler.missing_groups
         self._finished: dict[ItemId, ItemResult] = {}
-        self._listing = ResultListing(
+        self._result_log = ResultLog(
             clock,
             ledger,
             spec,
             revision,
             listed,
             flush_interval_seconds=self._flush_interval_seconds,
-            on_lost=self._lose,
+            on_lost=self._handle_ownership_loss,
         )
         self._progress = ProgressSaver(
-            clock, ledger, spec.batch_id, revision, self._scheduler, self._listing.confirm
+            clock,
+            ledger,
+            spec.batch_id,
+            revision,
+            self._scheduler,
+            self._result_log.confirm_ownership,
         )
         self._runs: dict[ItemId, asyncio.Task[None]] = {}
         self._wakeup = asyncio.Event()
@@ -175,29 +182,29 @@
         self._lingering = False
 
     def resume(self, stored: tuple[PartialText, ...], *, owner_is_gone: bool) -> None:
-        """Go on from what the owner before has saved; call before :meth:`start`.
+        """Resume from the texts that the previous owner saved; call before :meth:`start`.
 
-        An owner that may still be alive must have noticed its replacement before one of its
-        items is continued; an item with a short text is rather made again.
+        If that owner may be alive, its items are resumed only after it must have noticed its
+        replacement; items with short texts are generated again.
         """
         now = self._clock.monotonic()
         if owner_is_gone:
             self._scheduler.resume_from(stored, now)
             return
-        long = [text for text in stored if len(text.texts) >= RESUME_EVENTS]
+        long = [text for text in stored if len(text.texts) >= MIN_RESUMED_EVENTS]
         self._scheduler.resume_from(long, now + RESUME_DELAY_SECONDS)
 
-    def start(self, returned: ReturnedItems) -> None:
-        """Start to run items, from what earlier batch jobs made of them."""
+    def start(self, resubmitted: ReturnedItems) -> None:
+        """Start to run the items, reusing the texts of resubmitted ones."""
         if self._closed or self._lingering:
             return
         name = self.spec.batch_id
-        self._scheduler.adopt(returned)
-        for result in self._scheduler.take_adopted_results():
+        self._scheduler.adopt(resubmitted)
+        for result in self._scheduler.pop_adopted_results():
             self._add_result(result)
         self._tasks = [
             self._task_owner.spawn(self._run_scheduling(), f"batch-schedule-{name}"),
-            self._task_owner.spawn(self._listing.run(), f"batch-list-{name}"),
+            self._task_owner.spawn(self._result_log.run(), f"batch-list-{name}"),
             self._task_owner.spawn(self._progress.run(), f"batch-progress-{name}"),
         ]
         log_event(
@@ -206,13 +213,13 @@
             model=self.spec.model,
             step=self.spec.step,
             items=len(self.spec.items),
-            listed=self._listing.listed_count,
+            listed=self._result_log.listed_count,
             minimum_version=self.spec.minimum_version,
             revision=self.revision,
         )
 
     def close(self) -> None:
-        """Stop every run; what is not listed is forgotten."""
+        """Stop every run and drop unlisted results."""
         self._stop_tasks()
         self._closed = True
         self._scoring.stop_all()
@@ -220,21 +227,22 @@
             task.cancel()
 
     def linger(self) -> None:
-        """Start and list nothing more, but let runs go on for items that may come back."""
+        """Stop starting items and listing results, but let runs continue for reuse."""
         self._stop_tasks()
         self._lingering = True
         self.share.is_open = False
         self._scoring.stop_all()
-        self._finished.update({result.item_id: result for result in self._listing.results})
-        for item_id in self._scheduler.useless_after_end(self._next_minimum_version()):
+        self._finished.update({result.item_id: result for result in self._result_log.results})
+        for item_id in self._scheduler.unusable_after_end(self._next_minimum_version()):
             self._cancel_run(item_id)
         self._task_owner.spawn(self._close_later(), f"batch-linger-{self.spec.batch_id}")
 
     def _next_minimum_version(self) -> WeightVersion:
         """Return the oldest version that the trainer's next batch job will accept.
 
-        It comes with the next version, and accepts versions as far behind as this one did. A
-        node that knew no version when this one came cannot tell how far that is.
+        The next job is expected to follow the next version, with the same lag between newest and
+        minimum version. If no version was known at the start, the minimum is assumed to increase by
+        one.
         """
         lag = self._version_at_start - self.spec.minimum_version
         if lag < 0:
@@ -250,35 +258,35 @@
             if task is not asyncio.current_task():
                 task.cancel()
         self._tasks = []
-        self._listing.close()
+        self._result_log.close()
 
     @property
     def is_lingering(self) -> bool:
-        """Return whether the runner still works on items of an ended batch job."""
+        """Return whether runs of the ended batch job may still continue."""
         return self._lingering and not self._closed
 
-    def give_up_texts(
+    def release_texts(
         self, item_ids: Iterable[ItemId], minimum_version: WeightVersion
     ) -> ReturnedItems:
-        """Stop the runs of items and return their texts, those that a newer step may use."""
+        """Stop the runs of items; return the texts that satisfy a minimum version."""
         own = {item.item_id for item in self.spec.items}
-        returned = [item_id for item_id in item_ids if item_id in own]
-        given: list[PartialText] = []
-        for item_id in returned:
-            partial_text = self._whole_text(item_id, minimum_version)
+        known_ids = [item_id for item_id in item_ids if item_id in own]
+        texts: list[PartialText] = []
+        for item_id in known_ids:
+            partial_text = self._finished_text(item_id, minimum_version)
             if partial_text is None:
                 partial_text = self._scheduler.partial_text(item_id, minimum_version)
             self._cancel_run(item_id)
             if partial_text is not None:
-                given.append(partial_text)
-        return ReturnedItems(item_ids=tuple(returned), partial_texts=tuple(given))
+                texts.append(partial_text)
+        return ReturnedItems(item_ids=tuple(known_ids), partial_texts=tuple(texts))
 
     def _cancel_run(self, item_id: ItemId) -> None:
         task = self._runs.pop(item_id, None)
         if task is not None:
             task.cancel()
 
-    def _whole_text(self, item_id: ItemId, minimum_version: WeightVersion) -> PartialText | None:
+    def _finished_text(self, item_id: ItemId, minimum_version: WeightVersion) -> PartialText | None:
         result = self._finished.get(item_id)
         if result is None or result.state is not ResultState.DONE:
             return None
@@ -295,29 +303,29 @@
 
     @property
     def is_finished(self) -> bool:
-        """Return whether every item is listed."""
-        return self._listing.is_whole
+        """Return whether all results are listed."""
+        return self._result_log.is_complete
 
     @property
-    def is_held(self) -> bool:
-        """Return whether nothing is under way, and nothing that is left may run for a while.
+    def is_blocked(self) -> bool:
+        """Return whether nothing is pending and no remaining item can run for a while.
 
-        A planned stop need not wait for it.
+        A graceful shutdown need not wait for such a batch job.
         """
-        unlisted = len(self.spec.items) - self._listing.listed_count
-        is_listed_so_far = unlisted == self._scheduler.unfinished > 0
+        unlisted = len(self.spec.items) - self._result_log.listed_count
+        has_no_pending_results = unlisted == self._scheduler.unfinished_count > 0
         now = self._clock.monotonic()
-        return is_listed_so_far and self._scheduler.is_held(self._limits.held, now)
+        return has_no_pending_results and self._scheduler.is_blocked(self._limits.held_back, now)
 
     def wake(self) -> None:
-        """Plan again, since the workers have changed."""
+        """Plan again, as the workers have changed."""
         self._wakeup.set()
 
-    # Reading
+    # Reads
 
     async def read(self, position: int, wait_seconds: float, size_bytes: int) -> ResultPage:
-        """Return results from a position on, waiting until there is one or time is up."""
-        return await self._listing.read(position, wait_seconds, size_bytes)
+        """Return results from a position on, waiting until there is one or the time is up."""
+        return await self._result_log.read(position, wait_seconds, size_bytes)
 
     def body(self, item_id: ItemId) -> bytes:
         """Return the body of an item.
@@ -342,20 +350,20 @@
                 for record in self._directory.of_service(self.spec.service)
             }
             limits = self._limits = self._quarantine.limits(self._scheduler.waiting)
-            self.share.held_items = limits.held
-            share = self.share.learn(now)
+            self.share.held_back_items = limits.held_back
+            share = self.share.current_share(now)
             decisions = self._scheduler.plan(workers, self._newest_version(), now, limits, share)
             for decision in decisions:
-                self._perform(decision, workers)
+                self._apply(decision, workers)
             if decisions:
-                self._sharing.note_change()
+                self._slot_sharing.schedule_notice()
             self._wakeup.clear()
             with suppress(TimeoutError):
-                async with asyncio.timeout(TICK_SECONDS):
+                async with asyncio.timeout(PLAN_INTERVAL_SECONDS):
                     await self._wakeup.wait()
-            await self._clock.sleep(WAKE_DELAY_SECONDS)
+            await self._clock.sleep(PLAN_DEBOUNCE_SECONDS)
 
-    def _perform(self, decision: Decision, workers: dict[BackendId, WorkerRecord]) -> None:
+    def _apply(self, decision: Decision, workers: dict[BackendId, WorkerRecord]) -> None:
         match decision:
             case StartRun(item=item, worker_id=worker_id):
                 record = workers[worker_id]
@@ -369,11 +377,11 @@
                     resume_after=decision.resume_after,
                 )
                 record.in_flight += 1
-                self.share.hold(worker_id)
+                self.share.add_run(worker_id)
                 record.expected_tokens += item.expected_tokens
                 task = self._task_owner.spawn(self._run_item(decision, record), "batch-item")
-                # A task that is cancelled before it runs never comes to a ``finally`` of its own.
-                task.add_done_callback(lambda _: self._release(item, record))
+                # A callback, since a task cancelled before it runs never reaches its ``finally``.
+                task.add_done_callback(lambda _: self._release_slot(item, record))
                 self._runs[item.item_id] = task
             case StopRun(item_id=item_id, worker_id=worker_id, reason=reason):
                 log_event(
@@ -383,11 +391,11 @@
                     worker=worker_id,
                     reason=reason,
                 )
-                if reason in _SILENT_REASONS:
+                if reason in _NO_EVENT_REASONS:
                     self._quarantine.note_silent(item_id)
                 if reason is StopReason.SILENT:
-                    # The worker may live: streams of all workers fall silent together where open
-                    # connections do, and pausing them all stops the step for seconds.
+                    # Probed before it is paused: if connections broke, the streams of all workers
+                    # fall silent together, and pausing them all would stall the step.
                     self._silence_check.suspect(worker_id)
                 elif reason is StopReason.UNSTARTED:
                     self._directory.observe_failure(worker_id, self._clock.monotonic())
@@ -403,15 +411,15 @@
         self._quarantine.begin(start.item, worker, self._clock.monotonic())
         try:
             await self._stream(start, record)
-            self._quarantine.note_answer(start.item)
+            self._quarantine.record_survival(start.item)
         except asyncio.CancelledError:
             failure = RunFailure.STOPPED
             raise
         except WorkerError as error:
             now = self._clock.monotonic()
             model = self.spec.model
-            self._quarantine.note_error(start.item, error)
-            failure = observe_failure(self._directory, record.worker, model, error, now)
+            self._quarantine.record_error(start.item, error)
+            failure = record_run_failure(self._directory, record.worker, model, error, now)
         finally:
             self._quarantine.end(start.item, worker)
             if self._runs.get(item_id) is task:
@@ -419,11 +427,11 @@
             if not self._closed and not (self._lingering and failure is RunFailure.STOPPED):
                 self._finish_run(item_id, record, failure)
 
-    def _release(self, item: BatchItem, record: WorkerRecord) -> None:
-        """Give the place of a run back."""
+    def _release_slot(self, item: BatchItem, record: WorkerRecord) -> None:
+        """Free the slot of a run."""
         record.in_flight -= 1
         record.expected_tokens -= item.expected_tokens
-        self.share.release(record.worker.worker_id)
+        self.share.remove_run(record.worker.worker_id)
         self._wakeup.set()
 
     def _finish_run(
@@ -431,7 +439,7 @@
     ) -> None:
         self._metrics.count_item_run("complete" if failure is None else failure)
         if failure is None:
-            result = self._scheduler.take_completion(item_id)
+            result = self._scheduler.handle_completion(item_id)
         else:
             log_event(
                 "item_run_failed",
@@ -440,7 +448,7 @@
                 worker=record.worker.worker_id,
                 failure=failure,
             )
-            result = self._scheduler.take_failure(item_id, failure, self._clock.monotonic())
+            result = self._scheduler.handle_run_failure(item_id, failure, self._clock.monotonic())
         if result is not None:
             self._add_result(result)
         self._wakeup.set()
@@ -461,13 +469,13 @@
             tenant=self.spec.tenant,
         )
         async with self._client.stream(record.worker, request) as stream:
-            self._take_head(item.item_id, record, stream)
+            self._handle_response_head(item.item_id, record, stream)
             worker_id = record.worker.worker_id
             worker_start = record.worker.started_at_ms
             async for events in stream.events():
                 now = self._clock.monotonic()
                 for event in events:
-                    elapsed = self._scheduler.take_event(
+                    elapsed = self._scheduler.handle_event(
                         item.item_id, event, now, arrived_alone=len(events) == 1
                     )
                     if elapsed is not None:
@@ -476,7 +484,9 @@
                         worker_id, self.spec.model, event.version, now, worker_start
                     )
 
-    def _take_head(self, item_id: ItemId, record: WorkerRecord, stream: WorkerStream) -> None:
+    def _handle_response_head(
+        self, item_id: ItemId, record: WorkerRecord, stream: WorkerStream
+    ) -> None:
         now = self._clock.monotonic()
         worker_id = record.worker.worker_id
         worker_start = record.worker.started_at_ms
@@ -487,17 +497,19 @@
             return
         model = self.spec.model
         self._directory.observe_version(worker_id, model, stream.version, now, worker_start)
-        if not self._scheduler.take_head(item_id, stream.version, now):
-            raise WorkerMisdirectedError(f"weights {stream.version} on {worker_id}")
+        if not self._scheduler.handle_response_head(item_id, stream.version, now):
+            raise WorkerMisdirectedError(
+                f"worker {worker_id} has unusable weight version {stream.version}"
+            )
 
-    # Listing
+    # Results
 
     def _add_result(self, result: ItemResult) -> None:
         self._scoring.stop(result.item_id)
         if self._lingering:
             self._finished[result.item_id] = result
             return
-        self._listing.add(result, is_urgent=self._is_urgent())
+        self._result_log.add(result, is_urgent=self._is_urgent())
         self._metrics.observe_item(self._clock.monotonic() - self._started_at)
         log_event(
             "item_finished",
@@ -509,23 +521,23 @@
         )
 
     def _flush_interval_seconds(self) -> float:
-        has_few_left = self._scheduler.unfinished <= LAST_ITEMS_SHARE * len(self.spec.items)
-        return LAST_FLUSH_INTERVAL_SECONDS if has_few_left else FLUSH_INTERVAL_SECONDS
+        has_few_left = self._scheduler.unfinished_count <= TAIL_ITEM_SHARE * len(self.spec.items)
+        return TAIL_FLUSH_INTERVAL_SECONDS if has_few_left else FLUSH_INTERVAL_SECONDS
 
     def _is_urgent(self) -> bool:
-        """Return whether the result that has just come is the one the trainer waits for."""
-        missed_groups = self._missing_groups
+        """Return whether the latest result completes the trainer's step or the batch job."""
+        previously_missing = self._missing_groups
         self._missing_groups = self._scheduler.missing_groups
-        is_whole = missed_groups > 0 and self._missing_groups == 0
-        return is_whole or self._scheduler.is_finished
+        is_complete = previously_missing > 0 and self._missing_groups == 0
+        return is_complete or self._scheduler.is_finished
 
-    def _lose(self, error: BatchError) -> None:
+    def _handle_ownership_loss(self, error: BatchError) -> None:
         log_event(
             "batch_lost",
             level="INFO" if isinstance(error, BatchEndedError) else "WARNING",
             batch=self.spec.batch_id,
             reason=error.code,
-            listed=self._listing.listed_count,
+            listed=self._result_log.listed_count,
             items=len(self.spec.items),
         )
         if isinstance(error, BatchEndedError):
@@ -536,7 +548,7 @@
 
 
 def _age_seconds(spec: BatchSpec, wall_seconds: float) -> float:
-    """Return how long ago a batch job was submitted; 0 if that is not known."""
+    """Return the time since a batch job's submission; 0 if unknown."""
     if not spec.submitted_at:
         return 0.0
-    return min(max(0.0, wall_seconds - spec.submitted_at), LONGEST_AGE_SECONDS)
+    return min(max(0.0, wall_seconds - spec.submitted_at), MAX_BATCH_AGE_SECONDS)
--- a/drumbay/batches/service.py
+++ b/drumbay/batches/service.py
@@ -1,8 +1,7 @@
-"""The batch jobs of one node: accept, run as owner, read and end at any node.
+"""Batch jobs of one node: submission, execution as owner, and reads from any node.
 
-No node is registered anywhere. A batch job's owner stands in the store; a node that is asked
-about a batch job forwards to the owner, and takes the batch job over if the owner does not
-answer. Clients ask twice a second, so that a dead owner is noticed by their next call.
+The store records the owner of each batch job. Any node forwards calls to the owner, and takes the
+batch job over if the owner does not answer; clients poll often enough to trigger this soon.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,7 +17,6 @@
     BatchUnavailableError,
 )
 from drumbay.batches.ledger import BatchLedger
-from drumbay.batches.listing import PAGE_BYTES
 from drumbay.batches.owned import OwnedBatches
 from drumbay.batches.owners import STORE_RETRY_SECONDS, OwnerTable, ServiceIdentity
 from drumbay.batches.places import JobPlaces
@@ -31,6 +29,7 @@
     ResultPage,
     StoredOwner,
 )
+from drumbay.batches.result_log import RESULT_PAGE_BYTES
 from drumbay.batches.reward_scorer import RewardScorer
 from drumbay.clock import Clock
 from drumbay.comm.http_exchange import NetworkAddress
@@ -70,23 +69,24 @@
 from drumbay.workers.interface import WorkerClient
 from drumbay.workers.silence_check import SilenceCheck
 
-ACCEPT_LIMIT_SECONDS = 4.0
-"""How long a submission waits for a store that is away before it is refused."""
+ACCEPT_TIMEOUT_SECONDS = 4.0
+"""How long a submission waits for an unavailable store before it is refused."""
 
-READ_LIMIT_SECONDS = 1.0
-END_LIMIT_SECONDS = 3.5
+READ_TIMEOUT_SECONDS = 1.0
+END_TIMEOUT_SECONDS = 3.5
 REFUSED_RETRY_SECONDS = 1.0
-TAKE_UP_RETRY_SECONDS = 0.5
-"""A store that is away for seconds is asked some times only; readers find an owner as well."""
+RECLAIM_RETRY_SECONDS = 0.5
+"""Readers also trigger takeovers, so an unavailable store is not retried often."""
 
 OWNER_ATTEMPTS = 4
 PEER_PAGE_BYTES = 256_000
-"""Several nodes ask an owner at the same time, and its link is narrow: larger pages would make
-it seem silent. The clients of these nodes read on."""
+"""Smaller than pages for clients: several nodes may read from one owner, whose link would otherwise
+be saturated and its replies delayed.
+"""
 
 
 class BatchService:
-    """Batch jobs, from submission to end."""
+    """Entry point for batch jobs, from submission to end."""
 
     def __init__(
         self,
@@ -103,31 +103,31 @@
         known_nodes: Callable[[], list[NetworkAddress]],
         newest_version: Callable[[str], WeightVersion],
         announce: Callable[[OwnerNotice], None],
-        tell: Callable[[Iterable[NetworkAddress], PlacesNotice], None],
+        send_notice: Callable[[Iterable[NetworkAddress], PlacesNotice], None],
         service_use: ServiceUse,
-        shares_places: bool,
+        shares_slots: bool,
         metrics: ServingMetrics,
     ) -> None:
-        """Create a service that owns nothing.
+        """Create a service that owns no batch jobs.
 
         Args:
             clock: Time.
             store: The key-value service.
             directory: The workers.
-            client: Calls to workers.
-            silence_check: Asks workers whose streams are silent.
-            quarantine: Says which items may run.
-            scorer: Makes reward requests.
-            peers: Calls to other nodes.
+            client: Calls workers.
+            silence_check: Probes workers whose streams are silent.
+            quarantine: Decides which items may run.
+            scorer: Sends reward requests.
+            peers: Calls other nodes.
             task_owner: Runs the service's tasks.
             identity: This process.
             known_nodes: Lists the other nodes.
-            newest_version: Returns the newest version named for a model.
-            announce: Tells the other nodes who owns a batch job.
-            tell: Sends a notice to some nodes.
+            newest_version: Returns the newest version announced for a model.
+            announce: Notifies the other nodes of a batch job's owner.
+            send_notice: Sends a notice to some nodes.
             service_use: Tells which kinds of requests reach a service.
-            shares_places: Whether batch jobs share places with those of other owners.
-            metrics: Counts what happens to batch jobs.
+            shares_slots: Whether batch jobs share worker slots with those of other owners.
+            metrics: Counts batch job events.
         """
         self._clock = clock
         self._identity = identity
@@ -148,61 +148,61 @@
             peers,
             task_owner,
             newest_version,
-            tell,
+            send_notice,
             service_use,
-            shares_places,
+            shares_slots,
             metrics,
         )
 
     @property
     def owned(self) -> int:
-        """Return how many batch jobs this node runs."""
+        """Return the number of batch jobs that this node owns."""
         return len(self._owned)
 
     def places(self) -> tuple[JobPlaces, ...]:
-        """Return what the owned batch jobs hold and want at the workers."""
-        return self._owned.sharing.places()
+        """Return the slot usage of the owned batch jobs."""
+        return self._owned.slot_sharing.slot_usage()
 
     def take_places(self, notice: PlacesNotice) -> None:
-        """Take what another owner's batch jobs hold and want."""
-        self._owned.sharing.take(notice)
+        """Store the slot usage that another owner sent."""
+        self._owned.slot_sharing.handle_notice(notice)
 
     async def exchange_places(self) -> None:
-        """Tell other owners what the batch jobs here hold and want, until cancelled."""
-        await self._owned.sharing.run()
+        """Send the slot usage of the owned batch jobs to other owners until cancelled."""
+        await self._owned.slot_sharing.run()
 
     def owners_of_open(self) -> set[NetworkAddress]:
-        """Return the nodes that own open batch jobs, as far as this node knows."""
-        return self._owners.owners_of_open()
+        """Return the nodes that own open batch jobs, as far as known."""
+        return self._owners.open_batch_owners()
 
     def unfinished(self) -> int:
-        """Return how many owned batch jobs have unlisted items."""
-        return self._owned.unfinished()
+        """Return how many owned batch jobs have unlisted items that are not blocked."""
+        return self._owned.unfinished_count()
 
     async def take_up_own(self) -> None:
-        """Own again what an earlier process at this address owned; the store may be away."""
+        """Take over what an earlier process at this address owned, retrying store errors."""
         while True:
             try:
                 for batch_id in await self.ledger.open_at(self._identity.address):
-                    await self._owned.take_up(batch_id)
+                    await self._owned.reclaim(batch_id)
                 return
             except (KeyValueError, BatchUnavailableError) as error:
                 log_event("own_batches_not_read", level="WARNING", error=error.code)
-                await self._clock.sleep(TAKE_UP_RETRY_SECONDS)
+                await self._clock.sleep(RECLAIM_RETRY_SECONDS)
 
     # Submission
 
     async def submit(self, spec: BatchSpec) -> None:
-        """Take a batch job durably; a repeated submission is taken once.
+        """Accept a batch job durably; a repeated submission has no effect.
 
         Raises:
-            BatchRefusedError: The batch job was not taken and never will be.
-            BatchOutcomeUnknownError: It may have been taken.
+            BatchRefusedError: The batch job was not and will not be accepted.
+            BatchOutcomeUnknownError: It may have been accepted.
         """
-        owner = self._owners.record_for(spec, self._known_nodes())
+        owner = self._owners.choose_owner(spec, self._known_nodes())
         submitted_at = self._clock.wall()
         spec = msgspec.structs.replace(spec, submitted_at=submitted_at)
-        deadline = self._clock.monotonic() + ACCEPT_LIMIT_SECONDS
+        deadline = self._clock.monotonic() + ACCEPT_TIMEOUT_SECONDS
         uncertain = False
         while True:
             try:
@@ -230,10 +230,10 @@
         self._metrics.count_batch("accepted")
         log_event("batch_accepted", batch=spec.batch_id, items=len(spec.items), step=spec.step)
         stored = StoredOwner(record=owner, revision=revision)
-        await self._owned.place(spec, stored)
+        await self._owned.assign(spec, stored)
 
     async def _written_revision(self, batch_id: BatchId, owner: OwnerRecord) -> Revision | None:
-        """Return the revision of a record that an unanswered write of this node left."""
+        """Return the revision of a record that an unconfirmed write of this node stored."""
         try:
             stored = await self.ledger.read_owner(batch_id)
         except (KeyValueError, BatchNotFoundError):
@@ -242,10 +242,10 @@
         return stored.revision if is_written else None
 
     def note_owner(self, notice: OwnerNotice) -> None:
-        """Take what another node tells about an owner."""
-        self._owners.note(notice)
+        """Handle another node's notice of an owner."""
+        self._owners.handle_notice(notice)
 
-    # Reading, bodies, ends
+    # Reads and end
 
     async def read(
         self,
@@ -257,20 +257,20 @@
         """Return results from a position on.
 
         Raises:
-            BatchNotFoundError: There is no such batch job, or it is another tenant's.
-            BatchUnavailableError: Nobody could answer.
+            BatchNotFoundError: The batch job does not exist or belongs to another tenant.
+            BatchUnavailableError: Neither the owner nor the store answered.
         """
-        deadline = self._clock.monotonic() + wait_seconds + READ_LIMIT_SECONDS
+        deadline = self._clock.monotonic() + wait_seconds + READ_TIMEOUT_SECONDS
         for _ in range(OWNER_ATTEMPTS):
             runner = self._owned.get(batch_id)
             if runner is not None:
                 self._check_visible(batch_id, runner.spec.tenant, tenant)
-                return await runner.read(position, wait_seconds, PAGE_BYTES)
+                return await runner.read(position, wait_seconds, RESULT_PAGE_BYTES)
             owner = await self._owners.find(batch_id, deadline)
             self._check_visible(batch_id, owner.record.tenant, tenant)
             if owner.record.state is OwnerState.ENDED:
                 return await self._read_stored(batch_id, position, owner.record.total, deadline)
-            reply = await self._owners.ask_results(owner, batch_id, position, wait_seconds)
+            reply = await self._owners.read_results_from(owner, batch_id, position, wait_seconds)
             if isinstance(reply, PageReply):
                 return reply.page
             wait_seconds = 0.0
@@ -282,11 +282,11 @@
 
     @staticmethod
     def _check_visible(
-        batch_id: BatchId, holder: TenantName | None, caller: TenantName | None
+        batch_id: BatchId, owner_tenant: TenantName | None, caller: TenantName | None
     ) -> None:
-        """Hide a batch job from other tenants as if it did not exist."""
-        if caller is not None and holder is not None and caller != holder:
-            log_event("batch_of_another_tenant", batch=batch_id, holder=holder, caller=caller)
+        """Report a batch job of another tenant as not found."""
+        if caller is not None and owner_tenant is not None and caller != owner_tenant:
+            log_event("batch_of_another_tenant", batch=batch_id, holder=owner_tenant, caller=caller)
             raise BatchNotFoundError(batch_id)
 
     async def _read_stored(
@@ -294,9 +294,9 @@
     ) -> ResultPage:
         while True:
             try:
-                return await self.ledger.read_results(batch_id, position, total, PAGE_BYTES)
+                return await self.ledger.read_results(batch_id, position, total, RESULT_PAGE_BYTES)
             except KeyValueError as error:
-                await self._owners.pause_until(deadline, error)
+                await self._owners.wait_before_retry(deadline, error)
 
     async def body(
         self, batch_id: BatchId, item_id: ItemId, tenant: TenantName | None = None
@@ -304,11 +304,11 @@
         """Return the body of an item of an open batch job.
 
         Raises:
-            BatchNotFoundError: There is no such batch job or item, or it is another tenant's.
+            BatchNotFoundError: The batch job or item does not exist or belongs to another tenant.
             BatchEndedError: The batch job has ended.
-            BatchUnavailableError: Nobody could answer.
+            BatchUnavailableError: Neither the owner nor the store answered.
         """
-        deadline = self._clock.monotonic() + READ_LIMIT_SECONDS
+        deadline = self._clock.monotonic() + READ_TIMEOUT_SECONDS
         for _ in range(OWNER_ATTEMPTS):
             runner = self._owned.get(batch_id)
             if runner is not None:
@@ -319,7 +319,7 @@
             if owner.record.state is OwnerState.ENDED:
                 raise BatchEndedError(batch_id)
             request = ReadBody(batch_id=batch_id, item_id=item_id)
-            reply = await self._owners.ask(owner, request)
+            reply = await self._owners.call_owner(owner, request)
             if isinstance(reply, BodyReply):
                 return reply.body
             if isinstance(reply, NotFoundReply):
@@ -331,13 +331,13 @@
         raise BatchUnavailableError(batch_id)
 
     async def end(self, batch_id: BatchId, tenant: TenantName | None = None) -> None:
-        """End a batch job durably: it lists nothing more and its items run no more.
+        """End a batch job durably: no further items start and no further results are listed.
 
         Raises:
-            BatchNotFoundError: There is no such batch job, or it is another tenant's.
+            BatchNotFoundError: The batch job does not exist or belongs to another tenant.
             BatchUnavailableError: The store did not answer.
         """
-        deadline = self._clock.monotonic() + END_LIMIT_SECONDS
+        deadline = self._clock.monotonic() + END_TIMEOUT_SECONDS
         while True:
             owner = await self._owners.find(batch_id, deadline)
             self._check_visible(batch_id, owner.record.tenant, tenant)
@@ -351,28 +351,28 @@
                 self._owners.forget(batch_id)
             except KeyValueError as error:
                 self._owners.forget(batch_id)
-                await self._owners.pause_until(deadline, error)
+                await self._owners.wait_before_retry(deadline, error)
         self._metrics.count_batch("ended")
         log_event("batch_ended", batch=batch_id)
         self._owned.stop(batch_id)
         stored = StoredOwner(record=ended, revision=revision)
         self._owners.announce(batch_id, stored)
         if not self._owners.is_own_address(owner.record):
-            # Tell the owner at once; it would notice at its next write or check.
-            self._task_owner.spawn(self._tell_end(batch_id, owner), "batch-end")
+            # Notify the owner now instead of at its next write or ownership check.
+            self._task_owner.spawn(self._notify_end(batch_id, owner), "batch-end")
 
-    async def _tell_end(self, batch_id: BatchId, owner: StoredOwner) -> None:
-        await self._owners.ask(owner, EndBatch(batch_id=batch_id))
+    async def _notify_end(self, batch_id: BatchId, owner: StoredOwner) -> None:
+        await self._owners.call_owner(owner, EndBatch(batch_id=batch_id))
 
-    # Calls of other nodes
+    # Peer calls
 
     async def handle_peer(self, request: BatchRequest) -> PeerReply:
-        """Answer a call of another node, as the owner only."""
+        """Answer a call of another node, without forwarding it."""
         if isinstance(request, TakePartialTexts):
-            return PartialTextsReply(returned=self._owned.give_up_texts(request))
+            return PartialTextsReply(returned=self._owned.release_texts(request))
         if isinstance(request, OwnBatch):
             return self._accept_ownership(request)
-        await self._owned.wait_while_taking(request.batch_id)
+        await self._owned.wait_for_takeover(request.batch_id)
         runner = self._owned.get(request.batch_id)
         match request:
             case EndBatch(batch_id=batch_id):
@@ -390,28 +390,28 @@
                     return NotFoundReply()
 
     def _accept_ownership(self, request: OwnBatch) -> PeerReply:
-        if self._owned.is_leaving or not self._owners.is_own_boot(request.owner.record):
+        if self._owned.is_draining or not self._owners.is_own_process(request.owner.record):
             return NotOwnerReply()
         self._owned.start(request.spec, request.owner)
         return DoneReply()
 
     def turn_away(self) -> None:
-        """Own no further batch job; those that are owned go on."""
-        self._owned.is_leaving = True
+        """Accept no further ownership; owned batch jobs go on."""
+        self._owned.is_draining = True
 
     def leave(self) -> None:
-        """Own nothing more: the process is about to end; the next caller takes over."""
-        self._owned.leave()
+        """Stop all batch jobs before the process ends; the next caller's node takes over."""
+        self._owned.shut_down()
 
 
 def _refusal(uncertain: bool) -> BatchRefusedError | BatchOutcomeUnknownError:
     if uncertain:
         return BatchOutcomeUnknownError(
-            "the store did not say whether it took the batch job",
+            "the store did not confirm the batch job in time",
             execution=Execution.MAY_HAVE_RUN,
         )
     return BatchRefusedError(
-        "the store is away",
+        "the store is unavailable",
         execution=Execution.NOT_RUN,
         retry_after_seconds=REFUSED_RETRY_SECONDS,
     )
--- a/drumbay/batches/start_order.py
+++ b/drumbay/batches/start_order.py
@@ -1,8 +1,7 @@
-"""Pure: which items start first where several batch jobs share places, and whether one may start.
+"""Start order of items when several batch jobs share worker slots. No I/O.
 
-The load it answers: trainers that together ask for more than the engines can make in time. Items go
-by the moment at which each must start for its step to be in time; those that can't be in time any
-more, and those that the trainer does not wait for, take what the others leave.
+Items are ordered by the latest time at which they can start for their step to be in time. Late
+items and those that the trainer does not need use the remaining slots.
 """
 
 import math
@@ -13,56 +12,62 @@
 from drumbay.batches.item_order import ItemOrder
 from drumbay.batches.item_run import ItemRun
 from drumbay.batches.places import time_slot
-from drumbay.batches.shared_places import Competition
-from drumbay.batches.start_times import StepClock
+from drumbay.batches.slot_contention import Contention
+from drumbay.batches.start_times import StepSchedule
 
-NO_DUE_SECONDS = 10.0
-"""Where nothing says when a step is due, its items stand among other jobs' as if it were then; none
-of them counts as late."""
+DEFAULT_DUE_SECONDS = 10.0
+"""Assumed due time of a step without one, used for ordering only; it never counts as late."""
 
 
-class TimedStart(msgspec.Struct, frozen=True):
-    """An item that only lacks a place, and by when it must start; monotonic seconds.
+class StartCandidate(msgspec.Struct, frozen=True):
+    """An item that waits for a slot, and its latest start in monotonic seconds.
 
-    ``None`` stands for an item that is late already, or that the trainer does not wait for.
+    ``None`` stands for a deferrable item: already late, or not needed by the trainer.
     """
 
     run: ItemRun
     latest_start: float | None
 
 
-def by_latest_start(
-    startable: Iterable[ItemRun], order: ItemOrder, clock: StepClock, now: float
-) -> list[TimedStart]:
-    """Return the items in the order in which to start them, the soonest latest start first."""
+def order_by_latest_start(
+    startable: Iterable[ItemRun], order: ItemOrder, schedule: StepSchedule, now: float
+) -> list[StartCandidate]:
+    """Return the items in start order, the earliest latest start first."""
     runs = list(startable)
-    late = {run.item.item_id for run in runs if clock.has_due and clock.is_late(run, now)}
+    late = {
+        run.item.item_id for run in runs if schedule.has_due_time and schedule.is_late(run, now)
+    }
     late_groups = {run.item.group for run in runs if run.item.item_id in late}
-    starts = []
+    candidates = []
     for run in runs:
-        is_spare = run.item.group in late_groups or order.is_postponed(run.item)
-        is_deferrable = run.item.item_id in late or (is_spare and not run.texts)
-        starts.append(TimedStart(run, None if is_deferrable else clock.latest_start(run)))
-    # Stable: late items keep the order in which they would start without other jobs.
+        is_surplus = run.item.group in late_groups or order.is_postponed(run.item)
+        is_deferrable = run.item.item_id in late or (is_surplus and not run.texts)
+        candidates.append(
+            StartCandidate(run, None if is_deferrable else schedule.latest_start(run))
+        )
+    # Stable sort: deferrable items keep the order used without contention.
     return sorted(
-        starts, key=lambda start: math.inf if start.latest_start is None else start.latest_start
+        candidates,
+        key=lambda candidate: (
+            math.inf if candidate.latest_start is None else candidate.latest_start
+        ),
     )
 
 
 def may_start(
-    latest_start: float | None, competition: Competition, *, started: int, held: int
+    latest_start: float | None, contention: Contention, *, started: int, running: int
 ) -> bool:
-    """Return whether other batch jobs leave a place for one more item.
+    """Return whether other batch jobs leave a slot for one more item.
 
     Args:
-        latest_start: By when it must start; ``None`` if it is late or spare.
-        competition: What the other jobs wait for.
-        started: How many items the plan has started so far.
-        held: How many items of the job have a place.
+        latest_start: Latest start of the item; ``None`` if it is deferrable.
+        contention: Demand of the other jobs.
+        started: How many items this planning round has started so far.
+        running: How many items of the job use a slot.
     """
-    slot = None
-    if latest_start is not None and competition.is_feasible:
-        slot = time_slot(latest_start + competition.offset)
-    if slot is None and held < competition.late_places:
+    start_slot = None
+    if latest_start is not None and contention.is_feasible:
+        start_slot = time_slot(latest_start + contention.wall_offset)
+    if start_slot is None and running < contention.late_slots:
         return True
-    return competition.free - started > competition.count_ahead(slot)
+    return contention.free_slots - started > contention.count_ahead(start_slot)
--- /dev/null
+++ b/drumbay/batches/worker_selector.py
@@ -0,0 +1,264 @@
+"""Selects workers for items by free slots, pace and weight versions."""
+
+import zlib
+from collections.abc import Mapping
+
+import msgspec
+
+from drumbay.batches.records import BatchItem, BatchSpec
+from drumbay.identifiers import BackendId, WeightVersion
+from drumbay.workers.worker_record import WorkerRecord
+
+SLOW_FACTOR = 2.2
+"""A worker is slow if its event interval exceeds the median by this factor."""
+
+SOMEWHAT_SLOW_FACTOR = 1.2
+"""Above this factor of the median interval, moving an item with a long text pays off."""
+
+FASTER_FACTOR = 0.8
+"""A move requires an event interval of at most this share of the current worker's."""
+
+OLD_WEIGHTS_PENALTY = 0.2
+TOKEN_LOAD_PENALTY = 0.3
+"""Weight of a worker's token load in the cost of long items, in units of relative pace."""
+
+SHARED_PROMPT_BONUS = 1.0
+"""Extra token load accepted to reuse a cached prompt: all slots of a worker."""
+
+DEFAULT_PACE_SECONDS = 0.045
+"""Seconds between events while no worker's pace is known."""
+UNVERSIONED = WeightVersion(0)
+"""Version of a model that a worker does not report; enough for jobs without a minimum."""
+
+
+class SlotRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """An item that needs a slot.
+
+    ``avoided_worker`` is passed over if there is another. With ``prefers_active``, workers that
+    recently sent events to this node come first: others may have failed together with the item's
+    previous worker without being detected yet. An item that ``is_isolated`` shares no worker with
+    other isolated items or with requests that may crash it.
+    """
+
+    group: str
+    expected_tokens: int
+    avoided_worker: BackendId | None
+    is_long: bool
+    minimum_version: WeightVersion
+    prefers_active: bool = False
+    is_isolated: bool = False
+
+
+class WorkerSelector:
+    """Worker selection for one planning round; tracks the slots that it assigns.
+
+    Each run occupies KV cache on its worker, and several long texts on one worker exceed it, which
+    leads to preemption. Therefore items are spread by expected output tokens. The token load of a
+    worker is their sum relative to all its slots holding items of average length.
+    """
+
+    def __init__(
+        self,
+        spec: BatchSpec,
+        workers: Mapping[BackendId, WorkerRecord],
+        newest_version: WeightVersion,
+        now: float,
+        isolated_workers: frozenset[BackendId] = frozenset(),
+        used_by_others: Mapping[BackendId, int] | None = None,
+    ) -> None:
+        """Take a snapshot of the workers.
+
+        Args:
+            spec: The batch job whose items need slots.
+            workers: Workers of its service.
+            newest_version: Newest version that the model's trainer has announced.
+            now: Monotonic time.
+            isolated_workers: Workers that are not available to isolated items.
+            used_by_others: Runs of other nodes by worker; ``None`` to use the load reports.
+        """
+        others = {
+            worker_id: record.others_busy(now)
+            if used_by_others is None
+            else used_by_others.get(worker_id, 0)
+            for worker_id, record in workers.items()
+        }
+        self._batch_id = spec.batch_id
+        self._tie_break_keys: dict[BackendId, int] = {}
+        self._isolated_workers = set(isolated_workers)
+        self._workers = workers
+        self._active = {w for w, record in workers.items() if record.pace.is_heard(now)}
+        self._versions = {
+            worker_id: record.version_of(spec.model, now) or UNVERSIONED
+            for worker_id, record in workers.items()
+        }
+        self._free_slots = {
+            worker_id: record.free_slots_for(spec.model, now, others[worker_id])
+            for worker_id, record in workers.items()
+            if self._versions[worker_id] >= spec.minimum_version
+        }
+        self._free_total = sum(self._free_slots.values())
+        known_paces = [record.pace.current(now) for record in workers.values()]
+        paces = sorted(pace for pace in known_paces if pace is not None)
+        self._median = paces[(len(paces) - 1) // 2] if paces else DEFAULT_PACE_SECONDS
+        # On shared machines, short slowdowns are ignored.
+        self._recent_paces = {
+            worker_id: record.pace.sustained(now) if record.is_shared else record.pace.recent(now)
+            for worker_id, record in workers.items()
+        }
+        self._usual_paces = {
+            worker_id: record.pace.usual() for worker_id, record in workers.items()
+        }
+        self._paces = {
+            worker_id: self._expected_pace(record, now) or self._median
+            for worker_id, record in workers.items()
+        }
+        self._newest = newest_version
+        self._average_tokens = _average_tokens(spec)
+        self._tokens = {
+            worker_id: record.expected_tokens + others[worker_id] * self._average_tokens
+            for worker_id, record in workers.items()
+        }
+        self._group_workers: dict[str, BackendId] = {}
+
+    def _expected_pace(self, record: WorkerRecord, now: float) -> float | None:
+        """Return the seconds between events that an item can expect at a worker."""
+        usual = record.pace.usual()
+        if not record.is_shared or usual is None:
+            return record.pace.current(now)
+        return max(usual, self._recent_paces[record.worker.worker_id] or usual)
+
+    @property
+    def median_pace(self) -> float:
+        """Return the median of the workers' seconds between events."""
+        return self._median
+
+    @property
+    def mean_pace(self) -> float:
+        """Return the harmonic mean of the workers' seconds between events."""
+        if not self._paces:
+            return self._median
+        # Event rates add up, so intervals average harmonically.
+        return len(self._paces) / sum(1.0 / pace for pace in self._paces.values())
+
+    @property
+    def has_free_slot(self) -> bool:
+        """Return whether any worker has a free slot."""
+        return self._free_total > 0
+
+    def is_active(self, worker_id: BackendId | None) -> bool:
+        """Return whether a worker has sent this node an event in the last second."""
+        return worker_id in self._active
+
+    def is_slow(self, worker_id: BackendId) -> bool:
+        """Return whether a worker is much slower than the median.
+
+        On shared machines it must also be slower than usual. Leaving a worker that is always slow
+        gains nothing overall: another item would have used the faster slot.
+        """
+        recent = self._recent_paces.get(worker_id)
+        if recent is None:
+            return False
+        usual = self._median
+        if self.is_shared(worker_id):
+            usual = max(self._usual_paces[worker_id] or self._median, self._median)
+        return recent > SLOW_FACTOR * usual
+
+    def is_somewhat_slow(self, worker_id: BackendId) -> bool:
+        """Return whether a worker is slower than the median beyond normal variation."""
+        recent = self._recent_paces.get(worker_id)
+        return recent is not None and recent > SOMEWHAT_SLOW_FACTOR * self._median
+
+    def is_shared(self, worker_id: BackendId) -> bool:
+        """Return whether a worker shares its machine with others."""
+        record = self._workers.get(worker_id)
+        return record is not None and record.is_shared
+
+    def reserve_faster(
+        self, worker_id: BackendId, min_gain_seconds: float = 0.0
+    ) -> BackendId | None:
+        """Reserve a slot on a clearly faster worker and return it; ``None`` if there is none.
+
+        Args:
+            worker_id: Current worker of the item.
+            min_gain_seconds: Minimum improvement per event.
+        """
+        pace = self._paces.get(worker_id, self._median)
+        limit = min(FASTER_FACTOR * pace, pace - min_gain_seconds)
+        faster = [
+            w for w, count in self._free_slots.items() if count > 0 and self._paces[w] < limit
+        ]
+        if not faster:
+            return None
+        chosen = min(faster, key=lambda w: (self._paces[w], w))
+        self._use_slot(chosen)
+        return chosen
+
+    def assign_to(self, worker_id: BackendId, item: BatchItem) -> bool:
+        """Assign a slot on a given worker; return whether one was free."""
+        if self._free_slots.get(worker_id, 0) <= 0:
+            return False
+        self._use_slot(worker_id)
+        self._tokens[worker_id] += item.expected_tokens
+        return True
+
+    def assign(self, request: SlotRequest) -> BackendId | None:
+        """Assign a slot on the best worker; ``None`` if no suitable worker has one."""
+        candidates = [worker_id for worker_id, count in self._free_slots.items() if count > 0]
+        candidates = [w for w in candidates if self._versions[w] >= request.minimum_version]
+        if request.is_isolated:
+            candidates = [w for w in candidates if w not in self._isolated_workers]
+        candidates = [w for w in candidates if w != request.avoided_worker] or candidates
+        if not candidates:
+            return None
+        cost = self._long_item_cost if request.is_long else self._short_item_cost
+        inactive = set(candidates) - self._active if request.prefers_active else set()
+        chosen = min(
+            candidates,
+            key=lambda w: (
+                self.is_slow(w),
+                w in inactive,
+                cost(w, request.group),
+                self._tie_break_key(w),
+            ),
+        )
+        self._group_workers.setdefault(request.group, chosen)
+        self._use_slot(chosen)
+        if request.is_isolated:
+            self._isolated_workers.add(chosen)
+        self._tokens[chosen] += request.expected_tokens
+        return chosen
+
+    def _tie_break_key(self, worker_id: BackendId) -> int:
+        """Return a key that differs per batch job, so that concurrent owners spread their items."""
+        found = self._tie_break_keys.get(worker_id)
+        if found is None:
+            found = self._tie_break_keys[worker_id] = zlib.crc32(
+                f"{self._batch_id} {worker_id}".encode()
+            )
+        return found
+
+    def _use_slot(self, worker_id: BackendId) -> None:
+        self._free_slots[worker_id] -= 1
+        self._free_total -= 1
+
+    def _token_load(self, worker_id: BackendId) -> float:
+        slots = max(1, self._workers[worker_id].worker.slots)
+        return self._tokens[worker_id] / (slots * self._average_tokens)
+
+    def _long_item_cost(self, worker_id: BackendId, group: str) -> float:
+        del group
+        relative_pace = self._paces[worker_id] / self._median
+        is_old = self._versions[worker_id] < self._newest
+        penalty = OLD_WEIGHTS_PENALTY if is_old else 0.0
+        return relative_pace + penalty + TOKEN_LOAD_PENALTY * self._token_load(worker_id)
+
+    def _short_item_cost(self, worker_id: BackendId, group: str) -> float:
+        # Items of a group share a prompt, which the worker has cached.
+        shares_prompt = self._group_workers.get(group) == worker_id
+        token_load = self._token_load(worker_id) * self._paces[worker_id] / self._median
+        return token_load - SHARED_PROMPT_BONUS * shares_prompt
+
+
+def _average_tokens(spec: BatchSpec) -> float:
+    total = sum(item.expected_tokens for item in spec.items)
+    return max(1.0, total / max(1, len(spec.items)))
--- a/tests/serving_world.py
+++ b/tests/serving_world.py
@@ -1,4 +1,4 @@
-"""Serving nodes over an emulated store and emulated workers, on virtual time."""
+"""Serving nodes with an emulated store and emulated workers, on virtual time."""
 
 import asyncio
 import random
@@ -59,7 +59,7 @@
 
 
 class LoopbackPeers:
-    """Calls between the nodes of a world; a node that is down does not answer."""
+    """In-process calls between the nodes of a world; unreachable nodes time out."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -90,7 +90,7 @@
 
 
 class WorldNode:
-    """One process of a node; a restart makes another one at the same address."""
+    """One process of a node; a restart creates another one at the same address."""
 
     def __init__(
         self,
@@ -137,18 +137,18 @@
         world.peers.nodes[self.address] = self
 
     def lead(self) -> None:
-        """Register, take part in the election and give orders while leading."""
+        """Start the node's background tasks, including leader election."""
         self.node.start(())
 
     async def kill(self) -> None:
-        """End the process without notice."""
+        """End the process without a graceful shutdown."""
         self._world.peers.nodes.pop(self.address, None)
         self.store.reachable = False
         await self.node.close()
 
 
 class ServingWorld:
-    """A store, workers and nodes."""
+    """A store, workers and nodes, connected in process."""
 
     def __init__(
         self,
@@ -196,7 +196,7 @@
     orders_workers: bool = False,
     workers_keep_ids: bool = False,
 ) -> ResultT:
-    """Run a scenario in a fresh world on virtual time."""
+    """Run a scenario in a new world on virtual time."""
 
     async def main() -> ResultT:
         world = ServingWorld(
@@ -228,9 +228,9 @@
     one_version_only: bool = False,
     scored: bool = False,
 ) -> BatchSpec:
-    """Return a batch job whose texts the emulated workers know.
+    """Return a batch job whose texts the emulated workers can generate.
 
-    With ``scored``, each item asks for a score under the name of :func:`reward_id`.
+    With ``scored``, each item has a reward request with the identifier of :func:`reward_id`.
     """
     items = [
         BatchItem(
@@ -276,7 +276,7 @@
 async def read_all(
     service: BatchService, batch_id: BatchId, limit_seconds: float = 20.0
 ) -> tuple[ItemResult, ...]:
-    """Poll as a trainer does until every item is listed or the time is up."""
+    """Poll like a trainer until all results are listed or the time is up."""
     results: list[ItemResult] = []
     async with asyncio.timeout(limit_seconds):
         while True:
--- a/tests/test_batch_owners.py
+++ b/tests/test_batch_owners.py
@@ -1,4 +1,4 @@
-"""Batch jobs of a stream keep their owner: its knowledge stays, and its loss costs nothing."""
+"""Choice of batch job owners: successive jobs keep their owner, and lost owners are replaced."""
 
 import asyncio
 import unittest
@@ -14,8 +14,8 @@
 
 
 class StreamOwnerTest(unittest.TestCase):
-    async def start(self, world: ServingWorld) -> None:
-        """Let the first batch job of the stream be owned by the first node."""
+    async def run_first_batch(self, world: ServingWorld) -> None:
+        """Run the first batch job of the stream on the first node."""
         for node in world.nodes:
             node.lead()
         await asyncio.sleep(5.0)
@@ -27,28 +27,28 @@
     def owned(self, world: ServingWorld) -> list[int]:
         return [node.batches.owned for node in world.nodes]
 
-    async def check_whole(self, world: ServingWorld, node: WorldNode, name: str) -> None:
+    async def check_all_results(self, world: ServingWorld, node: WorldNode, name: str) -> None:
         results = await read_all(node.batches, BatchId(name))
         self.assertEqual(len({result.item_id for result in results}), 12)
 
-    def test_the_owner_of_the_batch_job_before_owns_the_next(self) -> None:
+    def test_the_owner_of_the_previous_batch_job_owns_the_next(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            await self.start(world)
+            await self.run_first_batch(world)
             await world.nodes[2].batches.submit(batch_spec("second"))
             self.assertEqual(self.owned(world), [1, 0, 0])
-            await self.check_whole(world, world.nodes[1], "second")
+            await self.check_all_results(world, world.nodes[1], "second")
             self.assertEqual(len(world.workers.runs), 24)
 
         play(scenario, node_count=3)
 
     def test_an_owner_with_an_open_batch_job_is_passed_over(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            await self.start(world)
+            await self.run_first_batch(world)
             await world.nodes[2].batches.submit(batch_spec("second"))
             await world.nodes[2].batches.submit(batch_spec("third"))
             self.assertEqual(self.owned(world), [1, 0, 1])
             for name in ("second", "third"):
-                await self.check_whole(world, world.nodes[1], name)
+                await self.check_all_results(world, world.nodes[1], name)
                 await world.nodes[1].batches.end(BatchId(name))
             await asyncio.sleep(0.1)
             await world.nodes[1].batches.submit(batch_spec("fourth"))
@@ -57,15 +57,15 @@
 
         play(scenario, node_count=3)
 
-    def test_a_dead_owner_is_passed_over_in_time(self) -> None:
+    def test_a_dead_owner_is_passed_over_within_the_timeout(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            await self.start(world)
+            await self.run_first_batch(world)
             await world.nodes[0].kill()
-            asked_at = world.clock.monotonic()
+            submitted_at = world.clock.monotonic()
             await world.nodes[2].batches.submit(batch_spec("second"))
-            self.assertLess(world.clock.monotonic() - asked_at, 0.35)
+            self.assertLess(world.clock.monotonic() - submitted_at, 0.35)
             self.assertEqual(self.owned(world)[1:], [0, 1])
-            await self.check_whole(world, world.nodes[1], "second")
+            await self.check_all_results(world, world.nodes[1], "second")
             await world.nodes[1].batches.end(BatchId("second"))
             await asyncio.sleep(0.1)
             await world.nodes[1].batches.submit(batch_spec("third"))
@@ -73,45 +73,45 @@
 
         play(scenario, node_count=3)
 
-    def test_a_leaving_owner_is_passed_over(self) -> None:
+    def test_a_draining_owner_is_passed_over(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            await self.start(world)
+            await self.run_first_batch(world)
             world.nodes[0].batches.turn_away()
             await world.nodes[2].batches.submit(batch_spec("second"))
             self.assertEqual(self.owned(world)[1:], [0, 1])
-            await self.check_whole(world, world.nodes[1], "second")
+            await self.check_all_results(world, world.nodes[1], "second")
 
         play(scenario, node_count=3)
 
-    def test_an_owner_whose_answer_is_lost_stops_once_it_is_replaced(self) -> None:
+    def test_an_owner_whose_reply_was_lost_stops_once_replaced(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            await self.start(world)
+            await self.run_first_batch(world)
             world.peers.lose_replies.add(world.nodes[0].address)
             await world.nodes[2].batches.submit(batch_spec("second"))
             self.assertEqual(self.owned(world), [1, 0, 1])
-            await self.check_whole(world, world.nodes[2], "second")
+            await self.check_all_results(world, world.nodes[2], "second")
             await asyncio.sleep(3.0)
             self.assertEqual(self.owned(world), [0, 0, 1])
 
         play(scenario, node_count=3)
 
-    def test_a_restarted_owner_does_not_take_what_its_earlier_process_was_given(self) -> None:
+    def test_a_restarted_owner_rejects_a_hand_over_to_its_earlier_process(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            await self.start(world)
+            await self.run_first_batch(world)
             await world.nodes[0].kill()
             restarted = WorldNode(world, 1, 1)
             await world.nodes[2].batches.submit(batch_spec("second"))
             self.assertEqual((restarted.batches.owned, world.nodes[2].batches.owned), (0, 1))
-            await self.check_whole(world, restarted, "second")
+            await self.check_all_results(world, restarted, "second")
 
         play(scenario, node_count=3)
 
 
 class TakeoverTest(unittest.TestCase):
-    """Many nodes ask for a batch job at the same time."""
+    """Many nodes access a batch job at the same time."""
 
-    async def ask_everywhere(self, world: ServingWorld, seconds: float) -> None:
-        """Poll at every other node as clients that look at batch jobs do."""
+    async def poll_other_nodes(self, world: ServingWorld, seconds: float) -> None:
+        """Poll the batch job on all nodes but the owner."""
         until = world.clock.monotonic() + seconds
 
         async def poll(node: WorldNode) -> None:
@@ -122,20 +122,20 @@
 
         await asyncio.gather(*(poll(node) for node in world.nodes[1:]))
 
-    def test_a_dead_owner_is_replaced_once_also_while_the_store_is_slow(self) -> None:
+    def test_a_dead_owner_is_replaced_only_once_while_the_store_is_slow(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec(groups=1))
             await asyncio.sleep(2.0)
             await world.nodes[0].kill()
             world.model.set_faults(KeyValueFaults(request_delay_seconds=0.2))
-            await self.ask_everywhere(world, 5.0)
+            await self.poll_other_nodes(world, 5.0)
             for item in batch_spec(groups=1).items:
                 self.assertEqual(len(world.workers.runs_of(item.item_id)), 2)
 
         play(scenario, node_count=6)
 
-    def test_a_node_that_has_just_taken_over_is_not_replaced_at_once(self) -> None:
+    def test_a_node_in_the_middle_of_a_takeover_answers_as_owner(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec(groups=1))
@@ -155,13 +155,13 @@
 
         play(scenario)
 
-    def test_an_owner_whose_link_is_full_stays_the_owner(self) -> None:
+    def test_an_owner_with_a_congested_link_stays_the_owner(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec(groups=1))
             await asyncio.sleep(1.0)
             world.peers.congested.add(world.nodes[0].address)
-            await self.ask_everywhere(world, 4.0)
+            await self.poll_other_nodes(world, 4.0)
             self.assertEqual(world.nodes[0].batches.owned, 1)
             self.assertEqual(len(world.workers.runs), 4)
 
--- a/tests/test_batch_store.py
+++ b/tests/test_batch_store.py
@@ -1,4 +1,4 @@
-"""Batch jobs and the store: outages, lost answers, deletion, calls through other nodes."""
+"""Batch jobs under store faults: outages, lost answers, retention and relayed store calls."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class StoreTest(unittest.TestCase):
-    def test_positions_are_listed_only_once_the_store_has_them(self) -> None:
+    def test_results_are_served_only_once_stored(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec())
             world.model.set_faults(KeyValueFaults(outage=True))
@@ -31,7 +31,7 @@
 
         play(scenario)
 
-    def test_lost_answers_of_the_store_change_nothing(self) -> None:
+    def test_lost_store_answers_do_not_change_results(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.model.set_faults(KeyValueFaults(lost_answers=1))
             await world.nodes[0].batches.submit(batch_spec())
@@ -44,7 +44,7 @@
 
         play(scenario)
 
-    def test_a_submission_is_refused_when_the_store_is_away_for_long(self) -> None:
+    def test_a_submission_is_refused_during_a_long_store_outage(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.model.set_faults(KeyValueFaults(outage=True))
             with self.assertRaises(BatchRefusedError) as raised:
@@ -55,7 +55,7 @@
 
         play(scenario)
 
-    def test_a_submission_that_may_have_been_taken_is_not_refused(self) -> None:
+    def test_a_submission_that_may_be_stored_has_unknown_outcome(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.model.set_faults(KeyValueFaults(lost_answers=100))
             with self.assertRaises(BatchOutcomeUnknownError):
@@ -65,7 +65,7 @@
 
 
 class RetentionTest(unittest.TestCase):
-    def test_ended_batch_jobs_are_deleted_when_they_are_old_and_no_others(self) -> None:
+    def test_only_old_ended_batch_jobs_are_deleted(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             service = world.nodes[0].batches
             retention = BatchRetention(world.clock, service.ledger, 120.0, lambda: True)
@@ -92,18 +92,18 @@
 
 
 class RelayTest(unittest.TestCase):
-    """The store refuses one machine while it serves the others."""
+    """The store is unreachable for one node only."""
 
-    async def submit_and_cut(self, world: ServingWorld) -> None:
+    async def submit_and_disconnect_owner(self, world: ServingWorld) -> None:
         for node in world.nodes:
             node.lead()
         await asyncio.sleep(5.0)
         await world.nodes[0].batches.submit(batch_spec(groups=10))
         world.nodes[0].store.reachable = False
 
-    def test_an_owner_that_alone_is_cut_off_lists_through_another_node(self) -> None:
+    def test_an_owner_without_store_access_lists_through_another_node(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            await self.submit_and_cut(world)
+            await self.submit_and_disconnect_owner(world)
             results = await read_all(world.nodes[1].batches, BATCH, 6.0)
             self.assertEqual(len(results), 40)
             self.assertEqual(len(world.workers.runs), 40)
@@ -111,16 +111,16 @@
 
         play(scenario)
 
-    def test_a_node_that_alone_is_cut_off_still_takes_batch_jobs(self) -> None:
+    def test_a_node_without_store_access_still_accepts_batch_jobs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            await self.submit_and_cut(world)
+            await self.submit_and_disconnect_owner(world)
             await world.nodes[0].batches.submit(batch_spec("other"))
             results = await read_all(world.nodes[0].batches, BatchId("other"), 6.0)
             self.assertEqual(len(results), 12)
 
         play(scenario)
 
-    def test_a_leader_that_alone_is_cut_off_keeps_its_lease(self) -> None:
+    def test_a_leader_without_store_access_keeps_its_lease(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
                 node.lead()
--- a/tests/test_batch_workers.py
+++ b/tests/test_batch_workers.py
@@ -1,4 +1,4 @@
-"""Batch jobs over faults of workers, and the versions that make their texts."""
+"""Batch jobs under worker faults, and the weight versions of their texts."""
 
 import asyncio
 import unittest
@@ -24,13 +24,13 @@
 
         return play(scenario)
 
-    def test_a_cut_stream_is_continued_elsewhere(self) -> None:
+    def test_a_broken_stream_is_resumed_on_another_worker(self) -> None:
         self.assertEqual(len(self.run_with(WorkerFaults(break_after_events=1))), 12)
 
-    def test_a_dark_worker_is_left(self) -> None:
+    def test_items_leave_an_unresponsive_worker(self) -> None:
         self.assertEqual(len(self.run_with(WorkerFaults(dark=True))), 12)
 
-    def test_a_worker_that_falls_silent_is_left(self) -> None:
+    def test_items_leave_a_worker_that_becomes_unresponsive(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec(groups=6))
             await asyncio.sleep(0.2)
@@ -67,7 +67,7 @@
 
         play(scenario)
 
-    def test_an_item_that_can_never_be_served_is_given_up_at_once(self) -> None:
+    def test_a_rejected_item_is_given_up_without_retries(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for number in (1, 2, 3):
                 world.workers[f"worker-{number}"].faults.rejecting = True
@@ -94,10 +94,10 @@
 
 
 class VersionTest(unittest.TestCase):
-    def test_no_text_is_made_below_the_minimum_version(self) -> None:
+    def test_no_text_is_generated_below_the_minimum_version(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers["worker-2"].versions["m"] = WeightVersion(2)
-            # The directory still believes that the others have version 2 as well.
+            # The directory wrongly lists version 2 for the other workers as well.
             for number in (1, 3):
                 record = world.nodes[0].directory.get(
                     world.workers[f"worker-{number}"].worker.worker_id
@@ -113,7 +113,7 @@
 
         play(scenario)
 
-    def test_a_result_names_every_version_that_made_it(self) -> None:
+    def test_a_result_lists_every_version_that_generated_it(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for number in (1, 2, 3):
                 world.workers[f"worker-{number}"].faults.slowdown = 2.0
@@ -127,7 +127,7 @@
 
         play(scenario)
 
-    def test_one_version_makes_the_whole_text_where_that_is_asked(self) -> None:
+    def test_one_version_only_texts_have_a_single_version(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for number in (1, 2, 3):
                 world.workers[f"worker-{number}"].faults.slowdown = 2.0
