--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -1,4 +1,4 @@
-"""Batch jobs: taken once, run whole, listed at stable positions, over failures of all parts."""
+"""Batch jobs end to end: submission, stable results, reuse of texts, and loss of owners."""
 
 import asyncio
 import unittest
@@ -23,26 +23,26 @@
     return msgspec.structs.replace(spec, batch_id=BatchId(name))
 
 
-class CalmTest(unittest.TestCase):
-    def check_whole(self, results: tuple[ItemResult, ...], items: int) -> None:
+class FaultFreeTest(unittest.TestCase):
+    def check_all_complete(self, results: tuple[ItemResult, ...], items: int) -> None:
         self.assertEqual(len(results), items)
         self.assertEqual(set(Counter(r.item_id for r in results).values()), {1})
         for result in results:
             self.assertEqual(result.state, ResultState.DONE)
             self.assertEqual(result.text, whole_text(result.item_id))
 
-    def test_every_item_is_listed_once_and_whole_at_any_node(self) -> None:
+    def test_every_node_serves_each_result_once_and_complete(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec())
             first = await read_all(world.nodes[0].batches, BATCH)
             second = await read_all(world.nodes[1].batches, BATCH)
-            self.check_whole(first, 12)
+            self.check_all_complete(first, 12)
             self.assertEqual(first, second)
             self.assertEqual(len(world.workers.runs), 12)
 
         play(scenario)
 
-    def test_a_repeated_submission_is_taken_once(self) -> None:
+    def test_a_repeated_submission_runs_once(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec())
             await world.nodes[1].batches.submit(batch_spec())
@@ -51,7 +51,7 @@
 
         play(scenario)
 
-    def test_an_item_gives_its_body_until_the_end(self) -> None:
+    def test_item_bodies_are_served_until_the_end(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec())
             for node in world.nodes:
@@ -87,7 +87,7 @@
 
         play(scenario)
 
-    def test_a_poll_right_after_the_submission_leaves_the_owner(self) -> None:
+    def test_a_poll_right_after_the_submission_does_not_change_the_owner(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
                 node.lead()
@@ -100,11 +100,11 @@
         play(scenario)
 
 
-class ReturningItemsTest(unittest.TestCase):
-    """Groups that were not whole come back in a later batch job under the same ids."""
+class ResubmittedItemsTest(unittest.TestCase):
+    """Incomplete groups are resubmitted in a later batch job under the same identifiers."""
 
     async def end_early(self, world: ServingWorld, version: int) -> dict[str, int]:
-        """End a batch job midway; return how many events each unfinished item has had."""
+        """End a batch job midway; return the event count of each unfinished item."""
         for node in world.nodes:
             node.lead()
         for number in (1, 2, 3):
@@ -119,10 +119,10 @@
         await asyncio.sleep(0.05)
         return {run.request_id: run.events for run in world.workers.runs if run.ended_at is None}
 
-    def test_what_was_made_is_used_when_its_versions_fit(self) -> None:
+    def test_partial_texts_of_acceptable_versions_are_reused(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            made = await self.end_early(world, version=2)
-            self.assertGreater(len(made), 1)
+            event_counts = await self.end_early(world, version=2)
+            self.assertGreater(len(event_counts), 1)
             again = renamed(batch_spec(groups=3, minimum_version=2), "again")
             await world.nodes[1].batches.submit(again)
             results = await read_all(world.nodes[0].batches, BatchId("again"))
@@ -130,7 +130,7 @@
             for result in results:
                 self.assertEqual(result.text, whole_text(result.item_id))
                 self.assertEqual(result.versions, (WeightVersion(2),))
-            for item_id, events in made.items():
+            for item_id, events in event_counts.items():
                 first, second = world.workers.runs_of(item_id)
                 self.assertGreaterEqual(second.resume_after or 0, events)
                 assert first.ended_at is not None
@@ -138,9 +138,9 @@
 
         play(scenario)
 
-    def test_what_was_made_by_older_weights_is_made_again(self) -> None:
+    def test_partial_texts_of_older_versions_are_generated_again(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            made = await self.end_early(world, version=1)
+            event_counts = await self.end_early(world, version=1)
             for number in (1, 2, 3):
                 world.workers[f"worker-{number}"].versions["m"] = WeightVersion(2)
             for entry in world.workers.entries():
@@ -152,17 +152,17 @@
             for result in results:
                 self.assertEqual(result.text, whole_text(result.item_id))
                 self.assertEqual(result.versions, (WeightVersion(2),))
-            for item_id in made:
+            for item_id in event_counts:
                 self.assertIsNone(world.workers.runs_of(item_id)[-1].resume_after)
 
         play(scenario)
 
-    def test_runs_that_the_next_batch_job_cannot_use_stop_at_the_end(self) -> None:
-        """The workers hold version 2; the next batch job accepts 2 and newer, or only 3."""
-        for named_at_the_end, goes_on in ((2, True), (3, False)):
+    def test_runs_without_reusable_texts_stop_at_the_end(self) -> None:
+        """Workers have version 2; the next batch job accepts versions from 2, or only from 3."""
+        for named_at_the_end, continues in ((2, True), (3, False)):
 
             async def scenario(
-                world: ServingWorld, named: int = named_at_the_end, goes_on: bool = goes_on
+                world: ServingWorld, named: int = named_at_the_end, continues: bool = continues
             ) -> None:
                 world.workers.long_texts = True
                 node = world.nodes[0]
@@ -177,13 +177,13 @@
                 await node.batches.end(BATCH)
                 await asyncio.sleep(0.1)
                 self.assertEqual(len(world.workers.runs), 12)
-                going = [run for run in world.workers.runs if run.ended_at is None]
-                self.assertEqual(len(going), 12 if goes_on else 0)
+                still_running = [run for run in world.workers.runs if run.ended_at is None]
+                self.assertEqual(len(still_running), 12 if continues else 0)
 
             with self.subTest(named_at_the_end=named_at_the_end):
                 play(scenario)
 
-    def test_runs_of_an_ended_batch_job_stop_after_a_while(self) -> None:
+    def test_runs_of_an_ended_batch_job_stop_after_lingering(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for number in (1, 2, 3):
                 world.workers[f"worker-{number}"].faults.slowdown = 20.0
@@ -195,7 +195,7 @@
 
 
 class EndTest(unittest.TestCase):
-    def test_after_an_end_nothing_runs_and_what_is_listed_stays(self) -> None:
+    def test_after_the_end_no_item_starts_and_listed_results_stay(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec(groups=20))
             await asyncio.sleep(0.6)
@@ -213,7 +213,7 @@
 
         play(scenario)
 
-    def test_an_owner_that_cannot_be_told_notices_the_end(self) -> None:
+    def test_an_unreachable_owner_notices_the_end(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers["worker-1"].faults.slowdown = 40.0
             world.workers["worker-2"].faults.slowdown = 40.0
@@ -231,7 +231,7 @@
 
 
 class OwnerLossTest(unittest.TestCase):
-    def test_another_node_takes_over_what_a_dead_owner_left(self) -> None:
+    def test_another_node_takes_over_from_a_dead_owner(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec(groups=10))
             await asyncio.sleep(0.6)
@@ -246,7 +246,7 @@
 
         play(scenario)
 
-    def test_a_restarted_node_takes_its_own_batch_jobs_up_again(self) -> None:
+    def test_a_restarted_node_reclaims_its_batch_jobs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec())
             await world.nodes[0].kill()
@@ -256,7 +256,7 @@
 
         play(scenario, node_count=1)
 
-    def test_a_new_owner_goes_on_from_what_a_dead_one_saved(self) -> None:
+    def test_a_new_owner_resumes_from_saved_progress(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec(groups=1))
@@ -270,7 +270,7 @@
 
         play(scenario)
 
-    def test_a_restarted_owner_goes_on_before_anybody_asks(self) -> None:
+    def test_a_restarted_owner_resumes_without_being_called(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec(groups=10))
             await asyncio.sleep(0.3)
@@ -283,7 +283,7 @@
 
         play(scenario, node_count=1)
 
-    def test_a_restarted_owner_leaves_what_another_node_has_taken(self) -> None:
+    def test_a_restarted_owner_does_not_reclaim_taken_over_jobs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec(groups=10))
             await asyncio.sleep(0.3)
@@ -299,7 +299,7 @@
 
         play(scenario)
 
-    def test_a_new_owner_waits_before_it_continues_what_a_living_one_may_still_run(self) -> None:
+    def test_a_new_owner_waits_before_resuming_runs_of_a_living_one(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec(groups=1))
@@ -317,8 +317,8 @@
 
         play(scenario)
 
-    def test_a_replaced_owner_lists_nothing_more(self) -> None:
-        """The old owner is alive, but no node reaches it; both run items, one lists them."""
+    def test_a_replaced_owner_lists_no_more_results(self) -> None:
+        """The old owner is alive but unreachable; both run items, but only one lists results."""
 
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec(groups=10))
--- a/tests/test_load_parts.py
+++ b/tests/test_load_parts.py
@@ -1,4 +1,4 @@
-"""Parts that decide under load can be switched off one by one."""
+"""Load handling components can be disabled one by one."""
 
 import unittest
 from unittest.mock import Mock
@@ -8,8 +8,8 @@
 from drumbay.admission.gate import AdmissionGate
 from drumbay.admission.records import AdmissionRequest
 from drumbay.batches.owners import OwnerTable, ServiceIdentity
-from drumbay.batches.place_sharing import PlaceSharing
 from drumbay.batches.places import JobPlaces, NoticeNumber
+from drumbay.batches.slot_sharing import SlotSharing
 from drumbay.exceptions import ConfigurationError
 from drumbay.forwarding.routes import ServiceUse
 from drumbay.observability.serving_metrics import ServingMetrics
@@ -18,26 +18,26 @@
 from drumbay.workers.directory import WorkerDirectory
 from tests.serving_world import SERVICE, ServingWorld, play
 from tests.test_platform_adapter import SETTINGS
-from tests.test_shared_places import FIRST, SECOND, W1, StandingClock, job
+from tests.test_shared_places import FIRST, SECOND, W1, ManualClock, job
 
 
 class NamesTest(unittest.TestCase):
-    def test_all_are_on_unless_named(self) -> None:
+    def test_all_are_enabled_unless_listed(self) -> None:
         self.assertEqual(parse_settings(SETTINGS).disabled_parts, frozenset())
         found = parse_settings(SETTINGS, "admission, shared_places,").disabled_parts
         self.assertEqual(found, {LoadPart.ADMISSION, LoadPart.SHARED_PLACES})
 
-    def test_a_name_that_is_not_known_is_refused_with_those_that_are(self) -> None:
+    def test_an_unknown_name_is_refused_with_a_list_of_known_ones(self) -> None:
         with self.assertRaisesRegex(ConfigurationError, "worker_counts"):
             parse_disabled_parts("admision")
 
-    def test_the_environment_names_them(self) -> None:
+    def test_unknown_names_in_the_environment_are_refused(self) -> None:
         with self.assertRaises(ConfigurationError):
             read_settings({"DRUMBAY_NODE_FILE": "/dev/null", "DRUMBAY_DISABLED_PARTS": "x"})
 
 
-class SwitchedOffTest(unittest.TestCase):
-    def test_a_gate_that_is_off_lets_all_out_at_once(self) -> None:
+class DisabledPartsTest(unittest.TestCase):
+    def test_a_disabled_gate_admits_all_at_once(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             gate = AdmissionGate(world.clock, WorkerDirectory(), ServingMetrics(), is_enabled=False)
             for number in range(100):
@@ -52,16 +52,16 @@
 
         play(scenario)
 
-    def test_jobs_that_share_nothing_heed_and_tell_nothing(self) -> None:
-        """Two jobs of this node, and one of another owner, which would go first."""
+    def test_disabled_sharing_ignores_other_jobs(self) -> None:
+        """Two jobs of this node compete with one of another owner."""
         jobs = [_Job(job("b", waiting=9)), _Job(job("c", waiting=9))]
         for is_enabled in (True, False):
             owners = Mock(spec=OwnerTable)
             owners.identity = ServiceIdentity(address=FIRST, boot="boot")
             service_use = Mock(spec=ServiceUse)
             service_use.batch_routes.return_value = 2
-            sharing = PlaceSharing(
-                StandingClock(),
+            sharing = SlotSharing(
+                ManualClock(),
                 WorkerDirectory(),
                 owners,
                 service_use,
@@ -69,21 +69,23 @@
                 lambda: jobs,
                 is_enabled=is_enabled,
             )
-            rival = job("a", waiting=9, running={W1: 2})
-            notice = PlacesNotice(holder=SECOND, number=NoticeNumber("other", 1), jobs=(rival,))
-            sharing.take(notice)
+            competitor = job("a", waiting=9, running={W1: 2})
+            notice = PlacesNotice(
+                holder=SECOND, number=NoticeNumber("other", 1), jobs=(competitor,)
+            )
+            sharing.handle_notice(notice)
             share = sharing.share_for(jobs[0], SERVICE)
-            self.assertEqual(share.competition is not None, is_enabled)
-            self.assertEqual(share.held is not None, is_enabled)
-            self.assertEqual(sharing.has_rivals(SERVICE), is_enabled)
+            self.assertEqual(share.contention is not None, is_enabled)
+            self.assertEqual(share.used_by_others is not None, is_enabled)
+            self.assertEqual(sharing.has_competing_routes(SERVICE), is_enabled)
 
 
 class _Job:
-    def __init__(self, places: JobPlaces) -> None:
-        self.last_places = places
+    def __init__(self, usage: JobPlaces) -> None:
+        self.last_slot_usage = usage
 
-    def places(self) -> JobPlaces:
-        return self.last_places
+    def slot_usage(self) -> JobPlaces:
+        return self.last_slot_usage
 
 
 if __name__ == "__main__":
--- a/tests/test_result_listing.py
+++ b/tests/test_result_listing.py
@@ -1,4 +1,4 @@
-"""When the results of a batch job are written: together, or at once for the last ones."""
+"""Batching of result writes, and early flushes of urgent results."""
 
 import asyncio
 import unittest
@@ -7,12 +7,12 @@
 import msgspec
 
 from drumbay.batches.ledger import BatchLedger
-from drumbay.batches.listing import (
-    OWNER_CHECK_SECONDS,
-    URGENT_FLUSH_SECONDS,
-    ResultListing,
-)
 from drumbay.batches.records import BatchId, ItemId, ItemResult, ResultState
+from drumbay.batches.result_log import (
+    OWNER_CHECK_INTERVAL_SECONDS,
+    URGENT_FLUSH_DELAY_SECONDS,
+    ResultLog,
+)
 from drumbay.identifiers import Revision, WeightVersion
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.simulation.outside_clock import OutsideClock
@@ -26,14 +26,14 @@
 
 
 class Write(msgspec.Struct, frozen=True, kw_only=True):
-    """A write of results, or a question whether the owner still owns (no results)."""
+    """A write of results, or an ownership check (no results)."""
 
     at: float
     results: int
 
 
 class RecordingLedger(BatchLedger):
-    """Records when the listing asks for something."""
+    """Records the time and size of each write."""
 
     def __init__(self, clock: OutsideClock) -> None:
         super().__init__(MemoryKeyValueStore(KeyValueModel(clock), clock))
@@ -62,13 +62,13 @@
     )
 
 
-def writes_of(script: Callable[[ResultListing], Awaitable[None]]) -> list[Write]:
-    """Run a script against a listing of four items; return the writes, from its start on."""
+def writes_of(script: Callable[[ResultLog], Awaitable[None]]) -> list[Write]:
+    """Run a script against a log of four items; return its writes, relative to the start."""
 
     async def main() -> list[Write]:
         clock = OutsideClock()
         ledger = RecordingLedger(clock)
-        listing = ResultListing(
+        result_log = ResultLog(
             clock,
             ledger,
             batch_spec(groups=1, group_size=ITEMS),
@@ -78,53 +78,53 @@
             on_lost=lambda error: None,
         )
         started_at = clock.monotonic()
-        task = asyncio.ensure_future(listing.run())
-        await script(listing)
+        task = asyncio.ensure_future(result_log.run())
+        await script(result_log)
         task.cancel()
         return [Write(at=w.at - started_at, results=w.results) for w in ledger.writes]
 
     return run_simulation(main)
 
 
-class ResultListingTest(unittest.TestCase):
+class ResultLogTest(unittest.TestCase):
     def assert_writes(self, writes: list[Write], expected: list[Write]) -> None:
         self.assertEqual([w.results for w in writes], [w.results for w in expected])
         for write, other in zip(writes, expected, strict=True):
             self.assertAlmostEqual(write.at, other.at, delta=TOLERANCE_SECONDS)
 
-    def test_results_wait_for_others(self) -> None:
-        async def script(listing: ResultListing) -> None:
+    def test_results_are_collected_for_the_flush_interval(self) -> None:
+        async def script(result_log: ResultLog) -> None:
             for number in (0, 1):
-                listing.add(result(number), is_urgent=False)
+                result_log.add(result(number), is_urgent=False)
                 await asyncio.sleep(0.4)
             await asyncio.sleep(0.5)
 
         self.assert_writes(writes_of(script), [Write(at=INTERVAL_SECONDS, results=2)])
 
-    def test_the_result_that_makes_a_step_whole_takes_the_others_along(self) -> None:
-        async def script(listing: ResultListing) -> None:
-            listing.add(result(0), is_urgent=False)
+    def test_an_urgent_result_flushes_all_pending_ones(self) -> None:
+        async def script(result_log: ResultLog) -> None:
+            result_log.add(result(0), is_urgent=False)
             await asyncio.sleep(0.3)
-            listing.add(result(1), is_urgent=True)
+            result_log.add(result(1), is_urgent=True)
             await asyncio.sleep(0.5)
 
-        urgent_at = 0.3 + URGENT_FLUSH_SECONDS
+        urgent_at = 0.3 + URGENT_FLUSH_DELAY_SECONDS
         self.assert_writes(writes_of(script), [Write(at=urgent_at, results=2)])
 
-    def test_an_owner_without_results_asks_whether_it_still_owns(self) -> None:
-        async def script(listing: ResultListing) -> None:
-            await asyncio.sleep(2.5 * OWNER_CHECK_SECONDS)
+    def test_an_owner_without_results_checks_its_ownership(self) -> None:
+        async def script(result_log: ResultLog) -> None:
+            await asyncio.sleep(2.5 * OWNER_CHECK_INTERVAL_SECONDS)
 
-        expected = [Write(at=n * OWNER_CHECK_SECONDS, results=0) for n in (1, 2)]
+        expected = [Write(at=n * OWNER_CHECK_INTERVAL_SECONDS, results=0) for n in (1, 2)]
         self.assert_writes(writes_of(script), expected)
 
-    def test_a_write_counts_as_an_answer_whether_it_still_owns(self) -> None:
-        async def script(listing: ResultListing) -> None:
+    def test_a_write_confirms_the_ownership(self) -> None:
+        async def script(result_log: ResultLog) -> None:
             await asyncio.sleep(1.0)
-            listing.add(result(0), is_urgent=False)
+            result_log.add(result(0), is_urgent=False)
             await asyncio.sleep(1.0)
 
-        self.assert_writes(writes_of(script), [Write(at=OWNER_CHECK_SECONDS, results=1)])
+        self.assert_writes(writes_of(script), [Write(at=OWNER_CHECK_INTERVAL_SECONDS, results=1)])
 
 
 if __name__ == "__main__":
--- a/tests/test_serving_simulation.py
+++ b/tests/test_serving_simulation.py
@@ -1,9 +1,9 @@
-"""Serving nodes under faults drawn from seeds, on virtual time; histories are checked.
+"""Serving nodes under random faults, drawn from seeds, on virtual time; read histories are checked.
 
-Trainers submit batch jobs at any node, read them at others and end some. Meanwhile nodes die and
-come back, are cut off from each other or from the store, the store is away or loses answers,
-and workers crash, slow down, refuse and load. Whatever was once read must stay as it was; every
-accepted batch job that is not ended becomes whole once the faults are over.
+Trainers submit batch jobs on any node, read them from others and end some of them, while nodes
+crash and restart, lose connections to peers or the store, the store fails or loses answers, and
+workers fail. Results that were read must never change, and every accepted batch job that was not
+ended must complete after the faults.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 SEEDS = range(1, 41)
 FAULTY_SECONDS = 40.0
-CALM_SECONDS = 40.0
+RECOVERY_SECONDS = 40.0
 NODES = 4
 STORE_FAULTS = (
     KeyValueFaults(outage=True),
@@ -36,7 +36,7 @@
 
 
 class Reader:
-    """What trainers and others have read of one batch job; it must never change."""
+    """The results read of one batch job, which must never change."""
 
     def __init__(self, batch_id: BatchId) -> None:
         self.batch_id = batch_id
@@ -56,8 +56,8 @@
                 self.read.append(result)
 
 
-class Play:
-    """One run: faults and clients from one seed."""
+class FaultSimulation:
+    """One simulation run: faults and clients drawn from one seed."""
 
     def __init__(self, world: ServingWorld, seed: int) -> None:
         self.world = world
@@ -67,7 +67,7 @@
         self.boots = 0
         self.nodes: list[WorldNode | None] = list(world.nodes)
 
-    def pick(self) -> WorldNode:
+    def random_node(self) -> WorldNode:
         return self.generator.choice([node for node in self.nodes if node is not None])
 
     async def submit(self, number: int) -> None:
@@ -75,7 +75,7 @@
             f"batch-{number}", groups=3, queue_limit_seconds=400.0, scored=number % 2 == 1
         )
         try:
-            await self.pick().batches.submit(spec)
+            await self.random_node().batches.submit(spec)
         except RequestFailedError:
             return
         except asyncio.CancelledError:
@@ -85,17 +85,17 @@
     async def read(self, reader: Reader) -> None:
         position = self.generator.choice((0, len(reader.read)))
         try:
-            page = await self.pick().batches.read(reader.batch_id, position, 0.3)
+            page = await self.random_node().batches.read(reader.batch_id, position, 0.3)
         except (BatchUnavailableError, asyncio.CancelledError):
             return
         except BatchNotFoundError:
-            reader.violations.append(f"{reader.batch_id}: accepted, but not found")
+            reader.violations.append(f"{reader.batch_id}: accepted but not found")
             return
         reader.take(position, page.results, page.total)
 
     async def end(self, reader: Reader) -> None:
         try:
-            await self.pick().batches.end(reader.batch_id)
+            await self.random_node().batches.end(reader.batch_id)
         except (BatchUnavailableError, BatchEndedError):
             return
         self.ended.add(reader.batch_id)
@@ -117,7 +117,13 @@
         while self.world.clock.monotonic() < until:
             await asyncio.sleep(self.generator.uniform(0.5, 4.0))
             fault = self.generator.choice(
-                (self.kill_node, self.cut_node, self.fault_store, self.fault_worker, self.load)
+                (
+                    self.kill_node,
+                    self.disconnect_node,
+                    self.fault_store,
+                    self.fault_worker,
+                    self.announce_version,
+                )
             )
             await fault()
 
@@ -139,8 +145,8 @@
         node.lead()
         self.nodes[at] = node
 
-    async def cut_node(self) -> None:
-        node = self.pick()
+    async def disconnect_node(self) -> None:
+        node = self.random_node()
         from_store = self.generator.random() < 0.5
         if from_store:
             node.store.reachable = False
@@ -170,13 +176,13 @@
         await asyncio.sleep(self.generator.uniform(0.5, 5.0))
         worker.faults = WorkerFaults()
 
-    async def load(self) -> None:
+    async def announce_version(self) -> None:
         for node in self.nodes:
             if node is not None:
                 node.named.name("m", WeightVersion(node.named.newest_of("m") + 1))
 
     async def run(self) -> list[str]:
-        """Play the seed and return every violation."""
+        """Run the simulation and return all violations."""
         for node in self.world.nodes:
             node.lead()
         await asyncio.sleep(5.0)
@@ -189,45 +195,45 @@
                 self.restart(at)
             else:
                 current.store.reachable = True
-        until = self.world.clock.monotonic() + CALM_SECONDS
+        until = self.world.clock.monotonic() + RECOVERY_SECONDS
         await self.run_clients(until, submitting=False)
         for reader in self.readers.values():
             await self.read(reader)
-            self.check_whole(reader)
+            self.check_complete(reader)
         return [text for reader in self.readers.values() for text in reader.violations]
 
-    def check_whole(self, reader: Reader) -> None:
+    def check_complete(self, reader: Reader) -> None:
         names = [result.item_id for result in reader.read]
         if len(set(names)) != len(names):
-            reader.violations.append(f"{reader.batch_id}: an item stands twice")
+            reader.violations.append(f"{reader.batch_id}: an item is listed twice")
         for result in reader.read:
             if result.state is not ResultState.DONE:
                 reader.violations.append(f"{result.item_id}: given up")
             elif result.text != self.world.workers.text(result.item_id):
-                reader.violations.append(f"{result.item_id}: text is not whole")
+                reader.violations.append(f"{result.item_id}: text is incomplete")
             elif not result.versions:
-                reader.violations.append(f"{result.item_id}: names no version")
+                reader.violations.append(f"{result.item_id}: lists no version")
             else:
                 self.check_score(reader, result)
         if reader.batch_id not in self.ended and len(names) != reader.total:
             reader.violations.append(f"{reader.batch_id}: {len(names)} of {reader.total} listed")
 
     def check_score(self, reader: Reader, result: ItemResult) -> None:
-        """Note a score that is not the stamp of a call made after the text was whole."""
+        """Record a violation unless the score comes from a request after the complete text."""
         number = int(reader.batch_id.removeprefix("batch-"))
         if number % 2 == 0:
             if result.reward is not None:
-                reader.violations.append(f"{result.item_id}: a score that nobody asked for")
+                reader.violations.append(f"{result.item_id}: a score without a reward request")
             return
         stamp = result.reward.stamp if result.reward is not None else None
         calls = self.world.workers.runs_of(reward_id(result.item_id))
         call = next((call for call in calls if call.stamp == stamp), None)
         if call is None:
-            reader.violations.append(f"{result.item_id}: score {stamp} of no call")
+            reader.violations.append(f"{result.item_id}: score {stamp} of no reward request")
             return
         whole = self.world.workers.first_whole_at(result.item_id)
         if whole is None or call.started_at < whole:
-            reader.violations.append(f"{result.item_id}: scored before its text was whole")
+            reader.violations.append(f"{result.item_id}: scored before its text was complete")
 
 
 class SeedTest(unittest.TestCase):
@@ -235,7 +241,7 @@
         for seed in SEEDS:
 
             async def scenario(world: ServingWorld, seed: int = seed) -> list[str]:
-                run = Play(world, seed)
+                run = FaultSimulation(world, seed)
                 violations = await run.run()
                 self.assertGreater(len(run.readers), 0)
                 return violations
--- a/tests/test_stored_results.py
+++ b/tests/test_stored_results.py
@@ -1,4 +1,4 @@
-"""Results of an ended batch job, read from the store page by page."""
+"""Paged reads of an ended batch job's results from the store."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 BATCH = BatchId("batch")
 TOTAL = 200
 TEXT = "x" * 15_000
-"""With these, the results are three megabytes, and a page of the store holds a third of them."""
+"""Results take 3 MB in total, three pages of the store."""
 
 PAGE_BYTES = 500_000
 STORE_PAGE_BYTES = 1_000_000
@@ -32,7 +32,7 @@
 
 
 class CountingStore(MemoryKeyValueStore):
-    """Counts the bytes of values that are read."""
+    """Counts the bytes of values read."""
 
     read_bytes = 0
 
@@ -58,7 +58,7 @@
 
 class StoredResultsTest(unittest.TestCase):
     def read(self, position: int) -> tuple[ResultPage, int]:
-        """List results in writes of several sizes; read a page, and count what that read."""
+        """List results in writes of several sizes; return a page and the bytes read for it."""
 
         async def scenario(world: ServingWorld) -> tuple[ResultPage, int]:
             store = CountingStore(world.model, world.clock)
@@ -91,7 +91,7 @@
         self.assertEqual(position, TOTAL)
         return owner
 
-    def test_every_position_is_found_without_reading_the_whole(self) -> None:
+    def test_every_position_is_found_without_reading_all_results(self) -> None:
         for position in (0, 1, 2, 63, 64, 127, 128, 134, 135, 174, 199):
             page, read_bytes = self.read(position)
             self.assertEqual(page.position, position)
@@ -100,7 +100,7 @@
             self.assertEqual(ids, list(range(position, position + len(ids))))
             self.assertLessEqual(read_bytes, STORE_PAGE_BYTES + len(TEXT) * RESULTS_PER_WRITE)
 
-    def test_after_the_last_position_there_is_nothing(self) -> None:
+    def test_the_page_after_the_last_position_is_empty(self) -> None:
         page, _ = self.read(TOTAL)
         self.assertEqual((page.results, page.total), ((), TOTAL))
 
