--- a/drumbay/forwarding/__init__.py
+++ b/drumbay/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of clients: routes, and forwarding to workers with deadlines and hedging."""
+"""Routing of client requests and forwarding to workers, with deadlines and hedging."""
--- a/drumbay/forwarding/forwarder.py
+++ b/drumbay/forwarding/forwarder.py
@@ -1,8 +1,8 @@
-"""Forwards one client request to workers: choice, retries, hedging, deadline.
+"""Forwards a client request to workers, with retries, hedging and a deadline.
 
-Idempotent requests may go to several workers, at most ``route.attempts``; the first whole
-answer wins and the others are closed. A request that may run once only is sent again only
-when the worker before has proved that it did not run.
+Idempotent requests are sent to at most ``route.attempts`` workers; the first complete response wins
+and the other attempts are cancelled. At-most-once requests are resent only after a worker has
+proven that it did not run the request.
 """
 
 import asyncio
@@ -13,15 +13,16 @@
 from drumbay.admission.service import retry_after_seconds
 from drumbay.clock import Clock
 from drumbay.exceptions import Execution
-from drumbay.forwarding.hedge_timing import LATEST_SHARE_WITHOUT_BUDGET, HedgeTiming
+from drumbay.forwarding.hedge_timing import STALLED_CONNECTION_TARGET_SHARE, HedgeTiming
 from drumbay.forwarding.records import (
     AnswerLostError,
     ClientRequest,
     ForwardingError,
     NoWorkerError,
-    RequestHeldBackError,
+    RequestQuarantinedError,
     RequestTimedOutError,
 )
+from drumbay.forwarding.request_admission import RequestAdmission
 from drumbay.forwarding.request_log import (
     RequestTrace,
     log_not_served,
@@ -30,10 +31,9 @@
     log_served,
 )
 from drumbay.forwarding.routes import RequestKind, Route, RouteTable
-from drumbay.forwarding.service_turn import ServiceTurn
 from drumbay.forwarding.worker_call import WorkerCaller
 from drumbay.forwarding.worker_choice import ChosenWorker
-from drumbay.forwarding.worker_picker import NextSend, WorkerPicker
+from drumbay.forwarding.worker_selector import SendCriteria, WorkerSelector
 from drumbay.identifiers import BackendId
 from drumbay.observability.serving_metrics import ServingMetrics
 from drumbay.quarantine.records import Decision, Verdict
@@ -54,29 +54,27 @@
 )
 from drumbay.workers.worker_record import WorkerRecord
 
-MINIMUM_BUDGET_SECONDS = 0.02
-"""With less time left, no worker is asked any more."""
+MIN_BUDGET_SECONDS = 0.02
+"""Minimum time left for which another attempt is started."""
 
-MAXIMUM_REFUSALS = 6
-"""After as many refusals in one turn a request waits again: each costs its worker a connection."""
+MAX_REFUSALS_PER_ADMISSION = 6
+"""Refusals by workers after which a request goes back to the admission queue."""
 
 RETRY_AFTER_SECONDS = 0.25
-"""Callers of a service without a worker come back then, before their deadline: workers start in
-seconds, yet another node may see one already."""
+"""Retry-After for services without an available worker; another node may already see one."""
 
-FREE_WORKER_CHECK_SECONDS = 0.05
-"""A request with nothing under way looks so often whether a worker has come free."""
+FREE_WORKER_POLL_SECONDS = 0.05
+"""Polling interval while no attempt is in flight and no worker is free."""
 
 MISDIRECTED_PAUSE_SECONDS = 5.0
-"""Another worker stands at the address: discovery tells of that within seconds."""
+"""Pause for an address that now serves another worker, until discovery catches up."""
 
-SUSPECT_PAUSE_SECONDS = 0.02
-"""A request under which a worker may have ended asks so often whether it may run: the look at the
-worker takes a few milliseconds, and another run of the same request as long as a request."""
+QUARANTINE_POLL_SECONDS = 0.02
+"""Polling interval while the quarantine checks whether a worker died running the request."""
 
 
 class Forwarder:
-    """Serves requests of routes that are answered at once."""
+    """Serves synchronous requests, one response per request."""
 
     def __init__(
         self,
@@ -94,8 +92,8 @@
     ) -> None:
         """Create a forwarder for a node in ``zone``.
 
-        It counts the requests of tenants, and asks the quarantine before each run. Nodes on
-        different machines choose differently between equal workers.
+        ``machine`` seeds the order in which equally good workers are tried, so that nodes spread
+        over them.
         """
         self.quarantine = quarantine
         self.clock = clock
@@ -103,28 +101,30 @@
         self.client = client
         self.metrics = metrics
         self.hedge_timing = HedgeTiming(clock.monotonic())
-        self.picker = WorkerPicker(directory, client, self.hedge_timing, zone, machine)
+        self.selector = WorkerSelector(directory, client, self.hedge_timing, zone, machine)
         self.caller = WorkerCaller(clock, directory, client, self.hedge_timing, quarantine)
         self._routes = routes
         self._usage = usage
         self.admission = AdmissionGate(clock, directory, metrics, is_enabled=has_admission)
 
     async def forward(self, route: Route, request: ClientRequest) -> WorkerAnswer:
-        """Return a worker's whole answer.
+        """Return a worker's complete response.
 
         Raises:
-            ForwardingError: The final answer is a failure; says whether it may have run.
+            ForwardingError: The request failed; ``execution`` says whether it may have run.
         """
         service = self._routes.choose_service(route)
-        forwarding = _Forwarding(self, route, service, request, self._routes.ranks_at(service))
+        forwarding = _ForwardedRequest(
+            self, route, service, request, self._routes.ranks_at(service)
+        )
         started_at = self.clock.monotonic()
         ticket = self._usage.open() if request.tenant is not None else None
         outcome = "cancelled"
         try:
-            answer = await forwarding.run()
+            response = await forwarding.run()
             outcome = "answered"
-            forwarding.log_answer(answer)
-            return answer
+            forwarding.log_success(response)
+            return response
         except ForwardingError as error:
             outcome = error.code
             forwarding.log_failure(error)
@@ -132,24 +132,24 @@
         finally:
             forwarding.close(is_answered=outcome == "answered")
             if ticket is not None and request.tenant is not None:
-                self._usage.close(ticket, request.tenant, forwarding.began_at)
+                self._usage.close(ticket, request.tenant, forwarding.first_run_at)
             self.metrics.count_request(route.name, outcome, self.clock.monotonic() - started_at)
 
 
 class _Attempt(msgspec.Struct, frozen=True):
-    """A send to one worker, at a monotonic time; ``was_kept`` if its connection seemed kept.
+    """One attempt at one worker; ``sent_at`` is monotonic.
 
-    ``choice`` tells why the worker was chosen.
+    ``reused_connection`` says whether the client held an idle connection to the worker.
     """
 
     record: WorkerRecord
     choice: ChosenWorker
     sent_at: float
-    was_kept: bool
+    reused_connection: bool
 
 
-class _Forwarding:
-    """One client request on its way: the attempts so far and those under way."""
+class _ForwardedRequest:
+    """State of one client request: finished attempts and those in flight."""
 
     def __init__(
         self,
@@ -157,15 +157,15 @@
         route: Route,
         service: str,
         request: ClientRequest,
-        ranks: frozenset[int],
+        priority_levels: frozenset[int],
     ) -> None:
         self._clock = forwarder.clock
         self._directory = forwarder.directory
         self._client = forwarder.client
-        self._picker = forwarder.picker
+        self._selector = forwarder.selector
         self._caller = forwarder.caller
         self._metrics = forwarder.metrics
-        self._timing = forwarder.hedge_timing
+        self._hedge_timing = forwarder.hedge_timing
         self._quarantine = forwarder.quarantine
         self._route = route
         self._service = service
@@ -174,115 +174,125 @@
         self._started_at = self._clock.monotonic()
         limit_seconds = min(request.budget_seconds, route.timeout_seconds)
         self._deadline = self._started_at + limit_seconds
-        self._next_send = self._started_at
+        self._next_send_at = self._started_at
         self._last_sent_at = self._started_at
         self._is_hedge_next = False
-        self._answered_by: _Attempt | None = None
-        self._turn = ServiceTurn(
+        self._successful_attempt: _Attempt | None = None
+        self._admission = RequestAdmission(
             forwarder.admission, service, request, self._started_at, self._deadline
         )
-        self._worker_priority = request.priority if len(ranks) > 1 else None
-        """Told to workers only where requests of several ranks meet there."""
+        self._worker_priority = request.priority if len(priority_levels) > 1 else None
+        """Passed to workers only if the service receives requests of several priorities."""
 
         self._attempts: dict[asyncio.Task[WorkerAnswer], _Attempt] = {}
-        self.began_at: float | None = None
-        """When the first run may have begun; known for good once the request has its answer."""
+        self.first_run_at: float | None = None
+        """Monotonic time of the earliest send that may have run; final once the request is
+        answered."""
 
-        self._sent = 0
-        self._refusals = 0
-        self._refusals_before_turn = 0
+        self._send_count = 0
+        self._refusal_count = 0
+        self._refusals_before_admission = 0
         self._is_service_full = False
-        self._answered_attempt_seconds: float | None = None
+        self._response_seconds: float | None = None
         self._worker_failures = 0
-        self._failed_at: list[Worker] = []
+        self._failed_workers: list[Worker] = []
         self._may_have_run = False
         self._tried: set[BackendId] = set()
-        self._apart_from: frozenset[BackendId] = frozenset()
+        self._excluded_workers: frozenset[BackendId] = frozenset()
 
     async def run(self) -> WorkerAnswer:
-        """Send until an answer is whole or nothing more can be done."""
-        await self._turn.take()
-        self._next_send = self._clock.monotonic()
-        self._timing.record_request(self._next_send, is_awaited=self._request.is_awaited)
+        """Send attempts until one succeeds or no further attempt is allowed."""
+        await self._admission.acquire()
+        self._next_send_at = self._clock.monotonic()
+        self._hedge_timing.record_request(
+            self._next_send_at, is_interactive=self._request.is_interactive
+        )
         while True:
             now = self._clock.monotonic()
             remaining = self._deadline - now
-            if remaining < MINIMUM_BUDGET_SECONDS:
-                raise self._failure(timed_out=True)
-            if self._was_refused_by_all(now):
-                await self._wait_for_another_turn()
+            if remaining < MIN_BUDGET_SECONDS:
+                raise self._forwarding_error(timed_out=True)
+            if self._is_refused_by_all_workers(now):
+                await self._wait_for_readmission()
                 continue
-            is_due = now >= self._next_send and self._may_send()
-            if is_due and self._is_let_through(now) and self._may_hedge(now):
-                self._send_to_next(now, remaining)
+            is_due = now >= self._next_send_at and self._may_send()
+            if is_due and self._passes_quarantine(now) and self._may_send_hedge(now):
+                self._send_to_next_worker(now, remaining)
             if self._attempts:
-                answer = await self._wait(now, remaining)
-                if answer is not None:
-                    return answer
+                response = await self._wait_for_attempt(now, remaining)
+                if response is not None:
+                    return response
             elif self._may_send():
-                pause_seconds = max(self._next_send - now, SUSPECT_PAUSE_SECONDS)
-                await self._clock.sleep(min(pause_seconds, FREE_WORKER_CHECK_SECONDS, remaining))
+                pause_seconds = max(self._next_send_at - now, QUARANTINE_POLL_SECONDS)
+                await self._clock.sleep(min(pause_seconds, FREE_WORKER_POLL_SECONDS, remaining))
             else:
-                raise self._failure(timed_out=False)
+                raise self._forwarding_error(timed_out=False)
 
-    def _was_refused_by_all(self, now: float) -> bool:
-        """Return whether workers have refused the request for want of room, and none is left."""
+    def _is_refused_by_all_workers(self, now: float) -> bool:
+        """Return whether all workers refused the request for lack of capacity."""
         if not self._is_service_full or self._attempts or not self._has_not_run():
             return False
-        if not self._turn.is_limited:
+        if not self._admission.is_limited:
             return False
-        return self._refusals - self._refusals_before_turn > MAXIMUM_REFUSALS or not any(
-            record.is_available(now)
-            for record in self._picker.allowed(self._service, self._apart_from)
+        return (
+            self._refusal_count - self._refusals_before_admission > MAX_REFUSALS_PER_ADMISSION
+            or not any(
+                record.is_available(now)
+                for record in self._selector.allowed_workers(self._service, self._excluded_workers)
+            )
         )
 
-    async def _wait_for_another_turn(self) -> None:
-        await self._turn.take_another()
-        self._refusals_before_turn = self._refusals
+    async def _wait_for_readmission(self) -> None:
+        await self._admission.reacquire()
+        self._refusals_before_admission = self._refusal_count
         self._is_service_full = False
-        self._next_send = self._clock.monotonic()
+        self._next_send_at = self._clock.monotonic()
 
     def _has_not_run(self) -> bool:
-        return not self._may_have_run and self._sent == self._refusals
+        return not self._may_have_run and self._send_count == self._refusal_count
 
-    def _is_let_through(self, now: float) -> bool:
-        """Return whether the request may run once more, as far as its workers have survived it.
+    def _passes_quarantine(self, now: float) -> bool:
+        """Return whether the quarantine allows another run of the request.
 
         Raises:
-            RequestHeldBackError: It must not, and nothing of it is under way.
+            RequestQuarantinedError: The request must not run and no attempt is in flight.
         """
         if self._quarantine.is_idle:
             return True
         verdict = self._quarantine.verdict(self._fingerprint, self._service)
         if verdict.decision is Decision.RUN:
-            self._apart_from = verdict.apart_from
+            self._excluded_workers = verdict.apart_from
             return True
         if verdict.decision is Decision.HOLD and not self._attempts:
             self._quarantine.log_held(self._request.request_id, self._fingerprint, verdict)
-            raise self._held_back(verdict)
-        self._next_send = now + SUSPECT_PAUSE_SECONDS
+            raise self._quarantine_error(verdict)
+        self._next_send_at = now + QUARANTINE_POLL_SECONDS
         return False
 
-    def _may_hedge(self, now: float) -> bool:
-        """Return whether the budget allows the next send, if that is a second copy.
+    def _may_send_hedge(self, now: float) -> bool:
+        """Return whether the next send is allowed if it is a hedge.
 
-        Without budget, it is put off until a kept connection may be taken for a silent one.
+        Without hedge budget it is delayed until a reused connection may be considered stalled.
         """
         if not self._is_hedge_next or not self._attempts:
             return True
-        silent_at = self._last_sent_at + self._route.target_seconds * LATEST_SHARE_WITHOUT_BUDGET
-        may_be_silent = self._unproved() is not None
-        is_in_budget = self._timing.try_withdraw(now, is_awaited=self._request.is_awaited)
-        if is_in_budget or (may_be_silent and now >= silent_at):
+        stalled_at = (
+            self._last_sent_at + self._route.target_seconds * STALLED_CONNECTION_TARGET_SHARE
+        )
+        may_be_stalled = self._unconfirmed_attempt() is not None
+        is_in_budget = self._hedge_timing.try_withdraw(
+            now, is_interactive=self._request.is_interactive
+        )
+        if is_in_budget or (may_be_stalled and now >= stalled_at):
             self._metrics.count_hedge("sent")
             return True
         self._metrics.count_hedge("no_budget")
-        self._next_send = silent_at if may_be_silent else self._deadline
+        self._next_send_at = stalled_at if may_be_stalled else self._deadline
         return False
 
-    def _held_back(self, verdict: Verdict) -> RequestHeldBackError:
+    def _quarantine_error(self, verdict: Verdict) -> RequestQuarantinedError:
         has_run = self._may_have_run
-        return RequestHeldBackError(
+        return RequestQuarantinedError(
             f"{verdict.deaths_in_a_row} workers ended under it: {verdict.reason}",
             execution=Execution.MAY_HAVE_RUN if has_run else Execution.NOT_RUN,
             retry_after_seconds=None if has_run else verdict.retry_after_seconds,
@@ -290,12 +300,13 @@
         )
 
     def close(self, *, is_answered: bool) -> None:
-        """Close what is under way; its workers stop working on it.
+        """Cancel attempts in flight; their workers stop processing.
 
-        Where no other worker has answered, theirs may have gone dark under it.
+        If no worker has answered, the quarantine is told about the workers that were still running
+        it.
         """
         for task, attempt in self._attempts.items():
-            self._note_began(attempt)
+            self._record_run_start(attempt)
             task.cancel()
             if not is_answered:
                 self._quarantine.note_unanswered(
@@ -304,19 +315,19 @@
                     attempt.record.worker,
                     attempt.sent_at,
                 )
-        self._turn.close(self._answered_attempt_seconds)
+        self._admission.close(self._response_seconds)
 
-    def _note_began(self, attempt: _Attempt) -> None:
-        if self.began_at is None or attempt.sent_at < self.began_at:
-            self.began_at = attempt.sent_at
+    def _record_run_start(self, attempt: _Attempt) -> None:
+        if self.first_run_at is None or attempt.sent_at < self.first_run_at:
+            self.first_run_at = attempt.sent_at
 
-    def log_answer(self, answer: WorkerAnswer) -> None:
-        """Log the answer, and why its worker was chosen."""
-        choice = self._answered_by.choice if self._answered_by is not None else None
-        log_served(self._trace(), answer.status, choice)
+    def log_success(self, response: WorkerAnswer) -> None:
+        """Log the response and why its worker was selected."""
+        choice = self._successful_attempt.choice if self._successful_attempt is not None else None
+        log_served(self._trace(), response.status, choice)
 
     def log_failure(self, error: ForwardingError) -> None:
-        """Log the final failure with what led to it."""
+        """Log the final failure."""
         log_not_served(self._trace(), error)
 
     def _trace(self) -> RequestTrace:
@@ -325,20 +336,20 @@
             fingerprint=self._fingerprint,
             route=self._route.name,
             service=self._service,
-            sent=self._sent,
-            refusals=self._refusals,
+            sent=self._send_count,
+            refusals=self._refusal_count,
             workers=self._tried,
             elapsed_seconds=self._clock.monotonic() - self._started_at,
         )
 
-    def _note_survived(self, attempt: _Attempt) -> None:
-        """Note that a worker has answered, were it with a failure."""
+    def _record_worker_alive(self, attempt: _Attempt) -> None:
+        """Tell the quarantine that a worker has responded, successfully or not."""
         if not self._quarantine.is_idle:
             self._quarantine.note_alive(attempt.record.worker)
             self._quarantine.note_answer(self._fingerprint)
 
-    def _note_broken(self, attempt: _Attempt, error: WorkerBrokenError) -> None:
-        """Note a run that ended without an answer: its worker may have ended under it."""
+    def _record_broken_run(self, attempt: _Attempt, error: WorkerBrokenError) -> None:
+        """Record a run that ended without a response; the worker may have crashed."""
         self._quarantine.note_broken(
             self._fingerprint, self._request.request_id, attempt.record.worker, attempt.sent_at
         )
@@ -348,78 +359,84 @@
             attempt.record.worker,
             error,
             self._clock.monotonic() - attempt.sent_at,
-            was_kept=attempt.was_kept,
+            was_kept=attempt.reused_connection,
         )
 
-    async def _wait(self, now: float, remaining: float) -> WorkerAnswer | None:
-        """Wait for an attempt to end, or until another may be sent."""
+    async def _wait_for_attempt(self, now: float, remaining: float) -> WorkerAnswer | None:
+        """Wait until an attempt finishes or the next one may be sent."""
         wait_seconds = remaining
         if self._may_send():
-            until_send = max(self._next_send - now, MINIMUM_BUDGET_SECONDS)
+            until_send = max(self._next_send_at - now, MIN_BUDGET_SECONDS)
             wait_seconds = min(remaining, until_send)
         done, _ = await asyncio.wait(
             self._attempts, timeout=wait_seconds, return_when=asyncio.FIRST_COMPLETED
         )
         for task in done:
-            answer = self._settle(task, self._attempts.pop(task))
-            if answer is not None:
-                return answer
-            self._next_send = self._clock.monotonic()
+            response = self._handle_finished(task, self._attempts.pop(task))
+            if response is not None:
+                return response
+            self._next_send_at = self._clock.monotonic()
             self._is_hedge_next = False
         return None
 
     def _may_send(self) -> bool:
-        if self._refusals - self._refusals_before_turn > MAXIMUM_REFUSALS:
+        if self._refusal_count - self._refusals_before_admission > MAX_REFUSALS_PER_ADMISSION:
             return False
         if self._route.kind is RequestKind.AT_MOST_ONCE:
             return not self._attempts and not self._may_have_run
-        return self._has_attempts_left() or self._unproved() is not None
+        return self._has_attempts_left() or self._unconfirmed_attempt() is not None
 
     def _has_attempts_left(self) -> bool:
-        return self._sent - self._refusals < self._route.attempts
+        return self._send_count - self._refusal_count < self._route.attempts
 
-    def _unproved(self) -> _Attempt | None:
-        """Return the attempt to make again, over a new connection, if none was used so far.
+    def _unconfirmed_attempt(self) -> _Attempt | None:
+        """Return an attempt to repeat over a new connection, if all attempts used idle connections.
 
-        Its worker may not have seen the request, whose kept connection may be silent: asking it
-        again uses up none of the workers that the route allows.
+        The idle connection may be stalled, in which case the worker never saw the request. Such a
+        repeat does not count against ``route.attempts``.
         """
-        kept = [attempt for attempt in self._attempts.values() if attempt.was_kept]
-        return kept[0] if kept and len(kept) == self._sent - self._refusals else None
+        reused = [attempt for attempt in self._attempts.values() if attempt.reused_connection]
+        return (
+            reused[0] if reused and len(reused) == self._send_count - self._refusal_count else None
+        )
 
-    def _send_to_next(self, now: float, remaining: float) -> None:
-        self._next_send = now + self._timing.delay_seconds(
-            self._route.name, self._route.target_seconds, is_awaited=self._request.is_awaited
+    def _send_to_next_worker(self, now: float, remaining: float) -> None:
+        self._next_send_at = now + self._hedge_timing.delay_seconds(
+            self._route.name,
+            self._route.target_seconds,
+            is_interactive=self._request.is_interactive,
         )
         self._last_sent_at = now
         self._is_hedge_next = True
         if not self._has_attempts_left():
-            unproved = self._unproved()
-            if unproved is not None:
-                self._send(unproved.record, unproved.choice, remaining)
+            unconfirmed = self._unconfirmed_attempt()
+            if unconfirmed is not None:
+                self._send(unconfirmed.record, unconfirmed.choice, remaining)
             return
-        choice = self._picker.choose(self._next(), now)
+        choice = self._selector.choose(self._send_criteria(), now)
         record = self._directory.get(choice.worker_id) if choice is not None else None
         if choice is not None and record is not None:
             self._send(record, choice, remaining)
         elif not self._attempts:
-            raise self._failure(timed_out=False)
+            raise self._forwarding_error(timed_out=False)
 
-    def _next(self) -> NextSend:
-        return NextSend(
+    def _send_criteria(self) -> SendCriteria:
+        return SendCriteria(
             route=self._route,
             service=self._service,
             body_bytes=len(self._request.body),
             tried=self._tried,
-            apart_from=self._apart_from,
+            excluded=self._excluded_workers,
         )
 
     def _send(self, record: WorkerRecord, choice: ChosenWorker, remaining: float) -> None:
-        # The first send may take a kept connection. What follows a send without an answer does
-        # not: if kept ones have fallen silent, each of them would cost an attempt.
-        is_fresh = self._sent > self._refusals
-        was_kept = not is_fresh and self._client.keeps_connection(record.worker)
-        self._sent += 1
+        # Only the first attempt may reuse an idle connection: if idle connections have stalled,
+        # each reuse would waste an attempt.
+        needs_new_connection = self._send_count > self._refusal_count
+        reused_connection = not needs_new_connection and self._client.keeps_connection(
+            record.worker
+        )
+        self._send_count += 1
         self._tried.add(record.worker.worker_id)
         request = self._request
         outgoing = WorkerRequest(
@@ -433,86 +450,88 @@
             repeatable=self._route.kind is RequestKind.IDEMPOTENT,
             tenant=request.tenant,
             priority=self._worker_priority,
-            fresh_connection=is_fresh,
+            fresh_connection=needs_new_connection,
         )
         record.in_flight += 1
         record.body_bytes += len(request.body)
         task = asyncio.get_running_loop().create_task(
             self._caller.call(record.worker, outgoing, self._route, self._fingerprint)
         )
-        # A task that is cancelled before it runs never comes to a ``finally`` of its own.
-        task.add_done_callback(lambda _: _note_ended(record, len(request.body)))
-        self._attempts[task] = _Attempt(record, choice, self._clock.monotonic(), was_kept)
-
-    def _settle(self, task: "asyncio.Task[WorkerAnswer]", attempt: _Attempt) -> WorkerAnswer | None:
-        """Take a finished attempt; return its answer if it is final."""
+        # A task that is cancelled before it starts never reaches a ``finally`` block of its own.
+        task.add_done_callback(lambda _: _subtract_in_flight(record, len(request.body)))
+        self._attempts[task] = _Attempt(record, choice, self._clock.monotonic(), reused_connection)
+
+    def _handle_finished(
+        self, task: "asyncio.Task[WorkerAnswer]", attempt: _Attempt
+    ) -> WorkerAnswer | None:
+        """Process a finished attempt; return its response if it succeeded."""
         now = self._clock.monotonic()
         worker_id = attempt.record.worker.worker_id
-        worker_start = attempt.record.worker.started_at_ms
+        worker_started_at_ms = attempt.record.worker.started_at_ms
         try:
-            answer = task.result()
-            self._answered_attempt_seconds = now - attempt.sent_at
-            self._note_began(attempt)
-            self._note_survived(attempt)
-            self._answered_by = attempt
+            response = task.result()
+            self._response_seconds = now - attempt.sent_at
+            self._record_run_start(attempt)
+            self._record_worker_alive(attempt)
+            self._successful_attempt = attempt
             expected_seconds = attempt.choice.expected_seconds
             self._metrics.observe_expected_time(expected_seconds, now - attempt.sent_at)
-            self._blame_workers(now)
-            return answer
+            self._record_worker_failures(now)
+            return response
         except WorkerMisdirectedError:
-            self._refusals += 1
-            self._directory.pause(worker_id, now, MISDIRECTED_PAUSE_SECONDS, worker_start)
+            self._refusal_count += 1
+            self._directory.pause(worker_id, now, MISDIRECTED_PAUSE_SECONDS, worker_started_at_ms)
         except WorkerUnreachableError:
-            self._refusals += 1
-            self._directory.observe_failed_run(worker_id, now, worker_start)
-            self._directory.observe_failure(worker_id, now, worker_start)
+            self._refusal_count += 1
+            self._directory.observe_failed_run(worker_id, now, worker_started_at_ms)
+            self._directory.observe_failure(worker_id, now, worker_started_at_ms)
         except WorkerRefusedError:
-            self._refusals += 1
+            self._refusal_count += 1
             self._is_service_full = True
             self._metrics.count_worker_refusal(self._route.name)
-            pause_seconds = self._picker.refusal_seconds(attempt.record, self._route, now)
-            self._directory.pause(worker_id, now, pause_seconds, worker_start)
+            pause_seconds = self._selector.refusal_backoff_seconds(attempt.record, self._route, now)
+            self._directory.pause(worker_id, now, pause_seconds, worker_started_at_ms)
         except WorkerBrokenError as error:
-            self._note_began(attempt)
+            self._record_run_start(attempt)
             self._may_have_run = True
-            self._note_broken(attempt, error)
-            self._failed_at.append(attempt.record.worker)
-            self._directory.observe_failure(worker_id, now, worker_start)
+            self._record_broken_run(attempt, error)
+            self._failed_workers.append(attempt.record.worker)
+            self._directory.observe_failure(worker_id, now, worker_started_at_ms)
         except WorkerTimedOutError as error:
             self._log_failed_run(attempt, error, now)
-            self._note_began(attempt)
-            self._note_survived(attempt)
+            self._record_run_start(attempt)
+            self._record_worker_alive(attempt)
             self._may_have_run = True
         except WorkerError as error:
             self._log_failed_run(attempt, error, now)
-            self._note_began(attempt)
-            self._note_survived(attempt)
+            self._record_run_start(attempt)
+            self._record_worker_alive(attempt)
             self._may_have_run = True
             self._worker_failures += 1
-            self._failed_at.append(attempt.record.worker)
+            self._failed_workers.append(attempt.record.worker)
         return None
 
     def _log_failed_run(self, attempt: _Attempt, error: WorkerError, now: float) -> None:
         elapsed_seconds = now - attempt.sent_at
         log_run_failed(self._request.request_id, attempt.record.worker, error, elapsed_seconds)
 
-    def _blame_workers(self, now: float) -> None:
-        """Hold failed runs against their workers, now that another one has answered.
+    def _record_worker_failures(self, now: float) -> None:
+        """Record failed runs against their workers, now that another worker has succeeded.
 
-        A request that fails on every worker says nothing about any of them.
+        A request that fails on every worker says nothing about the workers.
         """
-        for worker in self._failed_at:
+        for worker in self._failed_workers:
             self._directory.observe_failed_run(worker.worker_id, now, worker.started_at_ms)
 
-    def _failure(self, *, timed_out: bool) -> ForwardingError:
-        """Return the final answer: what the client may conclude about the request."""
+    def _forwarding_error(self, *, timed_out: bool) -> ForwardingError:
+        """Return the error for the client, which says whether the request may have run."""
         if self._has_not_run():
-            left_seconds = self._deadline - self._clock.monotonic()
+            remaining_seconds = self._deadline - self._clock.monotonic()
             return NoWorkerError(
                 "no worker took the request",
                 execution=Execution.NOT_RUN,
                 retry_after_seconds=retry_after_seconds(
-                    self._request.request_id, RETRY_AFTER_SECONDS, left_seconds
+                    self._request.request_id, RETRY_AFTER_SECONDS, remaining_seconds
                 ),
             )
         kind = RequestTimedOutError if timed_out else AnswerLostError
@@ -523,6 +542,6 @@
         )
 
 
-def _note_ended(record: WorkerRecord, body_bytes: int) -> None:
+def _subtract_in_flight(record: WorkerRecord, body_bytes: int) -> None:
     record.in_flight -= 1
     record.body_bytes -= body_bytes
--- a/drumbay/forwarding/hedge_timing.py
+++ b/drumbay/forwarding/hedge_timing.py
@@ -1,10 +1,8 @@
-"""Pure decision when a second copy of a request goes out.
+"""Decides when a hedge (a second copy of a request) is sent.
 
-The load it answers: single answers that take far longer than their route's others, on workers that
-are busy for a moment, slow or silent. The second copy goes out once the request has waited longer
-than nearly all of its route's requests take, as in Dean and Barroso, "The Tail at Scale" (CACM
-56(2), 2013). When all workers are slow together, second copies would only add to their load: a
-budget bounds them to a share of the node's requests.
+A hedge goes out once the request has waited longer than nearly all requests of its route take, as
+in Dean and Barroso, "The Tail at Scale" (CACM 56(2), 2013). A budget limits hedges to a share of
+the node's requests, since they only add load when all workers are slow.
 """
 
 import math
@@ -12,83 +10,90 @@
 from drumbay.limits.recent_latency import RecentLatency
 from drumbay.limits.retry_budget import RetryBudget, RetryBudgetPolicy
 
-EARLIEST_SHARE_OF_TARGET = 0.2
-LATEST_SHARE_OF_TARGET = 0.45
-"""A caller waits for the answer: the second copy must leave it more than half of the objective, and
-one sent within a fifth of it is not worth a worker's place yet."""
+MIN_DELAY_TARGET_SHARE = 0.2
+MAX_DELAY_TARGET_SHARE = 0.45
+"""Bounds of the hedge delay for requests that a client waits for, as shares of the latency
+target."""
 
-EARLIEST_UNAWAITED_SHARE_OF_TARGET = 0.5
-LATEST_UNAWAITED_SHARE_OF_TARGET = 0.75
-"""The system's own requests are parts of a batch job that takes seconds; a late one costs less than
-the place of a second copy."""
+MIN_BACKGROUND_DELAY_TARGET_SHARE = 0.5
+MAX_BACKGROUND_DELAY_TARGET_SHARE = 0.75
+"""Bounds for internal requests, such as reward scoring of batch jobs, where latency matters
+less."""
 
-LATEST_SHARE_WITHOUT_BUDGET = 1.0
-"""A kept connection may have fallen silent, and with it those of all workers at once, more than any
-budget holds. A request without a word on one for its whole objective is sent over a new one."""
+STALLED_CONNECTION_TARGET_SHARE = 1.0
+"""Share of the target after which a reused connection without a response counts as stalled. The
+request is then resent over a new connection even if the hedge budget is spent."""
 
 BUDGET_POLICY = RetryBudgetPolicy(retry_ratio=0.1, min_retries_per_second=0.5, max_balance=10.0)
-"""A tenth of the requests, and one each two seconds for nodes with few; ten at once, as many as a
-node has under way at a worker that goes dark. Callers' requests have a budget of their own: a burst
-of the system's requests must not use it up."""
+"""Hedge budget. Interactive and background requests have separate budgets, so that a burst of
+background requests cannot exhaust the interactive one."""
 
-UNKNOWN_SHARE_OF_TARGET = 0.2
-"""Until a few answers of a route were seen, its requests count as taking this share of the
-objective, which leaves room for a second copy and for the way to the caller."""
+DEFAULT_LATENCY_TARGET_SHARE = 0.2
+"""Assumed latency, as a share of the target, until enough responses of a route were observed."""
 
-MAXIMUM_ROUTES = 256
-"""Routes whose times are remembered: one whose times are forgotten counts as a new one."""
+MAX_TRACKED_ROUTES = 256
+"""Maximum number of routes with stored latencies; the least recently used is evicted."""
 
 
 class HedgeTiming:
-    """Recent times of each route's answers, and the budgets of second copies of one node.
+    """Recent response latencies of each route and the hedge budgets of one node.
 
-    ``is_awaited`` tells throughout that a caller waits for the answer.
+    ``is_interactive`` says whether a client waits for the response.
     """
 
     def __init__(self, now: float) -> None:
         """Start without observations and with full budgets."""
-        self._budget = RetryBudget(BUDGET_POLICY, now)
-        self._unawaited_budget = RetryBudget(BUDGET_POLICY, now)
+        self._interactive_budget = RetryBudget(BUDGET_POLICY, now)
+        self._background_budget = RetryBudget(BUDGET_POLICY, now)
         self._latencies: dict[str, RecentLatency] = {}
 
-    def record_request(self, now: float, *, is_awaited: bool) -> None:
-        """Count a request."""
-        self._budget_of(is_awaited).record_request(now)
+    def record_request(self, now: float, *, is_interactive: bool) -> None:
+        """Count a request toward the budget."""
+        self._budget_of(is_interactive).record_request(now)
 
-    def try_withdraw(self, now: float, *, is_awaited: bool) -> bool:
-        """Take one second copy from the budget; false if it is spent."""
-        return self._budget_of(is_awaited).try_withdraw(now)
+    def try_withdraw(self, now: float, *, is_interactive: bool) -> bool:
+        """Withdraw one hedge from the budget; return false if it is spent."""
+        return self._budget_of(is_interactive).try_withdraw(now)
 
-    def _budget_of(self, is_awaited: bool) -> RetryBudget:
-        return self._budget if is_awaited else self._unawaited_budget
+    def _budget_of(self, is_interactive: bool) -> RetryBudget:
+        return self._interactive_budget if is_interactive else self._background_budget
 
     def observe(self, route_name: str, seconds: float) -> None:
-        """Take the time of a worker's answer."""
+        """Record the latency of a worker's response."""
         latency = self._latencies.pop(route_name, None) or RecentLatency()
         self._latencies[route_name] = latency
-        if len(self._latencies) > MAXIMUM_ROUTES:
+        if len(self._latencies) > MAX_TRACKED_ROUTES:
             del self._latencies[next(iter(self._latencies))]
         latency.observe(seconds)
 
-    def knows(self, route_name: str) -> bool:
-        """Return whether the usual time of a route's answers was seen."""
-        return self._seen_usual_seconds(route_name) is not None
+    def has_typical_latency(self, route_name: str) -> bool:
+        """Return whether enough responses of a route were observed."""
+        return self._observed_typical_seconds(route_name) is not None
 
-    def usual_seconds(self, route_name: str, target_seconds: float) -> float:
-        """Return the median time of a route's answers, or a guess until it is known."""
-        seen_seconds = self._seen_usual_seconds(route_name)
-        return UNKNOWN_SHARE_OF_TARGET * target_seconds if seen_seconds is None else seen_seconds
+    def typical_seconds(self, route_name: str, target_seconds: float) -> float:
+        """Return the median latency of a route, or the default until it is known."""
+        observed_typical = self._observed_typical_seconds(route_name)
+        return (
+            DEFAULT_LATENCY_TARGET_SHARE * target_seconds
+            if observed_typical is None
+            else observed_typical
+        )
 
-    def _seen_usual_seconds(self, route_name: str) -> float | None:
+    def _observed_typical_seconds(self, route_name: str) -> float | None:
         latency = self._latencies.get(route_name)
         return latency.usual_seconds() if latency is not None else None
 
-    def delay_seconds(self, route_name: str, target_seconds: float, *, is_awaited: bool) -> float:
-        """Return after how long a second copy goes out."""
-        earliest, latest = EARLIEST_SHARE_OF_TARGET, LATEST_SHARE_OF_TARGET
-        if not is_awaited:
-            earliest, latest = EARLIEST_UNAWAITED_SHARE_OF_TARGET, LATEST_UNAWAITED_SHARE_OF_TARGET
+    def delay_seconds(
+        self, route_name: str, target_seconds: float, *, is_interactive: bool
+    ) -> float:
+        """Return the delay after which a hedge is sent."""
+        min_share, max_share = MIN_DELAY_TARGET_SHARE, MAX_DELAY_TARGET_SHARE
+        if not is_interactive:
+            min_share, max_share = (
+                MIN_BACKGROUND_DELAY_TARGET_SHARE,
+                MAX_BACKGROUND_DELAY_TARGET_SHARE,
+            )
         latency = self._latencies.get(route_name)
-        slow = latency.hedge_delay_seconds() if latency is not None else None
-        wanted_seconds = slow if slow is not None else math.inf
-        return min(latest * target_seconds, max(earliest * target_seconds, wanted_seconds))
+        hedge_delay = latency.hedge_delay_seconds() if latency is not None else None
+        preferred_seconds = hedge_delay if hedge_delay is not None else math.inf
+        return min(max_share * target_seconds, max(min_share * target_seconds, preferred_seconds))
--- a/drumbay/forwarding/records.py
+++ b/drumbay/forwarding/records.py
@@ -1,4 +1,4 @@
-"""A client's request on its way to workers, and the ways in which it can fail."""
+"""Client requests and the errors of forwarding them."""
 
 import msgspec
 
@@ -8,10 +8,10 @@
 
 
 class ForwardingError(RequestFailedError):
-    """A request was not served.
+    """A request could not be served.
 
     Attributes:
-        worker_failures: How many workers ran the request and failed.
+        worker_failures: Number of workers that ran the request and failed.
     """
 
     def __init__(
@@ -22,51 +22,51 @@
         retry_after_seconds: float | None = None,
         worker_failures: int = 0,
     ) -> None:
-        """Store what is known about the failure."""
+        """Store the details of the failure."""
         super().__init__(detail, execution=execution, retry_after_seconds=retry_after_seconds)
         self.worker_failures = worker_failures
 
 
 class NoWorkerError(ForwardingError):
-    """No worker could take the request."""
+    """No worker accepted the request."""
 
     code = "no_worker"
 
 
 class RequestTimedOutError(ForwardingError):
-    """The deadline or the route's time limit passed without an answer."""
+    """The request's deadline or the route's timeout expired."""
 
     code = "request_timed_out"
     http_status = 504
 
 
 class AnswerLostError(ForwardingError):
-    """The request may have run, but no whole answer came."""
+    """The request may have run, but no complete response arrived."""
 
     code = "answer_lost"
     http_status = 502
 
 
-class RequestHeldBackError(ForwardingError):
-    """Workers have ended under the request, and it must not reach another one now."""
+class RequestQuarantinedError(ForwardingError):
+    """Workers crashed while running the request, and it is quarantined."""
 
     code = "held_back"
     http_status = 502
 
 
 class RewardOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Which reward requests go first: those of the oldest batch job, then the smaller priority."""
+    """Order of reward requests: oldest batch job first, then the lowest priority value."""
 
     batch_started_at: float
     batch_priority: int
 
 
 class ClientRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A client's request, as it goes out to a worker.
+    """A client request to be forwarded to a worker.
 
-    ``tenant`` is the one whose key it had; ``caller_address`` is where it came from, empty for
-    requests of the system's own. ``priority`` ranks it where requests compete: 0 goes first.
-    ``reward_order`` is given for a reward request, which goes behind callers' requests.
+    ``tenant`` is the owner of the request's API key. ``caller_address`` is the client's address,
+    empty for internal requests. ``priority`` 0 is the most urgent. ``reward_order`` is set for
+    reward requests, which are queued behind client requests.
     """
 
     request_id: str
@@ -82,13 +82,13 @@
     reward_order: RewardOrder | None = None
 
     @property
-    def is_awaited(self) -> bool:
-        """Return whether a caller waits for the answer: it is not a request of the system's own."""
+    def is_interactive(self) -> bool:
+        """Return whether a client waits for the response, in contrast to internal requests."""
         return self.caller_address != ""
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """Return what all tries of the same request have in common."""
+        """Return a fingerprint that is the same for all retries of the request."""
         return fingerprint_of(
             caller=self.tenant or self.caller_address,
             method=self.method,
--- a/drumbay/forwarding/service_turn.py
+++ b/drumbay/forwarding/request_admission.py
@@ -1,4 +1,4 @@
-"""The turn of one request at its service, where admission limits what is under way."""
+"""Admission of one request to a service with limited concurrency."""
 
 from collections.abc import Awaitable
 
@@ -8,8 +8,8 @@
 from drumbay.forwarding.records import ClientRequest, NoWorkerError
 
 
-class ServiceTurn:
-    """Waits for a request's turns, and gives its place back when it has its final answer."""
+class RequestAdmission:
+    """Waits for admission of a request and releases its slot when it is finished."""
 
     def __init__(
         self,
@@ -19,38 +19,38 @@
         arrived_at: float,
         deadline: float,
     ) -> None:
-        """Create one that has not asked yet. Times are monotonic."""
-        self._pass = gate.ask(service, _admission_request(request, arrived_at, deadline))
+        """Create an unadmitted request. Times are monotonic."""
+        self._ticket = gate.ask(service, _admission_request(request, arrived_at, deadline))
 
     @property
     def is_limited(self) -> bool:
-        """Return whether requests that workers refuse may wait for another turn."""
-        return self._pass.is_enabled
+        """Return whether admission control is enabled, so that refused requests can queue again."""
+        return self._ticket.is_enabled
 
-    async def take(self) -> None:
-        """Wait for the first turn.
+    async def acquire(self) -> None:
+        """Wait for the first admission.
 
         Raises:
-            NoWorkerError: The request can't be served in time; it has not run.
+            NoWorkerError: The request can't be served before its deadline; it has not run.
         """
-        await _admitted(self._pass.enter())
+        await _translate_rejection(self._ticket.enter())
 
-    async def take_another(self) -> None:
-        """Wait for another turn, after every worker has refused the request.
+    async def reacquire(self) -> None:
+        """Wait for another admission after all workers have refused the request.
 
         Raises:
-            NoWorkerError: The request can't be served in time; it has not run.
+            NoWorkerError: The request can't be served before its deadline; it has not run.
         """
-        await _admitted(self._pass.enter_again())
+        await _translate_rejection(self._ticket.enter_again())
 
-    def close(self, answer_seconds: float | None) -> None:
-        """Give the place back, with the time that a worker took if one has answered."""
-        self._pass.close(answer_seconds)
+    def close(self, response_seconds: float | None) -> None:
+        """Release the slot; ``response_seconds`` is the response time of a successful attempt."""
+        self._ticket.close(response_seconds)
 
 
-async def _admitted(turn: Awaitable[None]) -> None:
+async def _translate_rejection(acquisition: Awaitable[None]) -> None:
     try:
-        await turn
+        await acquisition
     except AdmissionRejectedError as error:
         raise NoWorkerError(
             f"not admitted: {error.decision.reason}",
--- a/drumbay/forwarding/request_log.py
+++ b/drumbay/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""The log lines of a request that is answered at once: one for each decision about it."""
+"""Log lines of synchronous requests."""
 
 import math
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 class RequestTrace(msgspec.Struct, frozen=True, kw_only=True):
-    """What led to a request's final answer: how often it was sent, and to which workers."""
+    """Attempts that led to a request's final outcome."""
 
     request_id: str
     fingerprint: Fingerprint
@@ -27,7 +27,7 @@
 
 
 def log_served(trace: RequestTrace, status: int, choice: ChosenWorker | None) -> None:
-    """Log an answer, the sends that led to it, and why its worker was chosen."""
+    """Log a response, the attempts made and why its worker was selected."""
     log_event(
         "request_served",
         request=trace.request_id,
@@ -46,7 +46,7 @@
 
 
 def log_not_served(trace: RequestTrace, error: ForwardingError) -> None:
-    """Log a final failure with what led to it."""
+    """Log a final failure and the attempts made."""
     log_event(
         "request_not_served",
         level="WARNING",
@@ -72,7 +72,7 @@
     *,
     was_kept: bool,
 ) -> None:
-    """Log a run that ended without an answer, over a kept connection or a new one."""
+    """Log a run that ended without a response, over a reused or a new connection."""
     log_event(
         "request_run_broken",
         level="WARNING",
@@ -88,7 +88,7 @@
 def log_run_failed(
     request_id: str, worker: Worker, error: WorkerError, elapsed_seconds: float
 ) -> None:
-    """Log a run that a worker has ended with a failure."""
+    """Log a run that ended with a worker error."""
     log_event(
         "request_run_failed",
         level="WARNING",
@@ -100,5 +100,5 @@
 
 
 def _finite(seconds: float) -> float | None:
-    """Return an age for a log line; ``None`` where there never was a report."""
+    """Return a rounded age; ``None`` if no report was ever received."""
     return round(seconds, 3) if math.isfinite(seconds) else None
--- a/drumbay/forwarding/routes.py
+++ b/drumbay/forwarding/routes.py
@@ -1,4 +1,4 @@
-"""Routes that operators configure, and the choice of a route for a request."""
+"""Routes configured by operators, and their lookup."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -10,7 +10,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be done with the requests of a route."""
+    """Execution guarantee of a route's requests."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -18,17 +18,17 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True, kw_only=True):
-    """A service that takes a share of a route's requests."""
+    """A service and its weight in a route's traffic split."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests of one host below one path prefix; a public one needs no key.
+    """Settings for requests to one host below one path prefix.
 
-    ``priority`` ranks its requests where they compete for workers: 0 goes first. All results of a
-    batch job are due ``due_seconds`` after its submission; ``None`` if nothing says when.
+    Public routes need no API key. ``priority`` 0 is the most urgent. ``due_seconds`` is the time
+    after the submission of a batch job within which all results are due, or ``None``.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 
 class RequestLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of what a client may send."""
+    """Limits for client requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 33_554_432
@@ -56,11 +56,11 @@
 
 
 class RoutingConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the operators' configuration, whole.
+    """One version of the routing configuration.
 
-    ``keys`` is ``None`` where it names no tenants: then no request needs a key. ``scaling`` names
-    the services whose number of workers may be ordered, ``services`` those that are listed beside
-    the routes.
+    ``keys`` is ``None`` if no tenants are configured; no request needs an API key then. ``scaling``
+    lists the services whose worker count is managed, ``services`` those declared in addition to the
+    ones that routes refer to.
     """
 
     version: int
@@ -72,36 +72,36 @@
 
     @property
     def named_services(self) -> frozenset[str]:
-        """Return the services that a route or the list of services names."""
-        routed = {share.service for route in self.routes for share in route.shares}
-        return self.services | routed
+        """Return all services that are declared or referred to by a route."""
+        routed_services = {share.service for route in self.routes for share in route.shares}
+        return self.services | routed_services
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of the host with the longest prefix of the path."""
+        """Return the host's route with the longest matching path prefix."""
         matching = [r for r in self._of_host(host) if path.startswith(r.path_prefix)]
         return max(matching, key=lambda route: len(route.path_prefix), default=None)
 
     def priority_of(self, route: Route, tenant: TenantName | None) -> int:
-        """Return the rank of a request: its tenant's if that has one, else its route's."""
+        """Return the tenant's priority if it has one, else the route's."""
         if tenant is None or self.keys is None:
             return route.priority
         return self.keys.priorities.get(tenant, route.priority)
 
     def ranks_at(self, service: str) -> frozenset[int]:
-        """Return the ranks that requests to a service may have."""
+        """Return the priorities that requests to a service may have."""
         routes = [
             route
             for route in self.routes
             if route.kind is not RequestKind.ROLLOUT
             and any(share.service == service for share in route.shares)
         ]
-        ranks = {route.priority for route in routes}
+        priority_levels = {route.priority for route in routes}
         if self.keys is not None and any(not route.is_public for route in routes):
-            ranks |= set(self.keys.priorities.values())
-        return frozenset(ranks)
+            priority_levels |= set(self.keys.priorities.values())
+        return frozenset(priority_levels)
 
     def batches_need_key(self, host: str) -> bool:
-        """Return whether calls about batch jobs need a key: unless all their routes are public."""
+        """Return whether batch requests need a key: not if all rollout routes are public."""
         routes = [r for r in self._of_host(host) if r.kind is RequestKind.ROLLOUT]
         return not routes or not all(route.is_public for route in routes)
 
@@ -111,7 +111,7 @@
 
 
 class ServiceUse(Protocol):
-    """Tells which kinds of requests reach a service by the configuration in force."""
+    """Reports which kinds of routes lead to a service in the current configuration."""
 
     def batch_routes(self, service: str) -> int:
         """Return how many routes submit batch jobs to a service."""
@@ -123,35 +123,35 @@
 
 
 class RouteTable:
-    """The configuration in force; it never goes back to an older version."""
+    """Holds the current configuration; older versions are ignored."""
 
     def __init__(self) -> None:
         """Create a table without a configuration."""
         self._current: RoutingConfiguration | None = None
-        self._credits: dict[str, dict[str, float]] = {}
-        self._ranks: dict[str, frozenset[int]] = {}
+        self._current_weights: dict[str, dict[str, float]] = {}
+        self._priority_levels: dict[str, frozenset[int]] = {}
 
     @property
     def current(self) -> RoutingConfiguration | None:
-        """Return the configuration in force; ``None`` before the first."""
+        """Return the current configuration; ``None`` before the first."""
         return self._current
 
     def apply(self, configuration: RoutingConfiguration) -> bool:
-        """Put a configuration in force unless it is older; return whether it was newer."""
+        """Apply a configuration; return false if it is not newer than the current one."""
         if self._current is not None and configuration.version <= self._current.version:
             return False
         self._current = configuration
-        self._ranks.clear()
+        self._priority_levels.clear()
         return True
 
     def ranks_at(self, service: str) -> frozenset[int]:
-        """Return the ranks that requests to a service may have, worked out once a version."""
+        """Return the priorities that requests to a service may have, cached per configuration."""
         if self._current is None:
             return frozenset()
-        ranks = self._ranks.get(service)
-        if ranks is None:
-            ranks = self._ranks[service] = self._current.ranks_at(service)
-        return ranks
+        priority_levels = self._priority_levels.get(service)
+        if priority_levels is None:
+            priority_levels = self._priority_levels[service] = self._current.ranks_at(service)
+        return priority_levels
 
     def batch_routes(self, service: str) -> int:
         """Return how many routes submit batch jobs to a service."""
@@ -166,14 +166,14 @@
         return [r for r in routes if any(share.service == service for share in r.shares)]
 
     def choose_service(self, route: Route) -> str:
-        """Return the service for the next request: smooth weighted round robin."""
+        """Select the service for the next request by smooth weighted round robin."""
         if len(route.shares) == 1:
             return route.shares[0].service
-        credits = self._credits.setdefault(route.name, {})
+        current_weights = self._current_weights.setdefault(route.name, {})
         total = 0.0
         for share in route.shares:
-            credits[share.service] = credits.get(share.service, 0.0) + share.weight
+            current_weights[share.service] = current_weights.get(share.service, 0.0) + share.weight
             total += share.weight
-        chosen = max(route.shares, key=lambda share: credits[share.service])
-        credits[chosen.service] -= total
+        chosen = max(route.shares, key=lambda share: current_weights[share.service])
+        current_weights[chosen.service] -= total
         return chosen.service
--- a/drumbay/forwarding/worker_call.py
+++ b/drumbay/forwarding/worker_call.py
@@ -1,11 +1,11 @@
-"""One send of a request to a worker, and what its answer or silence tells about the worker."""
+"""Sends a request to a worker and records what the outcome says about the worker."""
 
 import asyncio
 
 from drumbay.clock import Clock
 from drumbay.forwarding.hedge_timing import HedgeTiming
 from drumbay.forwarding.routes import Route
-from drumbay.forwarding.worker_choice import relative_time_of
+from drumbay.forwarding.worker_choice import relative_latency_of
 from drumbay.quarantine.fingerprint import Fingerprint
 from drumbay.quarantine.service import Quarantine
 from drumbay.workers.directory import WorkerDirectory
@@ -14,7 +14,7 @@
 
 
 class WorkerCaller:
-    """Sends the requests of one node, and notes each worker's times and loads."""
+    """Sends one node's requests and records each worker's latency and load."""
 
     def __init__(
         self,
@@ -24,58 +24,58 @@
         timing: HedgeTiming,
         quarantine: Quarantine,
     ) -> None:
-        """Create a caller that notes in a directory what workers tell."""
+        """Create a caller that reports to ``directory`` and ``timing``."""
         self._clock = clock
         self._directory = directory
         self._client = client
-        self._timing = timing
+        self._hedge_timing = timing
         self._quarantine = quarantine
 
     async def call(
         self, worker: Worker, request: WorkerRequest, route: Route, fingerprint: Fingerprint
     ) -> WorkerAnswer:
-        """Return the worker's whole answer to a request of a route.
+        """Return the worker's complete response.
 
         Raises:
-            WorkerError: There is none.
+            WorkerError: No complete response arrived.
         """
         started_at = self._clock.monotonic()
         self._quarantine.begin(fingerprint, worker.worker_id)
         try:
-            answer = await self._client.call(worker, request)
+            response = await self._client.call(worker, request)
         except asyncio.CancelledError:
-            self._note_given_up(worker, route, started_at)
+            self._record_cancelled_run(worker, route, started_at)
             raise
         finally:
             self._quarantine.end(fingerprint, worker.worker_id)
-        self._note_answer(worker, route, started_at, answer)
-        return answer
+        self._record_response(worker, route, started_at, response)
+        return response
 
-    def _note_answer(
-        self, worker: Worker, route: Route, started_at: float, answer: WorkerAnswer
+    def _record_response(
+        self, worker: Worker, route: Route, started_at: float, response: WorkerAnswer
     ) -> None:
         now = self._clock.monotonic()
         elapsed_seconds = now - started_at
-        usual_seconds = self._usual_seconds(route)
-        relative_time = relative_time_of(elapsed_seconds, usual_seconds, answer.load)
-        is_known = self._timing.knows(route.name)
+        typical_seconds = self._typical_seconds(route)
+        relative_latency = relative_latency_of(elapsed_seconds, typical_seconds, response.load)
+        is_known = self._hedge_timing.has_typical_latency(route.name)
         self._directory.observe_answer(
-            worker.worker_id, relative_time if is_known else None, now, worker.started_at_ms
+            worker.worker_id, relative_latency if is_known else None, now, worker.started_at_ms
         )
-        self._timing.observe(route.name, elapsed_seconds)
-        if answer.load is not None:
-            self._directory.observe_load(worker.worker_id, answer.load, now, worker.started_at_ms)
+        self._hedge_timing.observe(route.name, elapsed_seconds)
+        if response.load is not None:
+            self._directory.observe_load(worker.worker_id, response.load, now, worker.started_at_ms)
 
-    def _note_given_up(self, worker: Worker, route: Route, started_at: float) -> None:
-        """Remember at least the time that a run took which was slower than another or too late."""
+    def _record_cancelled_run(self, worker: Worker, route: Route, started_at: float) -> None:
+        """Record the time of a slow cancelled run, a lower bound of its latency."""
         now = self._clock.monotonic()
         elapsed_seconds = now - started_at
-        usual_seconds = self._usual_seconds(route)
-        if elapsed_seconds > usual_seconds:
+        typical_seconds = self._typical_seconds(route)
+        if elapsed_seconds > typical_seconds:
             self._directory.observe_unanswered(
-                worker.worker_id, elapsed_seconds / usual_seconds, now, worker.started_at_ms
+                worker.worker_id, elapsed_seconds / typical_seconds, now, worker.started_at_ms
             )
-            self._timing.observe(route.name, elapsed_seconds)
+            self._hedge_timing.observe(route.name, elapsed_seconds)
 
-    def _usual_seconds(self, route: Route) -> float:
-        return self._timing.usual_seconds(route.name, route.target_seconds)
+    def _typical_seconds(self, route: Route) -> float:
+        return self._hedge_timing.typical_seconds(route.name, route.target_seconds)
--- /dev/null
+++ b/drumbay/forwarding/worker_selector.py
@@ -0,0 +1,104 @@
+"""Selects the worker for the next attempt from the node's records of a service's workers."""
+
+from collections.abc import Set
+
+import msgspec
+
+from drumbay.forwarding.hedge_timing import HedgeTiming
+from drumbay.forwarding.routes import Route
+from drumbay.forwarding.worker_choice import (
+    ChosenWorker,
+    WorkerSnapshot,
+    choose_worker,
+    refusal_backoff_seconds,
+)
+from drumbay.identifiers import BackendId
+from drumbay.limits.worker_bodies import may_send_body
+from drumbay.workers.directory import WorkerDirectory
+from drumbay.workers.interface import WorkerClient
+from drumbay.workers.worker_record import WorkerRecord
+
+
+class SendCriteria(msgspec.Struct, frozen=True, kw_only=True):
+    """What a worker is selected for.
+
+    ``tried`` workers have already received the request; ``excluded`` ones must not.
+    """
+
+    route: Route
+    service: str
+    body_bytes: int
+    tried: Set[BackendId]
+    excluded: Set[BackendId]
+
+
+class WorkerSelector:
+    """Selects workers for the requests of one node."""
+
+    def __init__(
+        self,
+        directory: WorkerDirectory,
+        client: WorkerClient,
+        timing: HedgeTiming,
+        zone: str,
+        machine: str,
+    ) -> None:
+        """Create a selector for a node in ``zone``, based on the records of a directory.
+
+        ``machine`` breaks ties between workers, differently on each machine.
+        """
+        self._directory = directory
+        self._client = client
+        self._hedge_timing = timing
+        self._zone = zone
+        self._machine = machine
+
+    def allowed_workers(self, service: str, excluded: Set[BackendId]) -> list[WorkerRecord]:
+        """Return the workers of a service except excluded ones."""
+        records = self._directory.of_service(service)
+        return [record for record in records if record.worker.worker_id not in excluded]
+
+    def choose(self, criteria: SendCriteria, now: float) -> ChosenWorker | None:
+        """Return the worker for the next attempt; ``None`` if none is eligible.
+
+        Untried workers are preferred. The first attempt may also use a paused worker if there is no
+        other.
+        """
+        records = [
+            record
+            for record in self.allowed_workers(criteria.service, criteria.excluded)
+            if may_send_body(record.body_bytes, criteria.body_bytes)
+        ]
+        available = [record for record in records if record.is_available(now)]
+        untried = [r for r in available if r.worker.worker_id not in criteria.tried]
+        candidates = untried or available
+        if not candidates and not criteria.tried:
+            candidates = [record for record in records if record.worker.state == "ready"]
+        snapshot = [self._snapshot_of(record, now) for record in candidates]
+        return choose_worker(snapshot, self.typical_seconds(criteria.route), self._machine, now)
+
+    def refusal_backoff_seconds(self, record: WorkerRecord, route: Route, now: float) -> float:
+        """Return for how long a worker that refused a request counts as full."""
+        return refusal_backoff_seconds(
+            self._snapshot_of(record, now), self.typical_seconds(route), now
+        )
+
+    def typical_seconds(self, route: Route) -> float:
+        """Return the typical latency of a route."""
+        return self._hedge_timing.typical_seconds(route.name, route.target_seconds)
+
+    def _snapshot_of(self, record: WorkerRecord, now: float) -> WorkerSnapshot:
+        return WorkerSnapshot(
+            worker_id=record.worker.worker_id,
+            slots=record.worker.slots,
+            own_requests=record.in_flight,
+            other_requests=record.others,
+            slowdown=record.slowdown,
+            reported_at=record.reported_at,
+            relative_latency=record.answers.relative_time(now),
+            failure_rate=record.answers.failure_share(now),
+            last_run_at=record.answers.ran_at,
+            paused_until=record.paused_until,
+            has_idle_connection=self._client.keeps_connection(record.worker),
+            is_same_zone=record.worker.zone == self._zone,
+        )
--- a/drumbay/workers/answer_pace.py
+++ b/drumbay/workers/answer_pace.py
@@ -36,12 +36,12 @@
 
     def relative_time(self, now: float) -> float:
         """Return the expected time of an answer relative to the usual one; 1 without news."""
-        weight = news_weight(now - self._answered_at, PACE_MEMORY_SECONDS)
+        weight = decay_weight(now - self._answered_at, PACE_MEMORY_SECONDS)
         return 1.0 + (self._relative_time - 1.0) * weight
 
     def failure_share(self, now: float) -> float:
         """Return the expected share of failed runs; 0 without news."""
-        return self._failure_share * news_weight(now - self._ran_at, PACE_MEMORY_SECONDS)
+        return self._failure_share * decay_weight(now - self._ran_at, PACE_MEMORY_SECONDS)
 
     def observe_answer(self, relative_time: float | None, now: float) -> None:
         """Take an answer; its time is ``None`` where the usual one is not known yet."""
@@ -69,6 +69,6 @@
         self._ran_at = now
 
 
-def news_weight(age_seconds: float, memory_seconds: float) -> float:
+def decay_weight(age_seconds: float, memory_seconds: float) -> float:
     """Return how much of what was seen so long ago still counts; the rest counts as usual."""
     return math.exp(-max(0.0, age_seconds) / memory_seconds)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of clients' requests: hedging, retries, attempts, deadlines, routes."""
+"""Tests of request forwarding: hedging, retries, attempt limits, deadlines and routes."""
 
 import asyncio
 import unittest
@@ -62,7 +62,7 @@
 
 
 def forwarder_of(clock: Clock, workers: EmulatedWorkerPool) -> Forwarder:
-    """Return a forwarder before some workers, of a node that has no other part."""
+    """Return a forwarder with its dependencies for a pool of emulated workers."""
     directory = WorkerDirectory()
     directory.replace_all(workers.entries())
     metrics = ServingMetrics()
@@ -97,7 +97,7 @@
             "",
         )
 
-    def test_an_answer_is_the_workers_own(self) -> None:
+    def test_each_response_belongs_to_its_request(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             answers = await asyncio.gather(
@@ -108,7 +108,7 @@
 
         play(scenario)
 
-    def test_a_slow_worker_is_hedged_and_the_loser_is_closed(self) -> None:
+    def test_slow_worker_is_hedged_and_losing_attempt_cancelled(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             world.workers["lookup-1"].faults.slowdown = 40.0
@@ -120,7 +120,7 @@
 
         play(scenario)
 
-    def test_a_kept_connection_is_used_while_its_worker_is_no_slower(self) -> None:
+    def test_idle_connection_is_preferred_unless_worker_is_slower(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             world.workers.kept_connections.add(BackendId("lookup-3"))
@@ -134,7 +134,7 @@
 
         play(scenario)
 
-    def test_many_requests_at_once_are_spread_over_the_workers(self) -> None:
+    def test_concurrent_requests_are_spread_over_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             world.workers.kept_connections.add(BackendId("lookup-3"))
@@ -145,7 +145,7 @@
 
         play(scenario)
 
-    def test_a_dark_worker_costs_no_request(self) -> None:
+    def test_unresponsive_worker_is_hedged(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             world.workers["lookup-1"].faults.dark = True
@@ -154,7 +154,7 @@
 
         play(scenario)
 
-    def test_no_more_workers_run_a_request_than_its_attempts(self) -> None:
+    def test_attempt_limit_bounds_workers_that_run_a_request(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world, workers=5)
             for number in range(1, 6):
@@ -166,7 +166,7 @@
 
         play(scenario)
 
-    def test_a_request_that_may_run_once_is_not_sent_again(self) -> None:
+    def test_at_most_once_request_is_not_resent(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
@@ -178,7 +178,7 @@
 
         play(scenario)
 
-    def test_a_request_that_may_run_once_goes_on_after_a_proved_refusal(self) -> None:
+    def test_at_most_once_request_is_resent_after_refusal(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             world.workers["lookup-1"].faults.full = True
@@ -188,7 +188,7 @@
 
         play(scenario)
 
-    def test_a_refusal_by_all_is_answered_at_once_as_not_run(self) -> None:
+    def test_refusal_by_all_workers_reports_not_run(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
@@ -201,7 +201,7 @@
 
         play(scenario)
 
-    def test_the_deadline_ends_a_request_and_its_runs(self) -> None:
+    def test_deadline_ends_request_and_runs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
@@ -216,7 +216,7 @@
 
         play(scenario)
 
-    def test_a_client_that_leaves_ends_its_runs(self) -> None:
+    def test_cancelled_request_ends_its_runs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
@@ -254,14 +254,14 @@
             )
         return RoutingConfiguration(version=version, routes=tuple(routes), limits=RequestLimits())
 
-    def test_the_longest_prefix_of_the_host_wins(self) -> None:
+    def test_longest_prefix_of_host_matches(self) -> None:
         found = self.configuration(1, "/a/", "/a/b/").find("host.example:80", "/a/b/c")
         assert found is not None
         self.assertEqual(found.path_prefix, "/a/b/")
         self.assertIsNone(self.configuration(1, "/a/").find("other.example", "/a/b"))
         self.assertIsNone(self.configuration(1, "/a/").find("host.example", "/ab"))
 
-    def test_an_older_configuration_never_comes_back(self) -> None:
+    def test_older_configuration_is_ignored(self) -> None:
         table = RouteTable()
         self.assertTrue(table.apply(self.configuration(7, "/a/")))
         self.assertFalse(table.apply(self.configuration(5, "/b/")))
@@ -269,7 +269,7 @@
         assert table.current is not None
         self.assertIsNotNone(table.current.find("host.example", "/a/x"))
 
-    def test_shares_follow_their_weights(self) -> None:
+    def test_traffic_split_follows_weights(self) -> None:
         table = RouteTable()
         one = self.configuration(1, "/a/").routes[0]
         chosen = [table.choose_service(one) for _ in range(100)]
--- a/tests/test_lookup_forwarding.py
+++ b/tests/test_lookup_forwarding.py
@@ -1,4 +1,4 @@
-"""Lookups before uneven, noisy and failing workers: which worker gets them, and second copies."""
+"""Tests of lookup forwarding to slow, noisy and failing workers: selection and hedging."""
 
 import asyncio
 import unittest
@@ -22,7 +22,7 @@
 
 
 def lookup(name: str) -> ClientRequest:
-    """Return a request whose caller waits for its answer."""
+    """Return a request from an external client."""
     return msgspec.structs.replace(request(name), caller_address=CALLER)
 
 
@@ -47,10 +47,10 @@
             machine,
         )
 
-    def counted(self, line: str) -> bool:
+    def has_metric_line(self, line: str) -> bool:
         return line in self.metrics.render().decode()
 
-    def test_a_reported_slowdown_moves_the_next_request(self) -> None:
+    def test_reported_slowdown_redirects_next_request(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             world.workers.kept_connections.add(BackendId("lookup-3"))
@@ -66,7 +66,7 @@
 
         play(scenario)
 
-    def test_a_worker_that_fails_its_runs_gets_few_of_them(self) -> None:
+    def test_failing_worker_gets_few_runs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             world.workers["lookup-1"].faults.failing = True
@@ -77,7 +77,7 @@
 
         play(scenario)
 
-    def test_a_request_that_fails_everywhere_is_held_against_no_worker(self) -> None:
+    def test_request_failing_everywhere_does_not_penalize_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             world.workers.failing_requests.add("bad")
@@ -90,7 +90,7 @@
 
         play(scenario)
 
-    def test_a_node_without_news_learns_of_a_dark_worker_from_one_request(self) -> None:
+    def test_unresponsive_worker_is_avoided_after_one_request(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             await forwarder.forward(route(), lookup("first"))
@@ -105,7 +105,7 @@
 
         play(scenario)
 
-    def test_a_refusal_is_remembered_for_the_time_of_a_request(self) -> None:
+    def test_refusing_worker_is_paused_for_one_request_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.kept_connections.add(BackendId("lookup-1"))
             forwarder = self.forwarder(world)
@@ -116,11 +116,11 @@
             record = self.directory.get(BackendId("lookup-1"))
             assert record is not None
             self.assertGreater(record.paused_until, 0.2)
-            self.assertTrue(self.counted('worker_refusals_total{route="lookups"} 1.0'))
+            self.assertTrue(self.has_metric_line('worker_refusals_total{route="lookups"} 1.0'))
 
         play(scenario)
 
-    def test_nodes_without_news_choose_different_workers(self) -> None:
+    def test_nodes_without_data_select_different_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarders = [self.forwarder(world, machine=f"m{number}") for number in range(30)]
             for number, forwarder in enumerate(forwarders):
@@ -131,7 +131,7 @@
 
         play(scenario)
 
-    def test_a_lookup_is_hedged_before_a_request_that_nobody_waits_for(self) -> None:
+    def test_interactive_request_is_hedged_before_background_one(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
@@ -151,7 +151,7 @@
 
         play(scenario)
 
-    def test_when_all_workers_are_slow_few_requests_are_sent_twice(self) -> None:
+    def test_hedge_budget_limits_hedges_when_all_workers_are_slow(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world, workers=10)
             for number in range(1, 11):
@@ -159,18 +159,18 @@
             sends = (forwarder.forward(route(), lookup(f"r{number}")) for number in range(100))
             await asyncio.gather(*sends)
             self.assertLessEqual(len(world.workers.runs), 100 + 10)
-            self.assertTrue(self.counted('hedges_total{outcome="no_budget"} 90.0'))
+            self.assertTrue(self.has_metric_line('hedges_total{outcome="no_budget"} 90.0'))
 
         play(scenario)
 
-    def test_without_budget_a_silent_kept_connection_is_still_replaced(self) -> None:
+    def test_stalled_connection_is_replaced_without_hedge_budget(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
                 world.workers.kept_connections.add(BackendId(f"lookup-{number}"))
                 world.workers[f"lookup-{number}"].faults.slowdown = 1_000.0
             timing = forwarder.hedge_timing
-            while timing.try_withdraw(world.clock.monotonic(), is_awaited=True):
+            while timing.try_withdraw(world.clock.monotonic(), is_interactive=True):
                 pass
             send = asyncio.ensure_future(forwarder.forward(route(), lookup("lookup")))
             await asyncio.sleep(0.14)
@@ -182,7 +182,7 @@
 
         play(scenario)
 
-    def test_a_request_that_may_run_once_has_no_second_copy(self) -> None:
+    def test_at_most_once_request_is_not_hedged(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a worker for requests that are answered at once, under uneven and stale news."""
+"""Tests of worker selection with uneven and outdated load reports."""
 
 import math
 import random
@@ -10,13 +10,13 @@
 
 from drumbay.forwarding.hedge_timing import HedgeTiming
 from drumbay.forwarding.worker_choice import (
-    LONGEST_REFUSAL_SECONDS,
-    SHORTEST_REFUSAL_SECONDS,
+    MAX_REFUSAL_SECONDS,
+    MIN_REFUSAL_SECONDS,
     ChosenWorker,
-    WorkerNews,
+    WorkerSnapshot,
     choose_worker,
-    refusal_seconds,
-    relative_time_of,
+    refusal_backoff_seconds,
+    relative_latency_of,
 )
 from drumbay.identifiers import BackendId
 from drumbay.workers.answer_pace import AnswerPace
@@ -24,110 +24,115 @@
 
 NOW = 100.0
 SLOTS = 6
-USUAL_SECONDS = 0.025
+TYPICAL_SECONDS = 0.025
 NODES = 77
 
 
-def news(name: str, **known: object) -> WorkerNews:
-    worker = WorkerNews(worker_id=BackendId(name), slots=SLOTS)
+def snapshot(name: str, **known: object) -> WorkerSnapshot:
+    worker = WorkerSnapshot(worker_id=BackendId(name), slots=SLOTS)
     return msgspec.structs.replace(worker, **known)
 
 
-def chosen(workers: list[WorkerNews], node: str = "node-1") -> ChosenWorker:
-    choice = choose_worker(workers, USUAL_SECONDS, node, NOW)
+def selected(workers: list[WorkerSnapshot], node: str = "node-1") -> ChosenWorker:
+    choice = choose_worker(workers, TYPICAL_SECONDS, node, NOW)
     assert choice is not None
     return choice
 
 
-def shares(workers: list[WorkerNews], nodes: int = NODES) -> Counter[str]:
-    """Return how many nodes, all with the same news, choose each worker."""
-    return Counter(str(chosen(workers, f"node-{number}").worker_id) for number in range(nodes))
+def selection_counts(workers: list[WorkerSnapshot], nodes: int = NODES) -> Counter[str]:
+    """Return how many of ``nodes`` select each worker, given the same data."""
+    return Counter(str(selected(workers, f"node-{number}").worker_id) for number in range(nodes))
 
 
-class NewsTest(unittest.TestCase):
-    """Nodes with the same news of six workers, each asking once."""
+class SelectionTest(unittest.TestCase):
+    """Selections by many nodes that share the same snapshots of the workers."""
 
-    def test_nodes_without_news_spread_over_all_workers(self) -> None:
-        counts = shares([news(f"w{number}") for number in range(6)], nodes=600)
+    def test_nodes_without_data_spread_over_all_workers(self) -> None:
+        counts = selection_counts([snapshot(f"w{number}") for number in range(6)], nodes=600)
         self.assertLess(max(counts.values()), 1.3 * 100)
         self.assertGreater(min(counts.values()), 0.7 * 100)
 
-    def test_one_fast_worker_in_a_stale_report_draws_no_herd(self) -> None:
-        workers = [news(f"w{n}", others=3, reported_at=NOW - 3.0) for n in range(5)]
-        workers.append(news("free", others=0, reported_at=NOW - 3.0))
-        self.assertLess(shares(workers)["free"], NODES / 3)
+    def test_outdated_report_does_not_attract_all_nodes(self) -> None:
+        workers = [snapshot(f"w{n}", other_requests=3, reported_at=NOW - 3.0) for n in range(5)]
+        workers.append(snapshot("free", other_requests=0, reported_at=NOW - 3.0))
+        self.assertLess(selection_counts(workers)["free"], NODES / 3)
 
-    def test_workers_that_are_slow_get_nothing_while_others_have_places(self) -> None:
-        workers = [news(f"slow{n}", relative_time=4.0) for n in range(2)]
-        workers += [news(f"w{n}") for n in range(4)]
-        counts = shares(workers)
+    def test_slow_workers_get_nothing_while_others_have_slots(self) -> None:
+        workers = [snapshot(f"slow{n}", relative_latency=4.0) for n in range(2)]
+        workers += [snapshot(f"w{n}") for n in range(4)]
+        counts = selection_counts(workers)
         self.assertEqual(counts["slow0"] + counts["slow1"], 0)
 
-    def test_a_noisy_moment_counts_while_it_is_new(self) -> None:
-        noisy = {"slowdown": 2.5, "keeps_connection": True}
-        fresh = [news("noisy", reported_at=NOW - 0.05, **noisy), news("quiet")]
-        stale = [news("noisy", reported_at=NOW - 3.0, **noisy), news("quiet")]
-        self.assertEqual(shares(fresh)["noisy"], 0)
-        self.assertEqual(shares(stale)["noisy"], NODES)
-
-    def test_a_queue_counts_as_turns_of_the_places(self) -> None:
-        full = news("full", others=12, reported_at=NOW, keeps_connection=True)
-        self.assertEqual(shares([full, news("w", own=3, reported_at=NOW)])["full"], 0)
-        alone = chosen([full])
-        self.assertGreater(alone.expected_seconds, 2 * USUAL_SECONDS)
-
-    def test_a_worker_without_news_is_not_taken_for_free(self) -> None:
-        workers = [news(f"told{n}", others=4, reported_at=NOW) for n in range(3)]
-        workers.append(news("untold"))
-        self.assertLess(shares(workers)["untold"], NODES / 2)
-
-    def test_a_kept_connection_is_left_for_a_clearly_faster_worker_only(self) -> None:
-        kept = news("kept", relative_time=1.2, keeps_connection=True)
-        self.assertEqual(shares([kept, news("w")])["kept"], NODES)
-        slower = msgspec.structs.replace(kept, relative_time=1.5)
-        self.assertEqual(shares([slower, news("w")])["kept"], 0)
-
-    def test_a_worker_that_fails_part_of_its_runs_is_avoided(self) -> None:
-        grey = news("grey", failure_share=0.3, keeps_connection=True)
-        self.assertEqual(shares([grey, news("sound")])["grey"], 0)
-
-    def test_where_every_worker_is_paused_the_shortest_pause_decides(self) -> None:
-        workers = [news("long", paused_until=NOW + 4.0), news("short", paused_until=NOW + 0.1)]
-        self.assertEqual(shares(workers)["short"], NODES)
-
-    def test_no_worker_is_no_choice(self) -> None:
-        self.assertIsNone(choose_worker([], USUAL_SECONDS, "node-1", NOW))
-
-    def test_a_refusal_lasts_as_long_as_a_turn_of_the_places(self) -> None:
-        self.assertEqual(refusal_seconds(news("w"), 0.2, NOW), 0.2)
-        slow = news("w", slowdown=2.0, reported_at=NOW)
-        self.assertEqual(refusal_seconds(slow, 0.2, NOW), 0.4)
-        self.assertEqual(refusal_seconds(news("w"), 0.001, NOW), SHORTEST_REFUSAL_SECONDS)
-        self.assertEqual(refusal_seconds(news("w"), 9.0, NOW), LONGEST_REFUSAL_SECONDS)
-
-    def test_a_reported_slowdown_and_wait_are_no_lasting_slowness(self) -> None:
+    def test_slowdown_counts_while_report_is_recent(self) -> None:
+        noisy = {"slowdown": 2.5, "has_idle_connection": True}
+        fresh = [snapshot("noisy", reported_at=NOW - 0.05, **noisy), snapshot("quiet")]
+        stale = [snapshot("noisy", reported_at=NOW - 3.0, **noisy), snapshot("quiet")]
+        self.assertEqual(selection_counts(fresh)["noisy"], 0)
+        self.assertEqual(selection_counts(stale)["noisy"], NODES)
+
+    def test_queue_length_increases_expected_latency(self) -> None:
+        full = snapshot("full", other_requests=12, reported_at=NOW, has_idle_connection=True)
+        self.assertEqual(
+            selection_counts([full, snapshot("w", own_requests=3, reported_at=NOW)])["full"], 0
+        )
+        alone = selected([full])
+        self.assertGreater(alone.expected_seconds, 2 * TYPICAL_SECONDS)
+
+    def test_worker_without_data_is_not_assumed_idle(self) -> None:
+        workers = [snapshot(f"told{n}", other_requests=4, reported_at=NOW) for n in range(3)]
+        workers.append(snapshot("untold"))
+        self.assertLess(selection_counts(workers)["untold"], NODES / 2)
+
+    def test_idle_connection_is_abandoned_only_for_clearly_faster_worker(self) -> None:
+        kept = snapshot("kept", relative_latency=1.2, has_idle_connection=True)
+        self.assertEqual(selection_counts([kept, snapshot("w")])["kept"], NODES)
+        slower = msgspec.structs.replace(kept, relative_latency=1.5)
+        self.assertEqual(selection_counts([slower, snapshot("w")])["kept"], 0)
+
+    def test_partially_failing_worker_is_avoided(self) -> None:
+        grey = snapshot("grey", failure_rate=0.3, has_idle_connection=True)
+        self.assertEqual(selection_counts([grey, snapshot("sound")])["grey"], 0)
+
+    def test_shortest_pause_is_selected_if_all_are_paused(self) -> None:
+        workers = [
+            snapshot("long", paused_until=NOW + 4.0),
+            snapshot("short", paused_until=NOW + 0.1),
+        ]
+        self.assertEqual(selection_counts(workers)["short"], NODES)
+
+    def test_no_candidates_returns_none(self) -> None:
+        self.assertIsNone(choose_worker([], TYPICAL_SECONDS, "node-1", NOW))
+
+    def test_refusal_backoff_equals_one_request_time(self) -> None:
+        self.assertEqual(refusal_backoff_seconds(snapshot("w"), 0.2, NOW), 0.2)
+        slow = snapshot("w", slowdown=2.0, reported_at=NOW)
+        self.assertEqual(refusal_backoff_seconds(slow, 0.2, NOW), 0.4)
+        self.assertEqual(refusal_backoff_seconds(snapshot("w"), 0.001, NOW), MIN_REFUSAL_SECONDS)
+        self.assertEqual(refusal_backoff_seconds(snapshot("w"), 9.0, NOW), MAX_REFUSAL_SECONDS)
+
+    def test_reported_slowdown_and_queue_are_factored_out(self) -> None:
         load = WorkerLoad(running=SLOTS, waiting=SLOTS, slots=SLOTS, slowdown=2.5)
-        self.assertEqual(relative_time_of(0.125, USUAL_SECONDS, load), 1.0)
-        self.assertEqual(relative_time_of(0.125, USUAL_SECONDS, None), 5.0)
+        self.assertEqual(relative_latency_of(0.125, TYPICAL_SECONDS, load), 1.0)
+        self.assertEqual(relative_latency_of(0.125, TYPICAL_SECONDS, None), 5.0)
 
 
-class AnswerPaceTest(unittest.TestCase):
-    def test_what_was_seen_of_a_worker_ages_towards_usual(self) -> None:
-        pace = AnswerPace()
+class ResponseStatsTest(unittest.TestCase):
+    def test_observations_decay_to_default(self) -> None:
+        stats = AnswerPace()
         for _ in range(5):
-            pace.observe_answer(6.0, NOW)
-            pace.observe_failure(NOW)
-        self.assertGreater(pace.relative_time(NOW), 4.0)
-        self.assertGreater(pace.failure_share(NOW), 0.4)
-        self.assertLess(pace.relative_time(NOW + 60.0), 1.1)
-        self.assertLess(pace.failure_share(NOW + 60.0), 0.02)
+            stats.observe_answer(6.0, NOW)
+            stats.observe_failure(NOW)
+        self.assertGreater(stats.relative_time(NOW), 4.0)
+        self.assertGreater(stats.failure_share(NOW), 0.4)
+        self.assertLess(stats.relative_time(NOW + 60.0), 1.1)
+        self.assertLess(stats.failure_share(NOW + 60.0), 0.02)
 
-    def test_a_run_that_was_given_up_early_says_nothing(self) -> None:
-        pace = AnswerPace()
-        pace.observe_unanswered(0.5, NOW)
-        self.assertEqual(pace.relative_time(NOW), 1.0)
-        pace.observe_unanswered(3.0, NOW)
-        self.assertGreater(pace.relative_time(NOW), 1.0)
+    def test_early_cancelled_run_is_ignored(self) -> None:
+        stats = AnswerPace()
+        stats.observe_unanswered(0.5, NOW)
+        self.assertEqual(stats.relative_time(NOW), 1.0)
+        stats.observe_unanswered(3.0, NOW)
+        self.assertGreater(stats.relative_time(NOW), 1.0)
 
 
 class HedgeTimingTest(unittest.TestCase):
@@ -137,67 +142,74 @@
             timing.observe("route", each)
         return timing
 
-    def delay(self, timing: HedgeTiming, *, is_awaited: bool = True) -> float:
-        return timing.delay_seconds("route", 0.15, is_awaited=is_awaited)
+    def delay(self, timing: HedgeTiming, *, is_interactive: bool = True) -> float:
+        return timing.delay_seconds("route", 0.15, is_interactive=is_interactive)
 
-    def test_the_second_copy_follows_what_nearly_all_requests_take(self) -> None:
+    def test_hedge_delay_follows_high_percentile(self) -> None:
         timing = self.timing(*(0.02 + 0.0004 * number for number in range(50)))
         self.assertAlmostEqual(self.delay(timing), 0.02 + 0.0004 * 47)
 
-    def test_it_stays_within_shares_of_the_objective(self) -> None:
+    def test_hedge_delay_is_bounded_by_target_shares(self) -> None:
         self.assertAlmostEqual(self.delay(self.timing()), 0.45 * 0.15)
         self.assertAlmostEqual(self.delay(self.timing(*[0.001] * 50)), 0.2 * 0.15)
         self.assertAlmostEqual(self.delay(self.timing(*[1.0] * 50)), 0.45 * 0.15)
 
-    def test_a_request_that_nobody_waits_for_is_hedged_later(self) -> None:
+    def test_background_request_is_hedged_later(self) -> None:
         timing = self.timing(*[0.025] * 50)
-        self.assertGreater(self.delay(timing, is_awaited=False), 2 * self.delay(timing))
+        self.assertGreater(self.delay(timing, is_interactive=False), 2 * self.delay(timing))
 
-    def test_second_copies_stay_a_tenth_of_many_requests(self) -> None:
+    def test_hedges_are_limited_to_a_tenth_of_requests(self) -> None:
         timing = self.timing()
         sent = 0
         for number in range(1_000):
             now = NOW + number * 0.01
-            timing.record_request(now, is_awaited=True)
-            sent += timing.try_withdraw(now, is_awaited=True)
+            timing.record_request(now, is_interactive=True)
+            sent += timing.try_withdraw(now, is_interactive=True)
         self.assertLessEqual(sent, 10 + 100 + 5)
         self.assertGreaterEqual(sent, 100)
 
-    def test_a_burst_of_the_systems_requests_leaves_the_callers_budget(self) -> None:
+    def test_background_burst_does_not_use_interactive_budget(self) -> None:
         timing = self.timing()
-        while timing.try_withdraw(NOW, is_awaited=False):
+        while timing.try_withdraw(NOW, is_interactive=False):
             pass
-        self.assertTrue(timing.try_withdraw(NOW, is_awaited=True))
+        self.assertTrue(timing.try_withdraw(NOW, is_interactive=True))
 
-    def test_few_requests_may_all_be_slow(self) -> None:
+    def test_low_request_rate_may_hedge_every_request(self) -> None:
         timing = self.timing()
         for number in range(50):
             now = NOW + number * 5.0
-            timing.record_request(now, is_awaited=True)
-            self.assertTrue(timing.try_withdraw(now, is_awaited=True))
+            timing.record_request(now, is_interactive=True)
+            self.assertTrue(timing.try_withdraw(now, is_interactive=True))
 
-    def test_the_times_of_unused_routes_are_forgotten(self) -> None:
+    def test_latencies_of_unused_routes_are_evicted(self) -> None:
         timing = self.timing(0.02, 0.02, 0.02)
-        self.assertEqual(timing.usual_seconds("route", 0.15), 0.02)
+        self.assertEqual(timing.typical_seconds("route", 0.15), 0.02)
         for number in range(300):
             timing.observe(f"other-{number}", 0.5)
-        self.assertFalse(timing.knows("route"))
-        self.assertAlmostEqual(timing.usual_seconds("route", 0.15), 0.2 * 0.15)
+        self.assertFalse(timing.has_typical_latency("route"))
+        self.assertAlmostEqual(timing.typical_seconds("route", 0.15), 0.2 * 0.15)
 
 
-SPEEDS: Mapping[str, float] = {"w0": 1.0, "w1": 1.0, "w2": 1.0, "w3": 1.0, "w4": 2.4, "w5": 2.4}
-"""Workers by the time of a request there: a third of them is slow."""
+LATENCY_FACTORS: Mapping[str, float] = {
+    "w0": 1.0,
+    "w1": 1.0,
+    "w2": 1.0,
+    "w3": 1.0,
+    "w4": 2.4,
+    "w5": 2.4,
+}
+"""Latency factor of each worker; a third of them is slow."""
 
-SIZES = (0.5, 0.7, 0.9, 1.0, 1.1, 1.3, 1.5)
-"""Times of single requests of the route, relative to the usual."""
+REQUEST_FACTORS = (0.5, 0.7, 0.9, 1.0, 1.1, 1.3, 1.5)
+"""Latencies of single requests relative to the typical one."""
 
 NOISE_PERIOD_SECONDS = 6.0
-NOISE_SECONDS = 0.6
+NOISE_DURATION_SECONDS = 0.6
 NOISE_FACTOR = 2.5
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A request of one node."""
+    """A request that arrives at a node."""
 
     at: float
     node: str
@@ -211,48 +223,48 @@
 
 
 def slowdown_of(worker: int, at: float) -> float:
-    """Return the noise on a worker: a moment in each period, at another time on each worker."""
-    phase = (at + worker * NOISE_PERIOD_SECONDS / len(SPEEDS)) % NOISE_PERIOD_SECONDS
-    return NOISE_FACTOR if phase < NOISE_SECONDS else 1.0
+    """Return the periodic slowdown of a worker, with a different phase for each."""
+    phase = (at + worker * NOISE_PERIOD_SECONDS / len(LATENCY_FACTORS)) % NOISE_PERIOD_SECONDS
+    return NOISE_FACTOR if phase < NOISE_DURATION_SECONDS else 1.0
 
 
 class Replay:
-    """Plays arrivals against workers whose times are known; each node has its own news."""
+    """Replays arrivals against workers with known latencies; each node has its own snapshots."""
 
     def __init__(self) -> None:
         self._generator = random.Random(3)
-        self.known: dict[tuple[str, str], WorkerNews] = {}
-        self.paces: dict[tuple[str, str], AnswerPace] = {}
-        self.ends: dict[str, list[float]] = {name: [] for name in SPEEDS}
+        self.known: dict[tuple[str, str], WorkerSnapshot] = {}
+        self.response_stats: dict[tuple[str, str], AnswerPace] = {}
+        self.ends: dict[str, list[float]] = {name: [] for name in LATENCY_FACTORS}
         self.connected_until: dict[tuple[str, str], float] = {}
         self.counts: Counter[str] = Counter()
         self.connections = 0
         self.seconds: list[float] = []
 
     def play(self, arrival: Arrival) -> None:
-        workers = [self._news(arrival, name) for name in SPEEDS]
-        choice = choose_worker(workers, USUAL_SECONDS, arrival.node, arrival.at)
+        workers = [self._snapshot(arrival, name) for name in LATENCY_FACTORS]
+        choice = choose_worker(workers, TYPICAL_SECONDS, arrival.node, arrival.at)
         assert choice is not None
         self._run(arrival, str(choice.worker_id))
 
-    def _news(self, arrival: Arrival, name: str) -> WorkerNews:
+    def _snapshot(self, arrival: Arrival, name: str) -> WorkerSnapshot:
         key = (arrival.node, name)
-        pace = self.paces.setdefault(key, AnswerPace())
-        known = self.known.get(key, news(name))
+        stats = self.response_stats.setdefault(key, AnswerPace())
+        known = self.known.get(key, snapshot(name))
         return msgspec.structs.replace(
             known,
-            relative_time=pace.relative_time(arrival.at),
-            ran_at=pace.ran_at,
-            keeps_connection=self.connected_until.get(key, -math.inf) > arrival.at,
+            relative_latency=stats.relative_time(arrival.at),
+            last_run_at=stats.ran_at,
+            has_idle_connection=self.connected_until.get(key, -math.inf) > arrival.at,
         )
 
     def _run(self, arrival: Arrival, name: str) -> None:
         key = (arrival.node, name)
         busy = [end for end in self.ends[name] if end > arrival.at]
         wait = sorted(busy)[-SLOTS] - arrival.at if len(busy) >= SLOTS else 0.0
-        slowdown = slowdown_of(list(SPEEDS).index(name), arrival.at)
-        size = self._generator.choice(SIZES)
-        seconds = wait + USUAL_SECONDS * SPEEDS[name] * size * slowdown
+        slowdown = slowdown_of(list(LATENCY_FACTORS).index(name), arrival.at)
+        size = self._generator.choice(REQUEST_FACTORS)
+        seconds = wait + TYPICAL_SECONDS * LATENCY_FACTORS[name] * size * slowdown
         end = arrival.at + seconds
         self.ends[name] = [*busy, end]
         self.counts[name] += 1
@@ -260,12 +272,16 @@
         self.connections += self.connected_until.get(key, -math.inf) <= arrival.at
         self.connected_until[key] = end + 10.0
         load = WorkerLoad(running=len(busy), waiting=0, slots=SLOTS, slowdown=slowdown)
-        self.paces[key].observe_answer(relative_time_of(seconds, USUAL_SECONDS, load), end)
-        self.known[key] = news(name, others=len(busy), slowdown=slowdown, reported_at=end)
+        self.response_stats[key].observe_answer(
+            relative_latency_of(seconds, TYPICAL_SECONDS, load), end
+        )
+        self.known[key] = snapshot(
+            name, other_requests=len(busy), slowdown=slowdown, reported_at=end
+        )
 
 
 class ReplayTest(unittest.TestCase):
-    """A third of the workers slow, noisy moments, and nodes whose reports are stale."""
+    """A third of the workers is slow, all are noisy at times, and load reports are outdated."""
 
     def play(self, nodes: int, per_second: float) -> Replay:
         replay = Replay()
@@ -273,24 +289,24 @@
             replay.play(arrival)
         return replay
 
-    def test_a_node_with_many_requests_keeps_off_the_slow_workers(self) -> None:
+    def test_busy_node_avoids_slow_workers(self) -> None:
         replay = self.play(nodes=2, per_second=120.0)
         slow = replay.counts["w4"] + replay.counts["w5"]
         self.assertLess(slow, 0.08 * len(replay.seconds))
-        self.assertLess(sum(replay.seconds) / len(replay.seconds), 1.15 * USUAL_SECONDS)
+        self.assertLess(sum(replay.seconds) / len(replay.seconds), 1.15 * TYPICAL_SECONDS)
 
-    def test_many_nodes_with_few_requests_do_not_herd(self) -> None:
+    def test_many_idle_nodes_do_not_herd(self) -> None:
         replay = self.play(nodes=NODES, per_second=60.0)
-        sound = [replay.counts[name] for name, factor in SPEEDS.items() if factor == 1.0]
+        sound = [replay.counts[name] for name, factor in LATENCY_FACTORS.items() if factor == 1.0]
         self.assertLess(max(sound), 1.3 * sum(sound) / len(sound))
 
-    def test_a_node_keeps_to_few_workers_and_their_connections(self) -> None:
+    def test_node_reuses_few_connections(self) -> None:
         replay = self.play(nodes=NODES, per_second=60.0)
         self.assertLess(replay.connections, 4 * NODES)
 
-    def test_queues_of_a_high_load_stay_short(self) -> None:
+    def test_queues_stay_short_under_high_load(self) -> None:
         replay = self.play(nodes=NODES, per_second=300.0)
-        late = sum(seconds > 6 * USUAL_SECONDS for seconds in replay.seconds)
+        late = sum(seconds > 6 * TYPICAL_SECONDS for seconds in replay.seconds)
         self.assertLess(late, 0.001 * len(replay.seconds))
 
 
