--- a/drumbay/forwarding/worker_selector.py
+++ b/drumbay/forwarding/worker_selector.py
@@ -97,7 +97,7 @@
             reported_at=record.reported_at,
             relative_latency=record.answers.relative_time(now),
             failure_rate=record.answers.failure_share(now),
-            last_run_at=record.answers.ran_at,
+            last_run_at=record.answers.last_run_at,
             paused_until=record.paused_until,
             has_idle_connection=self._client.keeps_connection(record.worker),
             is_same_zone=record.worker.zone == self._zone,
--- a/drumbay/serving/node.py
+++ b/drumbay/serving/node.py
@@ -119,7 +119,7 @@
             self._tasks,
         )
         self.directory = WorkerDirectory()
-        self.directory.count_pauses_with(self.metrics.count_worker_pause)
+        self.directory.set_pause_callback(self.metrics.count_worker_pause)
         if environment.connections is not None:
             environment.connections.count_silent_with(self.metrics.count_silent_connection)
         self.routes = RouteTable()
--- a/drumbay/workers/__init__.py
+++ b/drumbay/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers behind the service: what is known of them, and the calls made to them."""
+"""Inference workers: what nodes know about them and the calls they make to them."""
--- a/drumbay/workers/answer_pace.py
+++ b/drumbay/workers/answer_pace.py
@@ -1,74 +1,71 @@
-"""How fast and how surely a worker answers, next to what is usual for the routes it serves.
+"""Latency and failure rate of a worker's responses.
 
-The load it answers: a node sees few answers of each worker, of routes whose requests take different
-times; workers turn slow or fail for some seconds and recover.
+Latencies are relative to the typical latency of the route, because routes differ. Observations
+decay, so that a worker which was slow or failing is tried again.
 """
 
 import math
 
-PACE_MEMORY_SECONDS = 10.0
-"""At this age what was seen counts for 37%. Workers turn slow or fail for some seconds and recover,
-and a node with few requests asks one each ten seconds: with a shorter memory it would try a slow
-worker anew each time."""
+OBSERVATION_DECAY_SECONDS = 10.0
+"""Time constant of the exponential decay of observations."""
 
-PACE_SMOOTHING = 0.3
-"""Weight of the newest answer: single requests differ by a factor of two, and about the last five
-together tell a slow worker from them."""
+LATENCY_SMOOTHING = 0.3
+"""Weight of the newest response in the moving average of latencies."""
 
 FAILURE_SMOOTHING = 0.3
-"""Weight of the newest run in the share of failed ones: two failures in a row show as a half."""
+"""Weight of the newest run in the moving average of failures."""
 
 
 class AnswerPace:
-    """The time of a worker's answers relative to what is usual, and its share of failed runs."""
+    """Moving averages of a worker's relative latency and failure rate."""
 
     def __init__(self) -> None:
-        """Start as a worker that answers as usual."""
-        self._relative_time = 1.0
-        self._answered_at = -math.inf
-        self._failure_share = 0.0
-        self._ran_at = -math.inf
+        """Start with the typical latency and no failures."""
+        self._relative_latency = 1.0
+        self._last_response_at = -math.inf
+        self._failure_rate = 0.0
+        self._last_run_at = -math.inf
 
     @property
-    def ran_at(self) -> float:
-        """Return when the last run ended, were it with a failure; ``-inf`` for never."""
-        return self._ran_at
+    def last_run_at(self) -> float:
+        """Return the time of the last run's end, successful or not; ``-inf`` if there was none."""
+        return self._last_run_at
 
     def relative_time(self, now: float) -> float:
-        """Return the expected time of an answer relative to the usual one; 1 without news."""
-        weight = decay_weight(now - self._answered_at, PACE_MEMORY_SECONDS)
-        return 1.0 + (self._relative_time - 1.0) * weight
+        """Return the expected relative latency; 1 without recent data."""
+        weight = decay_weight(now - self._last_response_at, OBSERVATION_DECAY_SECONDS)
+        return 1.0 + (self._relative_latency - 1.0) * weight
 
     def failure_share(self, now: float) -> float:
-        """Return the expected share of failed runs; 0 without news."""
-        return self._failure_share * decay_weight(now - self._ran_at, PACE_MEMORY_SECONDS)
+        """Return the expected share of failed runs; 0 without recent data."""
+        return self._failure_rate * decay_weight(now - self._last_run_at, OBSERVATION_DECAY_SECONDS)
 
     def observe_answer(self, relative_time: float | None, now: float) -> None:
-        """Take an answer; its time is ``None`` where the usual one is not known yet."""
-        self._observe_run(0.0, now)
+        """Record a response; its latency is ``None`` if the route's typical latency is unknown."""
+        self._update_failure_rate(0.0, now)
         if relative_time is not None:
-            self._take(relative_time, now)
+            self._update_latency(relative_time, now)
 
     def observe_unanswered(self, relative_time: float, now: float) -> None:
-        """Take a run that was given up: it would have taken at least that long."""
+        """Record a cancelled run; its latency would have been at least this long."""
         if relative_time > self.relative_time(now):
-            self._take(relative_time, now)
+            self._update_latency(relative_time, now)
 
     def observe_failure(self, now: float) -> None:
-        """Take a run that failed."""
-        self._observe_run(1.0, now)
+        """Record a failed run."""
+        self._update_failure_rate(1.0, now)
 
-    def _take(self, relative_time: float, now: float) -> None:
+    def _update_latency(self, relative_time: float, now: float) -> None:
         expected = self.relative_time(now)
-        self._relative_time = expected + PACE_SMOOTHING * (relative_time - expected)
-        self._answered_at = now
+        self._relative_latency = expected + LATENCY_SMOOTHING * (relative_time - expected)
+        self._last_response_at = now
 
-    def _observe_run(self, failed: float, now: float) -> None:
+    def _update_failure_rate(self, failed: float, now: float) -> None:
         expected = self.failure_share(now)
-        self._failure_share = expected + FAILURE_SMOOTHING * (failed - expected)
-        self._ran_at = now
+        self._failure_rate = expected + FAILURE_SMOOTHING * (failed - expected)
+        self._last_run_at = now
 
 
 def decay_weight(age_seconds: float, memory_seconds: float) -> float:
-    """Return how much of what was seen so long ago still counts; the rest counts as usual."""
+    """Return the weight of an observation of this age; the default has the rest."""
     return math.exp(-max(0.0, age_seconds) / memory_seconds)
--- a/drumbay/workers/directory.py
+++ b/drumbay/workers/directory.py
@@ -1,7 +1,7 @@
-"""Which workers can take a request now: discovery, load, pace and recent failures.
+"""Registry of workers with their load, pauses and latency statistics.
 
-A worker that has started again under its id is another one: it holds and knows nothing of before.
-Its record is replaced whole, and what a run at the start before still tells is passed over.
+A worker that restarts under the same id is a new incarnation: its record is replaced, and reports
+about the previous incarnation are ignored.
 """
 
 from collections.abc import Callable, Container, Iterable, Mapping
@@ -17,24 +17,22 @@
     WorkerState,
     WorkerStatus,
 )
-from drumbay.workers.worker_record import LoadUnderWay, Refusals, WorkerRecord
+from drumbay.workers.worker_record import ModelRefusals, PendingWeightLoad, WorkerRecord
 
-FIRST_REFUSAL_PAUSE_SECONDS = 0.1
-LONGEST_REFUSAL_PAUSE_SECONDS = 0.8
-"""A worker that refuses a model is asked again after the first, doubled each time up to the
-longest: weights are in place within seconds, and a refusal costs a connection."""
+MIN_REFUSAL_PAUSE_SECONDS = 0.1
+MAX_REFUSAL_PAUSE_SECONDS = 0.8
+"""Bounds of the exponential backoff after a worker refuses requests for a model."""
 
-FAILURE_PAUSE_SECONDS = 0.8
-LONGEST_PAUSE_SECONDS = 4.0
-"""A worker that failed gets nothing for the first, doubled each time up to the longest: a restarted
-worker is back within seconds, and one that is cut off costs each request sent there a retry."""
+MIN_FAILURE_PAUSE_SECONDS = 0.8
+MAX_FAILURE_PAUSE_SECONDS = 4.0
+"""Bounds of the exponential backoff after failures of a worker."""
 
 
 class WorkerDirectory:
-    """The workers of all services; changes wake the listeners.
+    """The workers of all services; listeners are called after changes.
 
-    What a run tells of its worker concerns the start that it ran at: callers name it by
-    ``started_at_ms``, and without it the one that is known is meant.
+    Methods that record an outcome take the ``started_at_ms`` of the incarnation that it concerns;
+    without it the current one is meant.
     """
 
     def __init__(self) -> None:
@@ -43,7 +41,7 @@
         self._listeners: list[Callable[[], None]] = []
         self._restart_listeners: list[Callable[[BackendId], None]] = []
         self._report_listeners: list[Callable[[WorkerStart, float], None]] = []
-        self._on_pause: Callable[[], None] = lambda: None
+        self._pause_callback: Callable[[], None] = lambda: None
         self.loaded = False
 
     def add_listener(self, listener: Callable[[], None]) -> None:
@@ -51,16 +49,16 @@
         self._listeners.append(listener)
 
     def add_restart_listener(self, listener: Callable[[BackendId], None]) -> None:
-        """Call ``listener`` with each worker that has started again under its id."""
+        """Call ``listener`` with the id of each worker that has restarted."""
         self._restart_listeners.append(listener)
 
     def add_report_listener(self, listener: Callable[[WorkerStart, float], None]) -> None:
-        """Call ``listener`` with each start that reports of itself, and when it was asked."""
+        """Call ``listener`` with each incarnation that sent a report, and the query time."""
         self._report_listeners.append(listener)
 
-    def count_pauses_with(self, on_pause: Callable[[], None]) -> None:
-        """Call ``on_pause`` for each pause after a failure."""
-        self._on_pause = on_pause
+    def set_pause_callback(self, on_pause: Callable[[], None]) -> None:
+        """Call ``on_pause`` for each pause that follows a failure."""
+        self._pause_callback = on_pause
 
     def replace_all(
         self,
@@ -68,33 +66,33 @@
         missing_until: float | None = None,
         unusable: Container[BackendId] = (),
     ) -> tuple[BackendId, ...]:
-        """Take a snapshot of discovery.
+        """Apply a snapshot of the discovery entries.
 
-        Workers that it lacks are gone. With ``missing_until``, those that were ready are kept
-        until :meth:`drop_missing` is called at that monotonic time, but for ``unusable`` ones,
-        whose entries are there and name no worker.
+        Workers missing from it are removed. With ``missing_until``, ready workers are kept until
+        :meth:`drop_missing` is called at that monotonic time, except ``unusable`` ones, whose
+        entries exist but are invalid.
 
         Returns:
-            The workers that are kept though the snapshot lacks them.
+            The workers that are kept although they are missing.
         """
         by_id = {worker.worker_id: worker for worker in workers}
-        kept: list[BackendId] = []
+        retained: list[BackendId] = []
         for worker_id in [known for known in self._records if known not in by_id]:
             record = self._records[worker_id]
-            is_lapsed = worker_id not in unusable and record.worker.state is WorkerState.READY
-            if missing_until is None or not is_lapsed:
+            is_entry_lost = worker_id not in unusable and record.worker.state is WorkerState.READY
+            if missing_until is None or not is_entry_lost:
                 del self._records[worker_id]
                 continue
             record.missing_until = missing_until
-            kept.append(worker_id)
+            retained.append(worker_id)
         for worker in by_id.values():
-            self._put(worker)
+            self._apply_entry(worker)
         self.loaded = True
-        self._announce()
-        return tuple(kept)
+        self._notify_listeners()
+        return tuple(retained)
 
     def drop_missing(self, now: float) -> tuple[BackendId, ...]:
-        """Forget the workers that have not come back in time, and return them."""
+        """Remove and return the missing workers whose grace period has expired."""
         dropped = [
             worker_id
             for worker_id, record in self._records.items()
@@ -105,54 +103,55 @@
         return tuple(dropped)
 
     def put(self, worker: Worker) -> None:
-        """Take in a new or changed worker."""
-        self._put(worker)
-        self._announce()
+        """Add or update a worker."""
+        self._apply_entry(worker)
+        self._notify_listeners()
 
     def remove(self, worker_id: BackendId) -> None:
-        """Forget a worker that has left."""
+        """Remove a worker."""
         self._records.pop(worker_id, None)
-        self._announce()
+        self._notify_listeners()
 
-    def _put(self, worker: Worker) -> None:
+    def _apply_entry(self, worker: Worker) -> None:
         record = self._records.get(worker.worker_id)
         if record is None:
-            self._take_new(worker)
+            self._add_record(worker)
             return
         known_ms = record.worker.started_at_ms
         if 0 < worker.started_at_ms < known_ms and record.is_start_reported:
-            _log_start_passed_over(worker.worker_id, worker.started_at_ms, known_ms)
+            _log_ignored_incarnation(worker.worker_id, worker.started_at_ms, known_ms)
             return
         if worker.started_at_ms not in (0, known_ms):
-            # Entries come in order: the newer one holds, also with an earlier start than another
-            # writer's entry or a clock that was set back has told.
-            self._take_restart(worker, known_ms)
+            # Entries arrive in order, so the newer one is valid even if its start time is earlier:
+            # clocks may be set back.
+            self._replace_record(worker, known_ms)
             return
         if worker.started_at_ms:
             record.is_start_reported = False
-        # One that names no start says nothing of it: what was told before holds.
+        # An entry without a start time says nothing about the incarnation: keep the known one.
         record.worker = msgspec.structs.replace(worker, started_at_ms=known_ms)
         record.missing_until = None
-        # A stream's head is newer than discovery, and versions only rise.
+        # Versions in stream headers are newer than those from discovery, and versions only
+        # increase.
         for model, version in worker.versions.items():
             if version > record.versions.get(model, WeightVersion(-1)):
                 record.versions[model] = version
                 record.loads.pop(model, None)
 
-    def _take_new(self, worker: Worker) -> WorkerRecord:
+    def _add_record(self, worker: Worker) -> WorkerRecord:
         record = WorkerRecord(worker=worker, versions=dict(worker.versions))
         self._records[worker.worker_id] = record
         return record
 
-    def _take_restart(self, worker: Worker, known_ms: int) -> WorkerRecord:
-        """Forget all of the start before; runs there end as broken, on the record that they had."""
+    def _replace_record(self, worker: Worker, known_ms: int) -> WorkerRecord:
+        """Replace the record of a restarted worker; runs in flight keep the old record."""
         log_event(
             "worker_started_again",
             worker=worker.worker_id,
             started_at_ms=worker.started_at_ms,
             before_ms=known_ms,
         )
-        record = self._take_new(worker)
+        record = self._add_record(worker)
         for listener in self._restart_listeners:
             listener(worker.worker_id)
         return record
@@ -160,26 +159,26 @@
     def take_status(
         self, worker_id: BackendId, status: WorkerStatus, now: float, *, asked_at: float
     ) -> None:
-        """Take a worker's own report, which may tell of a start before discovery does.
+        """Apply a worker's status report, which may reveal a restart before discovery does.
 
         Args:
             worker_id: The worker.
-            status: Its report.
+            status: The report.
             now: Monotonic time.
-            asked_at: When the report was asked for; the worker may have ended since.
+            asked_at: Time of the query; the worker may have ended since.
         """
         record = self._records.get(worker_id)
         if record is None:
             return
         known_ms = record.worker.started_at_ms
         if 0 < status.started_at_ms < known_ms:
-            _log_start_passed_over(worker_id, status.started_at_ms, known_ms)
+            _log_ignored_incarnation(worker_id, status.started_at_ms, known_ms)
             return
         if known_ms and status.started_at_ms > known_ms:
-            self._take_reported_restart(record, status)
+            self._apply_reported_restart(record, status)
         else:
             if not known_ms and status.started_at_ms:
-                # Its entry does not tell: this is the worker that is known.
+                # The entry has no start time: the report belongs to the known worker.
                 record.worker = msgspec.structs.replace(
                     record.worker, started_at_ms=status.started_at_ms
                 )
@@ -187,42 +186,42 @@
             for model, version in status.versions.items():
                 if version > record.versions.get(model, WeightVersion(0)):
                     self.observe_version(worker_id, model, version, now)
-        reported = WorkerStart(worker_id=worker_id, started_at_ms=status.started_at_ms)
+        incarnation = WorkerStart(worker_id=worker_id, started_at_ms=status.started_at_ms)
         for listener in self._report_listeners:
-            listener(reported, asked_at)
+            listener(incarnation, asked_at)
 
-    def _take_reported_restart(self, before: WorkerRecord, status: WorkerStatus) -> None:
-        """Replace a record; a report says nothing of an entry that has lapsed."""
+    def _apply_reported_restart(self, before: WorkerRecord, status: WorkerStatus) -> None:
+        """Replace the record of a restarted worker; a missing discovery entry stays missing."""
         restarted = msgspec.structs.replace(
             before.worker,
             versions=dict(status.versions),
             started_at_ms=status.started_at_ms,
         )
-        record = self._take_restart(restarted, before.worker.started_at_ms)
+        record = self._replace_record(restarted, before.worker.started_at_ms)
         record.missing_until = before.missing_until
         record.is_start_reported = True
-        self._announce()
+        self._notify_listeners()
 
-    def _announce(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
     def get(self, worker_id: BackendId, started_at_ms: int | None = None) -> WorkerRecord | None:
-        """Return one worker; ``None`` if it is gone, or has started again since then."""
+        """Return a worker's record; ``None`` if it is gone or another incarnation."""
         record = self._records.get(worker_id)
         if record is None or not started_at_ms:
             return record
         return record if record.worker.started_at_ms in (0, started_at_ms) else None
 
     def has_restarted(self, worker: Worker) -> bool:
-        """Return whether another start of a worker is known than this one."""
+        """Return whether a different incarnation of the worker is known."""
         record = self._records.get(worker.worker_id)
         if record is None or not worker.started_at_ms:
             return False
         return record.worker.started_at_ms not in (0, worker.started_at_ms)
 
     def is_replaced(self, worker: Worker) -> bool:
-        """Return whether a start of a worker has ended: another one, or worker, has its address."""
+        """Return whether a newer incarnation, or another worker, has taken the worker's place."""
         record = self._records.get(worker.worker_id)
         if record is not None and 0 < worker.started_at_ms < record.worker.started_at_ms:
             return True
@@ -232,17 +231,17 @@
         )
 
     def of_service(self, service: str) -> list[WorkerRecord]:
-        """Return the workers of a service, in a stable order."""
-        found = [r for r in self._records.values() if r.worker.service == service]
-        return sorted(found, key=lambda record: record.worker.worker_id)
+        """Return the workers of a service, sorted by id."""
+        matching = [r for r in self._records.values() if r.worker.service == service]
+        return sorted(matching, key=lambda record: record.worker.worker_id)
 
-    def with_model(self, model: str) -> list[WorkerRecord]:
-        """Return the workers that hold a model, in a stable order."""
-        found = [r for r in self._records.values() if model in r.versions]
-        return sorted(found, key=lambda record: record.worker.worker_id)
+    def workers_with_model(self, model: str) -> list[WorkerRecord]:
+        """Return the workers that have a model loaded, sorted by id."""
+        matching = [r for r in self._records.values() if model in r.versions]
+        return sorted(matching, key=lambda record: record.worker.worker_id)
 
     def all_records(self) -> Mapping[BackendId, WorkerRecord]:
-        """Return every worker."""
+        """Return all records by worker id."""
         return self._records
 
     def observe_version(
@@ -253,7 +252,7 @@
         now: float,
         started_at_ms: int | None = None,
     ) -> None:
-        """Take the version that an answer named, which is newer than what was expected."""
+        """Record the weight version named by a response."""
         record = self.get(worker_id, started_at_ms)
         if record is None:
             return
@@ -269,7 +268,7 @@
         now: float,
         started_at_ms: int | None = None,
     ) -> None:
-        """Take a load report: what is beyond this node's own requests belongs to others."""
+        """Record a load report; requests beyond this node's own are those of other nodes."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
             record.others = max(0, load.running + load.waiting - record.in_flight)
@@ -284,7 +283,7 @@
         now: float,
         started_at_ms: int | None = None,
     ) -> None:
-        """Take the time between two events of a stream."""
+        """Record the time between two events of a stream."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
             record.pace.observe(seconds_per_event, now)
@@ -297,29 +296,29 @@
         until: float,
         started_at_ms: int | None = None,
     ) -> None:
-        """Send a worker nothing for a model whose weights it loads until then."""
+        """Stop sending requests for a model while the worker loads new weights for it."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
-            record.loads[model] = LoadUnderWay(version=version, until=until)
+            record.loads[model] = PendingWeightLoad(version=version, until=until)
 
     def observe_refusal(
         self, worker_id: BackendId, model: str, now: float, started_at_ms: int | None = None
     ) -> None:
-        """Pause a model on a worker; the pause doubles with each refused probe."""
+        """Pause a model on a worker; the pause doubles with each further refusal."""
         record = self.get(worker_id, started_at_ms)
         if record is None:
             return
-        refusals = record.refusals.setdefault(model, Refusals())
+        refusals = record.refusals.setdefault(model, ModelRefusals())
         if now < refusals.paused_until:
             return
-        pause_seconds = FIRST_REFUSAL_PAUSE_SECONDS * 2**refusals.count
+        pause_seconds = MIN_REFUSAL_PAUSE_SECONDS * 2**refusals.count
         refusals.count += 1
-        refusals.paused_until = now + min(pause_seconds, LONGEST_REFUSAL_PAUSE_SECONDS)
+        refusals.paused_until = now + min(pause_seconds, MAX_REFUSAL_PAUSE_SECONDS)
 
     def observe_acceptance(
         self, worker_id: BackendId, model: str, started_at_ms: int | None = None
     ) -> None:
-        """Note that a worker took a request for a model."""
+        """Record that a worker accepted a request for a model."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
             record.refusals.pop(model, None)
@@ -332,7 +331,7 @@
         now: float,
         started_at_ms: int | None = None,
     ) -> None:
-        """Take a whole answer and its time relative to the usual, ``None`` if that is unknown."""
+        """Record a complete response; the relative latency is ``None`` if unknown."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
             record.answers.observe_answer(relative_time, now)
@@ -345,7 +344,7 @@
         now: float,
         started_at_ms: int | None = None,
     ) -> None:
-        """Take a run that was given up after a multiple of the usual time."""
+        """Record a run that was cancelled after a multiple of the typical latency."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
             record.answers.observe_unanswered(relative_time, now)
@@ -353,7 +352,7 @@
     def observe_failed_run(
         self, worker_id: BackendId, now: float, started_at_ms: int | None = None
     ) -> None:
-        """Take a request that brought no whole answer; others there may go well."""
+        """Record a failed run without pausing the worker."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
             record.answers.observe_failure(now)
@@ -361,14 +360,16 @@
     def observe_failure(
         self, worker_id: BackendId, now: float, started_at_ms: int | None = None
     ) -> None:
-        """Pause a worker; the pause doubles with each failure in a row."""
+        """Pause a worker; the pause doubles with each consecutive failure."""
         record = self.get(worker_id, started_at_ms)
         if record is None:
             return
-        pause_seconds = min(LONGEST_PAUSE_SECONDS, FAILURE_PAUSE_SECONDS * 2**record.failures)
+        pause_seconds = min(
+            MAX_FAILURE_PAUSE_SECONDS, MIN_FAILURE_PAUSE_SECONDS * 2**record.failures
+        )
         record.failures = min(record.failures + 1, 8)
         record.paused_until = now + pause_seconds
-        self._on_pause()
+        self._pause_callback()
         log_event(
             "worker_paused",
             level="WARNING",
@@ -378,23 +379,23 @@
         )
 
     def end_pause(self, worker_id: BackendId, now: float) -> None:
-        """Let a worker get new requests again."""
+        """End a worker's pause."""
         record = self._records.get(worker_id)
         if record is not None:
             record.paused_until = min(record.paused_until, now)
-            self._announce()
+            self._notify_listeners()
 
     def pause(
         self, worker_id: BackendId, now: float, seconds: float, started_at_ms: int | None = None
     ) -> None:
-        """Send a worker nothing for a while, without counting a failure."""
+        """Pause a worker without counting a failure."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
             record.paused_until = max(record.paused_until, now + seconds)
 
 
-def _log_start_passed_over(worker_id: BackendId, started_at_ms: int, known_ms: int) -> None:
-    """Log that something was told of a start that has ended: it is as old as that."""
+def _log_ignored_incarnation(worker_id: BackendId, started_at_ms: int, known_ms: int) -> None:
+    """Log that information about a previous incarnation was ignored."""
     log_event(
         "worker_start_passed_over",
         worker=worker_id,
--- a/drumbay/workers/interface.py
+++ b/drumbay/workers/interface.py
@@ -1,4 +1,4 @@
-"""The calls that drumbay makes to workers."""
+"""Client interface for calls to workers."""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager
@@ -19,16 +19,16 @@
 
 
 class WorkerStream(Protocol):
-    """An open stream of events."""
+    """An open event stream."""
 
     @property
     def version(self) -> WeightVersion | None:
-        """Return the weight version named by the head of the answer."""
+        """Return the weight version from the response headers."""
         ...
 
     @property
     def load(self) -> WorkerLoad | None:
-        """Return the load named by the head of the answer."""
+        """Return the load from the response headers."""
         ...
 
     def events(self) -> AsyncIterator[tuple[StreamEvent, ...]]:
@@ -43,19 +43,19 @@
 class WorkerClient(Protocol):
     """Sends requests and orders to workers.
 
-    Cancelling a call closes its connection, upon which the worker stops working on it.
+    Cancelling a call closes its connection, upon which the worker stops processing it.
     """
 
     def keeps_connection(self, worker: Worker) -> bool:
-        """Return whether a repeatable request would need no new connection."""
+        """Return whether a repeatable request could reuse an idle connection."""
         ...
 
     async def listening(self, worker: Worker) -> Listening:
-        """Return whether anybody takes a new connection at the worker's address."""
+        """Probe the worker's address with a new connection."""
         ...
 
     async def call(self, worker: Worker, request: WorkerRequest) -> WorkerAnswer:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete response.
 
         Raises:
             WorkerRefusedError: It did not run.
@@ -66,7 +66,7 @@
     def stream(
         self, worker: Worker, request: WorkerRequest
     ) -> AbstractAsyncContextManager[WorkerStream]:
-        """Send a request whose answer is a stream; leaving the context closes it.
+        """Send a request with a streaming response; leaving the context closes it.
 
         Raises:
             WorkerRefusedError: It did not run.
@@ -77,17 +77,17 @@
         ...
 
     async def status(self, worker: Worker, *, fresh_connection: bool = False) -> WorkerStatus:
-        """Return the worker's report, over a new connection if asked for.
+        """Return the worker's status report, over a new connection if requested.
 
         Raises:
-            WorkerError: No report came.
+            WorkerError: No report arrived.
         """
         ...
 
     async def order(self, worker: Worker, order: LoadOrder) -> OrderOutcome:
-        """Give an order.
+        """Send an order to load weights.
 
         Raises:
-            WorkerError: No answer came; the order may be carried out later.
+            WorkerError: No reply arrived; the order may still be carried out.
         """
         ...
--- a/drumbay/workers/pace.py
+++ b/drumbay/workers/pace.py
@@ -1,114 +1,110 @@
-"""How fast a worker makes the events of a stream, told from the times between events.
+"""Estimates a worker's token rate from the intervals between stream events.
 
-One late event says little about a worker: it may have preempted that run, or this process may
-have read late, and then reads several events at once. Nor do a few dozen events in a row, while
-this process is busy with the start of a batch job. So a pace is a median, and what is remembered
-for later is a median of paces that lie apart in time.
+Single intervals are unreliable: a run may have been preempted, or this process may have read
+several events at once. The estimate is therefore the median of recent intervals, and long-term
+values are medians of such medians, sampled at fixed intervals.
 """
 
 import statistics
 from collections import deque
 
 PACE_SAMPLES = 7
-"""Times between events that a pace is the median of. A worker that turned slow shows after four
-of them: half a second for a single run at four times the usual 40 ms, less for several runs."""
+"""Number of intervals that a median is computed from."""
 
-PACE_LIFETIME_SECONDS = 4.0
-"""A pace that was seen longer ago says nothing: the worker may have recovered."""
+SAMPLE_LIFETIME_SECONDS = 4.0
+"""Age after which the samples are discarded; the worker may have recovered."""
 
-HEARD_SECONDS = 1.0
-"""A worker that made an event so lately is alive; a dead one is noticed in about that time."""
+ACTIVITY_SECONDS = 1.0
+"""A worker that sent an event within this time counts as alive."""
 
-REMEMBERED_PACES = 9
-REMEMBER_INTERVAL_SECONDS = 0.5
-"""The start of a batch job keeps a small machine busy for about a second: nine paces, half a second
-apart, reach well beyond it."""
+FALLBACK_MEDIANS = 9
+MEDIAN_SPACING_SECONDS = 0.5
+"""Number and spacing of the medians used when recent samples are missing. They span more than the
+start of a batch job, during which event times are distorted."""
 
-MINIMUM_REMEMBERED_PACES = 3
-"""With fewer, all may come from one start of a batch job."""
+MIN_FALLBACK_MEDIANS = 3
+"""Fewer could all stem from the start of one batch job."""
 
-USUAL_PACES = 40
-"""Paces that a worker's usual one is the median of: twenty seconds of work, many times what a
-neighbour on its machine or a fault slows it for."""
+BASELINE_MEDIANS = 40
+"""Number of medians that the long-term baseline is computed from."""
 
-MINIMUM_USUAL_PACES = 8
-"""With fewer, a worker that is slow since it is known would count as slow by its nature."""
+MIN_BASELINE_MEDIANS = 8
+"""With fewer, a temporary slowdown would be taken for the baseline."""
 
 SUSTAINED_SECONDS = 0.8
-"""A worker that shares its machine is slowed for moments of half a second, again and again. Only
-what lasts longer than that is worth leaving it for."""
+"""Slowdowns shorter than this are ignored; shared machines have them regularly."""
 
 
 class PaceEstimate:
-    """The seconds between events on one worker, over all runs of this node there."""
+    """Seconds between events on one worker, over all of this node's runs there."""
 
     def __init__(self) -> None:
-        """Start without a sample."""
+        """Start without samples."""
         self._samples: deque[float] = deque(maxlen=PACE_SAMPLES)
-        self._seen_at = float("-inf")
-        self._remembered: deque[float] = deque(maxlen=REMEMBERED_PACES)
-        self._usual: deque[float] = deque(maxlen=USUAL_PACES)
-        self._lately: deque[tuple[float, float]] = deque()
-        self._remembered_at = float("-inf")
+        self._last_sample_at = float("-inf")
+        self._fallback_medians: deque[float] = deque(maxlen=FALLBACK_MEDIANS)
+        self._baseline_medians: deque[float] = deque(maxlen=BASELINE_MEDIANS)
+        self._recent_medians: deque[tuple[float, float]] = deque()
+        self._median_stored_at = float("-inf")
 
     def observe(self, seconds: float, now: float) -> None:
-        """Take the seconds between two events of a run."""
-        if now - self._seen_at > PACE_LIFETIME_SECONDS:
+        """Record the seconds between two events of a run."""
+        if now - self._last_sample_at > SAMPLE_LIFETIME_SECONDS:
             self._samples.clear()
         self._samples.append(seconds)
-        self._seen_at = now
+        self._last_sample_at = now
         if len(self._samples) < PACE_SAMPLES:
             return
-        pace = statistics.median_low(self._samples)
-        self._lately.append((now, pace))
-        while self._lately[0][0] < now - SUSTAINED_SECONDS:
-            self._lately.popleft()
-        if now - self._remembered_at >= REMEMBER_INTERVAL_SECONDS:
-            self._remembered.append(pace)
-            self._usual.append(pace)
-            self._remembered_at = now
+        median = statistics.median_low(self._samples)
+        self._recent_medians.append((now, median))
+        while self._recent_medians[0][0] < now - SUSTAINED_SECONDS:
+            self._recent_medians.popleft()
+        if now - self._median_stored_at >= MEDIAN_SPACING_SECONDS:
+            self._fallback_medians.append(median)
+            self._baseline_medians.append(median)
+            self._median_stored_at = now
 
     def is_heard(self, now: float) -> bool:
-        """Return whether the worker made an event for this node in the last second."""
-        return now - self._seen_at < HEARD_SECONDS
+        """Return whether the worker sent an event recently."""
+        return now - self._last_sample_at < ACTIVITY_SECONDS
 
-    def is_heard_since(self, moment: float) -> bool:
-        """Return whether the worker made an event for this node after a monotonic time."""
-        return self._seen_at > moment
+    def is_active_since(self, since: float) -> bool:
+        """Return whether the worker sent an event after a monotonic time."""
+        return self._last_sample_at > since
 
     def recent(self, now: float) -> float | None:
-        """Return the seconds between the last events; ``None`` if too few were seen lately."""
+        """Return the median of recent intervals; ``None`` if there are too few."""
         is_known = len(self._samples) == PACE_SAMPLES
-        if not is_known or now - self._seen_at > PACE_LIFETIME_SECONDS:
+        if not is_known or now - self._last_sample_at > SAMPLE_LIFETIME_SECONDS:
             return None
         return statistics.median_low(self._samples)
 
     def sustained(self, now: float) -> float | None:
-        """Return the least of the last moments' paces: how slow the worker is all the time.
+        """Return the lowest recent median, which short slowdowns do not affect.
 
-        ``None`` if these moments span too little time to tell.
+        ``None`` if the medians span too little time.
         """
         if self.recent(now) is None:
             return None
-        if self._lately[-1][0] - self._lately[0][0] < SUSTAINED_SECONDS / 2:
+        if self._recent_medians[-1][0] - self._recent_medians[0][0] < SUSTAINED_SECONDS / 2:
             return None
-        return min(pace for _, pace in self._lately)
+        return min(median for _, median in self._recent_medians)
 
     def usual(self) -> float | None:
-        """Return the seconds between events over a long time; ``None`` if too few were seen."""
-        if len(self._usual) < MINIMUM_USUAL_PACES:
+        """Return the long-term baseline; ``None`` with too few samples."""
+        if len(self._baseline_medians) < MIN_BASELINE_MEDIANS:
             return None
-        return statistics.median_low(self._usual)
+        return statistics.median_low(self._baseline_medians)
 
-    def _remembered_pace(self) -> float | None:
-        if len(self._remembered) < MINIMUM_REMEMBERED_PACES:
+    def _fallback_median(self) -> float | None:
+        if len(self._fallback_medians) < MIN_FALLBACK_MEDIANS:
             return None
-        return statistics.median_low(self._remembered)
+        return statistics.median_low(self._fallback_medians)
 
     def current(self, now: float) -> float | None:
-        """Return the seconds between events, as seen lately or else as remembered.
+        """Return the recent median, else the fallback from earlier medians.
 
-        ``None`` if too few events were ever seen.
+        ``None`` if too few events were ever received.
         """
         recent = self.recent(now)
-        return recent if recent is not None else self._remembered_pace()
+        return recent if recent is not None else self._fallback_median()
--- a/drumbay/workers/records.py
+++ b/drumbay/workers/records.py
@@ -1,4 +1,4 @@
-"""What is known about workers, and what is exchanged with them."""
+"""Records of workers, and the messages exchanged with them."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -12,28 +12,28 @@
 
 
 class WorkerState(StrEnum):
-    """Whether a worker takes new requests."""
+    """Whether a worker accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class Listening(StrEnum):
-    """Whether anybody takes connections at a worker's address; it may be another worker."""
+    """Result of connecting to a worker's address, where another worker may be listening."""
 
     ACCEPTS = "accepts"
     REFUSES = "refuses"
-    """The machine answers that nobody listens: the process there has ended."""
+    """The connection is refused: the worker process has ended."""
     SILENT = "silent"
-    """Nothing is known: a cut, a machine without power, or a long way."""
+    """No reply: a network partition, a machine that is down, or high latency."""
 
 
 class Worker(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker as discovery describes it.
+    """A worker as described by service discovery.
 
-    ``versions`` maps models to weight versions; ``release`` names that of its software. A worker
-    may start again under its id, and then knows nothing of before: ``started_at_ms`` tells the
-    starts apart (Unix milliseconds). 0 where the worker does not tell it.
+    ``versions`` maps models to weight versions; ``release`` is the software version. A worker that
+    restarts under the same id has lost its state; ``started_at_ms`` (Unix milliseconds, 0 if
+    unknown) tells incarnations apart.
     """
 
     worker_id: BackendId
@@ -48,23 +48,22 @@
 
     @property
     def start(self) -> "WorkerStart":
-        """Return which start of the worker this is."""
+        """Return the worker's incarnation."""
         return WorkerStart(worker_id=self.worker_id, started_at_ms=self.started_at_ms)
 
 
 class WorkerStart(msgspec.Struct, frozen=True, kw_only=True, order=True):
-    """One start of a worker; ``started_at_ms`` is 0 where the worker does not tell it."""
+    """One incarnation of a worker; ``started_at_ms`` is 0 if unknown."""
 
     worker_id: BackendId
     started_at_ms: int = 0
 
 
 class WorkerLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Load that a worker reports: requests running, requests waiting, places.
+    """Load reported by a worker: running and waiting requests, and slots.
 
-    ``slowdown`` is the time that work takes there at the moment, relative to its usual time: a
-    worker shares its machine with others. 1 where the worker does not tell; ``is_shared`` says
-    whether it does.
+    ``slowdown`` is the current run time relative to the normal one, since other workloads may share
+    the machine; 1 if not reported. ``is_shared`` says whether the worker reports it.
     """
 
     running: int
@@ -75,14 +74,14 @@
 
 
 class WorkerRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request for one worker.
-
-    ``headers`` go out unchanged; ``budget_seconds`` tells the worker how long to work;
-    ``resume_after`` asks for the events after that number; ``priority`` says which requests
-    the worker admits first (0 the most urgent), ``None`` leaves it to the worker. A request
-    that is ``repeatable`` may be sent again when a kept connection turns out to be closed.
-    ``tenant`` is told to the worker in place of the caller's key. With ``fresh_connection`` it
-    goes out over a new connection: those that are kept may have fallen silent.
+    """A request to one worker.
+
+    ``headers`` are sent unchanged. ``budget_seconds`` is the time that the worker may spend.
+    ``resume_after`` requests the events after that number. ``priority`` is the admission priority
+    at the worker (0 is the most urgent); ``None`` leaves it to the worker. A ``repeatable`` request
+    may be resent if an idle connection turns out to be closed. ``tenant`` is sent in place of the
+    client's key. With ``fresh_connection`` idle connections are not used, since they may be
+    stalled.
     """
 
     request_id: str
@@ -100,9 +99,9 @@
 
 
 class WorkerAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's whole answer, to be returned unchanged.
+    """A worker's complete response, returned to the client unchanged.
 
-    ``stamp`` is the worker's own mark of the run that made the answer.
+    ``stamp`` is the worker's identifier of the run.
     """
 
     status: int
@@ -113,7 +112,7 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """One event of a stream, with the weight version that made it."""
+    """One event of a stream, with the weight version that generated it."""
 
     number: int
     data: str
@@ -121,17 +120,17 @@
 
 
 class LoadMode(StrEnum):
-    """What happens to runs of a model whose weights are replaced."""
+    """What happens to running requests of a model whose weights are replaced."""
 
     FINISH_FIRST = "finish_first"
     KEEP_RUNNING = "keep_running"
 
 
 class WorkerStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A worker's own report.
+    """A worker's status report.
 
-    ``sequence`` counts the orders it has taken since its start, ``started_at_ms`` (0 if it does
-    not tell).
+    ``sequence`` is the number of orders accepted since its start at ``started_at_ms`` (0 if
+    unknown).
     """
 
     busy: bool
@@ -141,7 +140,7 @@
 
 
 class LoadOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to load one version of a model, valid only at ``expected_sequence``."""
+    """An order to load a weight version; valid only if the worker is at ``expected_sequence``."""
 
     model: str
     version: WeightVersion
@@ -152,7 +151,7 @@
 
 
 class OrderOutcome(StrEnum):
-    """What a worker answered to an order."""
+    """A worker's reply to an order."""
 
     STARTED = "started"
     ALREADY_HELD = "already_held"
@@ -168,25 +167,25 @@
 
 
 class WorkerRefusedError(WorkerError):
-    """The worker proved that it did not run the request."""
+    """The worker did not run the request."""
 
     code = "worker_refused"
 
 
 class WorkerMisdirectedError(WorkerRefusedError):
-    """Another worker, or other weights, stand at the address; the request did not run."""
+    """Another worker, or one with other weights, has the address; the request did not run."""
 
     code = "worker_misdirected"
 
 
 class WorkerUnreachableError(WorkerRefusedError):
-    """No connection came up; the request did not reach the worker."""
+    """The connection could not be opened; the request was not sent."""
 
     code = "worker_unreachable"
 
 
 class WorkerBrokenError(WorkerError):
-    """No whole answer came; the request may have run."""
+    """The response is incomplete or missing; the request may have run."""
 
     code = "worker_broken"
 
@@ -198,12 +197,12 @@
 
 
 class WorkerTimedOutError(WorkerFailedError):
-    """The worker ran the request until its time was up."""
+    """The worker ran the request until its deadline."""
 
     code = "worker_timed_out"
 
 
 class WorkerRejectedError(WorkerError):
-    """The worker says that the request can never be served."""
+    """The worker will never be able to serve the request."""
 
     code = "worker_rejected"
--- a/drumbay/workers/service_filter.py
+++ b/drumbay/workers/service_filter.py
@@ -1,8 +1,8 @@
-"""Keeps workers of services that the configuration in force does not name out of the directory.
+"""Excludes discovery entries whose service is not configured.
 
-Others than workers write entries too. One of a service that is not named is no worker that may be
-used: it gets neither requests nor orders, and proves nothing of another worker at its address. A
-configuration that names its service may still come, so the entry is kept aside.
+Discovery entries may be written by other programs. An entry of an unknown service receives no
+requests or orders and is not compared with other workers at its address. It is kept in case a later
+configuration adds its service.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,78 +16,78 @@
 
 
 class ServiceFilter:
-    """Says which entries of discovery may be used, and holds the others."""
+    """Passes discovery entries of configured services on to the worker directory."""
 
     def __init__(
-        self, directory: WorkerDirectory, named: Callable[[], frozenset[str] | None]
+        self, directory: WorkerDirectory, configured: Callable[[], frozenset[str] | None]
     ) -> None:
-        """Hold nothing.
+        """Create a filter without entries.
 
         Args:
-            directory: Takes the workers that may be used.
-            named: The services that the configuration in force names, ``None`` before the first.
+            directory: Receives the accepted workers.
+            configured: Returns the configured services, ``None`` before the first configuration.
         """
         self._directory = directory
-        self._named = named
-        self._held: dict[BackendId, Worker] = {}
+        self._configured_services = configured
+        self._excluded: dict[BackendId, Worker] = {}
         self._logged: set[BackendId] = set()
 
     def put(self, worker: Worker) -> bool:
-        """Take a new or changed entry; return whether its worker may be used."""
-        named = self._named()
-        if named is None or worker.service not in named:
-            self._hold(worker, named)
+        """Apply a new or changed entry; return whether it was accepted."""
+        configured = self._configured_services()
+        if configured is None or worker.service not in configured:
+            self._exclude(worker, configured)
             self._directory.remove(worker.worker_id)
             return False
-        self._release(worker.worker_id)
+        self._forget(worker.worker_id)
         self._directory.put(worker)
         return True
 
     def remove(self, worker_id: BackendId) -> None:
-        """Forget an entry that has gone or cannot be understood."""
-        self._release(worker_id)
+        """Remove an entry that was deleted or is invalid."""
+        self._forget(worker_id)
         self._directory.remove(worker_id)
 
     def take_snapshot(self, workers: Iterable[Worker]) -> tuple[list[Worker], set[BackendId]]:
-        """Return the workers of a snapshot that may be used, and the ids of the others."""
-        named = self._named()
+        """Return the accepted workers of a snapshot and the ids of the excluded ones."""
+        configured = self._configured_services()
         usable: list[Worker] = []
-        held: dict[BackendId, Worker] = {}
+        excluded: dict[BackendId, Worker] = {}
         for worker in workers:
-            if named is not None and worker.service in named:
+            if configured is not None and worker.service in configured:
                 usable.append(worker)
             else:
-                held[worker.worker_id] = worker
-        for worker_id in [known for known in self._held if known not in held]:
-            self._release(worker_id)
-        for worker in held.values():
-            self._hold(worker, named)
-        return usable, set(held)
+                excluded[worker.worker_id] = worker
+        for worker_id in [known for known in self._excluded if known not in excluded]:
+            self._forget(worker_id)
+        for worker in excluded.values():
+            self._exclude(worker, configured)
+        return usable, set(excluded)
 
     def apply_configuration(self) -> None:
-        """Look at every worker again: another configuration is in force."""
-        named = self._named() or frozenset()
+        """Re-evaluate all workers after a configuration change."""
+        configured = self._configured_services() or frozenset()
         for record in list(self._directory.all_records().values()):
-            if record.worker.service in named:
+            if record.worker.service in configured:
                 continue
             if record.missing_until is None:
                 worker = msgspec.structs.replace(record.worker, versions=dict(record.versions))
-                self._held[worker.worker_id] = worker
+                self._excluded[worker.worker_id] = worker
             self._directory.remove(record.worker.worker_id)
-        for worker in list(self._held.values()):
-            if worker.service in named:
+        for worker in list(self._excluded.values()):
+            if worker.service in configured:
                 self.put(worker)
             else:
-                self._hold(worker, named)
+                self._exclude(worker, configured)
 
-    def _release(self, worker_id: BackendId) -> None:
-        self._held.pop(worker_id, None)
+    def _forget(self, worker_id: BackendId) -> None:
+        self._excluded.pop(worker_id, None)
         self._logged.discard(worker_id)
 
-    def _hold(self, worker: Worker, named: frozenset[str] | None) -> None:
-        """Keep an entry aside; it is logged once, and not where no configuration is known yet."""
-        self._held[worker.worker_id] = worker
-        if named is not None and worker.worker_id not in self._logged:
+    def _exclude(self, worker: Worker, configured: frozenset[str] | None) -> None:
+        """Keep an excluded entry; logged once, and only if a configuration is known."""
+        self._excluded[worker.worker_id] = worker
+        if configured is not None and worker.worker_id not in self._logged:
             self._logged.add(worker.worker_id)
-            # What another writer calls a service is not repeated: it may be anything.
+            # The service name is not logged because it is untrusted input.
             log_event("worker_service_not_named", level="WARNING", worker=worker.worker_id)
--- a/drumbay/workers/silence_check.py
+++ b/drumbay/workers/silence_check.py
@@ -1,7 +1,7 @@
-"""Tells a worker that has gone from connections to it that have fallen silent.
+"""Tells a dead worker from stalled connections to a live one.
 
-Streams say nothing more in both cases. A question on a new connection tells them apart: a worker
-that answers lives, and what was open to it has fallen silent.
+Streams stop in both cases. A status request over a new connection tells them apart: if the worker
+answers, its existing connections are stalled.
 """
 
 from collections.abc import Callable
@@ -16,21 +16,20 @@
 from drumbay.workers.worker_record import WorkerRecord
 
 CHECK_SECONDS = 0.6
-"""Meanwhile the worker gets nothing new; the client's own limit of a report is as long."""
+"""The worker is paused during the check; equals the client's timeout of status requests."""
 
-REPEATED_SILENCE_SECONDS = 5.0
-"""A worker that makes nothing again so soon after it answered a check, with no event in between, is
-taken for stuck: its streams are silent for 0.7 to 1.6 s each time."""
+REPEATED_STALL_SECONDS = 5.0
+"""A worker that stalls again within this time after a check, without any event in between, counts
+as failed."""
 
 
 FEWEST_SILENT_RUNS = 3
-"""A worker that answers while so many runs that had made events are all silent has lost its
-connections. Fewer may have been preempted together on a crowded worker, which is better left for a
-while: sending items there at once cost 0.10 of the worth of days of high load (five pairs)."""
+"""Stalled connections are assumed from this many silent runs. Fewer may have been preempted on a
+busy worker."""
 
 
 class SilenceCheck:
-    """Asks workers whose streams have fallen silent, once at a time each."""
+    """Sends status requests to workers with silent streams, one at a time per worker."""
 
     def __init__(
         self,
@@ -40,14 +39,14 @@
         task_owner: TaskOwner,
         on_silent_connections: Callable[[], None],
     ) -> None:
-        """Create a check that has asked nobody.
+        """Create a check.
 
         Args:
             clock: Time.
-            directory: Where workers are paused.
+            directory: The workers to pause.
             client: Calls to workers.
-            task_owner: Runs the questions.
-            on_silent_connections: Called when a worker answers whose streams all fell silent.
+            task_owner: Runs the checks.
+            on_silent_connections: Called when a live worker's connections have all stalled.
         """
         self._clock = clock
         self._directory = directory
@@ -55,13 +54,13 @@
         self._task_owner = task_owner
         self._on_silent_connections = on_silent_connections
         self._silent_runs: dict[BackendId, int] = {}
-        self._answered_at: dict[WorkerStart, float] = {}
+        self._responded_at: dict[WorkerStart, float] = {}
 
     def suspect(self, worker_id: BackendId) -> None:
-        """Note a run that made events and is silent, as all others on its worker are.
+        """Report a run that has gone silent, as have all others on its worker.
 
-        The worker gets nothing new until it is known why. A worker that is paused already, or that
-        was found alive lately and made nothing since, has failed once more.
+        The worker is paused until the check is done. If it is already paused, or has sent nothing
+        since a recent successful check, a failure is recorded instead.
         """
         if worker_id in self._silent_runs:
             self._silent_runs[worker_id] += 1
@@ -75,15 +74,15 @@
             return
         self._silent_runs[worker_id] = 1
         self._directory.pause(worker_id, now, CHECK_SECONDS)
-        self._task_owner.spawn(self._check(record.worker), f"silence-check-{worker_id}")
+        self._task_owner.spawn(self._run_check(record.worker), f"silence-check-{worker_id}")
 
     def _is_stuck(self, record: WorkerRecord, now: float) -> bool:
-        answered_at = self._answered_at.pop(record.worker.start, None)
-        if answered_at is None or now - answered_at > REPEATED_SILENCE_SECONDS:
+        responded_at = self._responded_at.pop(record.worker.start, None)
+        if responded_at is None or now - responded_at > REPEATED_STALL_SECONDS:
             return False
-        return not record.pace.is_heard_since(answered_at)
+        return not record.pace.is_active_since(responded_at)
 
-    async def _check(self, worker: Worker) -> None:
+    async def _run_check(self, worker: Worker) -> None:
         worker_id = worker.worker_id
         has_lost_connections = False
         try:
@@ -94,7 +93,7 @@
             silent_runs = self._silent_runs.pop(worker_id)
         now = self._clock.monotonic()
         if has_lost_connections:
-            self._note_answer(worker.start, now)
+            self._record_response(worker.start, now)
             self._directory.end_pause(worker_id, now)
             self._on_silent_connections()
             return
@@ -102,7 +101,7 @@
             self._directory.observe_failure(worker_id, now, worker.started_at_ms)
 
     async def _has_lost_connections(self, worker: Worker) -> bool:
-        """Return whether a worker answers over a new connection that should have made events.
+        """Return whether the worker answers over a new connection and should have sent events.
 
         Raises:
             WorkerError: It does not answer.
@@ -121,11 +120,13 @@
             silent_runs=silent_runs,
         )
         if self._directory.has_restarted(worker):
-            # It has started again: its runs have ended with the start before, not gone silent.
+            # After a restart the previous runs have ended rather than stalled.
             return False
-        # A worker that loads weights makes no events, over connections that work.
+        # A worker that is loading weights sends no events on healthy connections.
         return silent_runs >= FEWEST_SILENT_RUNS and not status.busy
 
-    def _note_answer(self, start: WorkerStart, now: float) -> None:
-        kept = {s: at for s, at in self._answered_at.items() if now - at < REPEATED_SILENCE_SECONDS}
-        self._answered_at = kept | {start: now}
+    def _record_response(self, start: WorkerStart, now: float) -> None:
+        recent = {
+            s: at for s, at in self._responded_at.items() if now - at < REPEATED_STALL_SECONDS
+        }
+        self._responded_at = recent | {start: now}
--- a/drumbay/workers/worker_record.py
+++ b/drumbay/workers/worker_record.py
@@ -1,4 +1,4 @@
-"""A worker and what this node has seen of it: whether requests may go there, and what they meet."""
+"""A worker and this node's observations of it."""
 
 import msgspec
 
@@ -8,32 +8,31 @@
 from drumbay.workers.records import Worker, WorkerState
 
 LOAD_REPORT_LIFETIME_SECONDS = 0.6
-"""How long a load report counts; runs last about as long."""
+"""Age after which a load report is ignored."""
 
 
-class Refusals(msgspec.Struct, kw_only=True):
-    """Refusals in a row of requests for one model, as while its weights are loaded."""
+class ModelRefusals(msgspec.Struct, kw_only=True):
+    """Consecutive refusals of requests for one model, for example while its weights are loading."""
 
     count: int = 0
     paused_until: float = float("-inf")
 
 
-class LoadUnderWay(msgspec.Struct, frozen=True, kw_only=True):
-    """Weights that a worker was ordered to load, and when they should be in place."""
+class PendingWeightLoad(msgspec.Struct, frozen=True, kw_only=True):
+    """A weight load ordered from a worker, and the time at which it should be complete."""
 
     version: WeightVersion
     until: float
 
 
 class WorkerRecord(msgspec.Struct, kw_only=True):
-    """A worker and what this node has seen of it.
-
-    ``in_flight`` counts this node's requests there, ``body_bytes`` the bodies that clients sent
-    with them; ``expected_tokens`` is the sum of what those of batch items are expected to generate,
-    which the worker keeps in its memory meanwhile. ``pace`` is that of its streams, ``answers``
-    that of its whole answers; ``slowdown`` is part of its last load report. A worker that
-    ``is_shared`` says that others use its machine as well.
-    With ``is_start_reported`` a report told of the start before any entry of discovery did.
+    """A worker and this node's observations of it.
+
+    ``in_flight`` counts this node's requests there, ``body_bytes`` is the size of their bodies, and
+    ``expected_tokens`` the total expected output of batch items, which occupies the worker's
+    memory. ``pace`` describes streams, ``answers`` complete responses. ``others``, ``slowdown`` and
+    ``is_shared`` come from the last load report. ``is_start_reported`` is set if a status report
+    revealed the incarnation before discovery did.
     """
 
     worker: Worker
@@ -49,63 +48,63 @@
     failures: int = 0
     pace: PaceEstimate = msgspec.field(default_factory=PaceEstimate)
     answers: AnswerPace = msgspec.field(default_factory=AnswerPace)
-    loads: dict[str, LoadUnderWay] = msgspec.field(default_factory=dict)
-    refusals: dict[str, Refusals] = msgspec.field(default_factory=dict)
+    loads: dict[str, PendingWeightLoad] = msgspec.field(default_factory=dict)
+    refusals: dict[str, ModelRefusals] = msgspec.field(default_factory=dict)
     missing_until: float | None = None
     is_start_reported: bool = False
 
-    def busy(self, now: float) -> int:
-        """Return the requests on the worker as far as known."""
+    def estimated_requests(self, now: float) -> int:
+        """Return the known number of requests on the worker."""
         return self.in_flight + self.others_busy(now)
 
     def others_busy(self, now: float) -> int:
-        """Return the requests of other nodes on the worker as far as known."""
+        """Return the last reported number of other nodes' requests; 0 if the report is outdated."""
         if now - self.reported_at > LOAD_REPORT_LIFETIME_SECONDS:
             return 0
         return self.others
 
     def free_slots(self, now: float) -> int:
-        """Return the places that this node may still take; never more than its slots."""
-        return max(0, self.worker.slots - self.busy(now))
+        """Return the number of slots that this node may still use."""
+        return max(0, self.worker.slots - self.estimated_requests(now))
 
     def is_available(self, now: float) -> bool:
-        """Return whether new requests may go there."""
+        """Return whether new requests may be sent to the worker."""
         return self.worker.state is WorkerState.READY and now >= self.paused_until
 
     def takes(self, model: str, now: float) -> bool:
-        """Return whether requests for a model may go there, should a place be free."""
+        """Return whether the worker accepts requests for a model if it has a free slot."""
         load = self.loads.get(model)
         return self.is_available(now) and (load is None or now >= load.until)
 
     def is_refusing(self, model: str, now: float) -> bool:
-        """Return whether the worker has refused requests for a model so lately that none goes."""
+        """Return whether requests for a model are paused after refusals."""
         refusals = self.refusals.get(model)
         return refusals is not None and now < refusals.paused_until
 
     def free_slots_for(self, model: str, now: float, others: int | None = None) -> int:
-        """Return the places for requests of a model: after refusals, one probe at a time.
+        """Return the free slots for a model; after refusals at most one, as a probe.
 
         Args:
             model: The model.
             now: Monotonic time.
-            others: Requests of other nodes there; ``None`` to go by the worker's last report.
+            others: Requests of other nodes there; ``None`` to use the last load report.
         """
         if not self.takes(model, now):
             return 0
-        busy_others = self.others_busy(now) if others is None else others
-        free = max(0, self.worker.slots - self.in_flight - busy_others)
+        other_requests = self.others_busy(now) if others is None else others
+        free = max(0, self.worker.slots - self.in_flight - other_requests)
         if self.is_refusing(model, now):
             return 0
         return min(1, free) if model in self.refusals else free
 
     def version_of(self, model: str, now: float) -> WeightVersion | None:
-        """Return the version of a model, as seen or as due by now; ``None`` if it holds none.
+        """Return the version of a model, observed or expected by now; ``None`` if it is not loaded.
 
-        Discovery tells of a load up to a second after its end. A worker that is late refuses
-        requests meanwhile, and the head of an answer tells if the load was not carried out.
+        Discovery reports a completed load up to a second late. If the load is late the worker
+        refuses requests, and response headers reveal a load that was not carried out.
         """
-        seen = self.versions.get(model)
+        observed = self.versions.get(model)
         load = self.loads.get(model)
-        if load is None or seen is None or now < load.until:
-            return seen
-        return max(seen, load.version)
+        if load is None or observed is None or now < load.until:
+            return observed
+        return max(observed, load.version)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: settings, entries, events, the store's calls and workers' odd answers."""
+"""Tests of the platform adapter: settings, discovery entries, events, the store and workers."""
 
 import asyncio
 import json
@@ -93,7 +93,7 @@
 }
 
 
-class TranslationTest(unittest.TestCase):
+class ParsingTest(unittest.TestCase):
     def test_settings(self) -> None:
         settings = parse_settings(SETTINGS)
         self.assertEqual(settings.node, "edge-a-1")
@@ -103,7 +103,7 @@
         self.assertTrue(settings.workers_check_fences)
         self.assertTrue(settings.is_first_start)
 
-    def test_settings_that_lack_a_field_are_refused_with_its_name(self) -> None:
+    def test_missing_setting_is_named_in_error(self) -> None:
         with self.assertRaisesRegex(ConfigurationError, r"platform\.addr"):
             parse_settings(SETTINGS.replace("platform.addr", "other"))
         with self.assertRaises(ConfigurationError):
@@ -120,7 +120,7 @@
         self.assertTrue(rollouts.one_version_only)
         self.assertEqual(found.limits.body_bytes, 1000)
 
-    def test_a_tenants_rank_goes_before_its_routes(self) -> None:
+    def test_tenant_priority_overrides_route_priority(self) -> None:
         tenants = [
             {"name": "t1", "apiKeys": ["k1"], "prio": 1},
             {"name": "t2", "apiKeys": ["k2"]},
@@ -132,7 +132,7 @@
         self.assertEqual(found.priority_of(lookups, TenantName("t2")), 2)
         self.assertEqual(found.priority_of(rollouts, TenantName("t2")), 0)
 
-    def test_a_kind_that_is_not_known_runs_at_most_once(self) -> None:
+    def test_unknown_route_kind_is_at_most_once(self) -> None:
         route = {**CONFIGURATION["routes"][0], "kind": "novel"}  # type: ignore[index]
         found = parse_configuration(json.dumps({"ver": 1, "routes": [route]}).encode())
         self.assertEqual(found.routes[0].kind, RequestKind.AT_MOST_ONCE)
@@ -154,7 +154,7 @@
         self.assertEqual(worker.state, WorkerState.DRAINING)
         self.assertEqual(worker.versions, {"m": 3})
 
-    def test_events_are_cut_anywhere_and_name_their_versions(self) -> None:
+    def test_events_are_parsed_from_chunks_of_any_size(self) -> None:
         text = (
             b"id: 1\ndata: a\n\n"
             b"x-drumbay-weight-versions: 7\nid: 2\ndata: b\ndata: c\n\n"
@@ -173,12 +173,12 @@
             self.assertEqual(found, expected)
             self.assertFalse(parser.has_rest)
 
-    def test_an_unfinished_event_is_kept_back(self) -> None:
+    def test_incomplete_event_is_buffered(self) -> None:
         parser = EventParser(WeightVersion(1))
         self.assertEqual(len(parser.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n")), 1)
         self.assertTrue(parser.has_rest)
 
-    def test_nothing_outside_the_adapter_names_the_platform(self) -> None:
+    def test_platform_names_occur_only_in_adapter(self) -> None:
         words = re.compile(
             r"X-Drumbay-(Attempt|Deadline|Server|Expect|Not|Weight|Wait|Length|Token)|/lots/|kv-txn|kv-watch|kv-range|tlsKey|op/config|servers/"
             r"|DRUMBAY_NODE_FILE|trainStep|expectRev|sinceRev|nextToken|queueTtlS"
@@ -202,7 +202,7 @@
     async def put(self, key: str, value: bytes = b"v") -> Revision:
         return (await self.store.transact((), (Put(key=key, value=value),))).revision
 
-    async def test_what_is_written_is_read_in_pages(self) -> None:
+    async def test_range_reads_all_pages(self) -> None:
         for number in range(12):
             await self.put(f"a/{number:02d}", bytes([number, 255]))
         await self.put("b/1")
@@ -228,7 +228,7 @@
         with self.assertRaises(LeaseNotFoundError):
             await self.store.keep_lease_alive(lease.lease_id)
 
-    async def test_a_watch_goes_on_from_a_revision(self) -> None:
+    async def test_watch_resumes_from_revision(self) -> None:
         await self.put("w/1")
         start = await self.put("w/2")
         watch = self.store.watch_prefix("w/", start)
@@ -241,14 +241,14 @@
         (event,) = (await anext(watch)).events
         self.assertEqual((event.key, event.item), ("w/1", None))
 
-    async def test_a_watch_says_that_history_is_gone(self) -> None:
+    async def test_watch_reports_compacted_history(self) -> None:
         start = await self.put("w/1")
         for _ in range(40):
             await self.put("x")
         with self.assertRaises(WatchCompactedError):
             await anext(self.store.watch_prefix("w/", start))
 
-    async def test_refusals_had_no_effect(self) -> None:
+    async def test_rejected_writes_raise_errors_without_effect(self) -> None:
         self.server.refuse_with = 429
         with self.assertRaises(KeyValueRateLimitedError):
             await self.put("k")
@@ -256,20 +256,20 @@
         with self.assertRaises(KeyValueUnavailableError):
             await self.put("k")
 
-    async def test_nonsense_leaves_a_write_unknown(self) -> None:
+    async def test_invalid_reply_leaves_write_outcome_unknown(self) -> None:
         self.server.refuse_with = 200
         with self.assertRaises(KeyValueOutcomeUnknownError):
             await self.put("k")
         with self.assertRaises(KeyValueUnavailableError):
             await self.store.range_prefix("k")
 
-    async def test_a_store_that_is_away_had_no_effect(self) -> None:
+    async def test_unreachable_store_has_no_effect(self) -> None:
         await self.server.close()
         with self.assertRaises(KeyValueUnavailableError):
             await self.put("k")
 
 
-class WorkerAnswerTest(unittest.IsolatedAsyncioTestCase):
+class WorkerClientTest(unittest.IsolatedAsyncioTestCase):
     head = "HTTP/1.1 200 OK\r\nX-Drumbay-Attempt-Id: r1\r\nX-Drumbay-Server-Seal: s\r\n"
 
     async def asyncSetUp(self) -> None:
@@ -314,11 +314,11 @@
                 found.extend(events)
         return found
 
-    async def test_a_request_goes_out_unchanged(self) -> None:
+    async def test_request_is_sent_unchanged(self) -> None:
         worker = await self.server(self.head + "Content-Length: 2\r\n\r\nok")
-        answer = await self.client.call(worker, self.request())
-        self.assertEqual((answer.status, answer.body), (200, b"ok"))
-        self.assertIn(("X-Drumbay-Server-Seal", "s"), answer.headers)
+        response = await self.client.call(worker, self.request())
+        self.assertEqual((response.status, response.body), (200, b"ok"))
+        self.assertIn(("X-Drumbay-Server-Seal", "s"), response.headers)
         sent = self.scripted.requests[0]
         self.assertTrue(sent.startswith("POST /l/x?y=%20z HTTP/1.1\r\n"))
         for line in (
@@ -330,7 +330,7 @@
             self.assertIn(line, sent)
         self.assertEqual(sent.count("X-Drumbay-Attempt-Id"), 1)
 
-    async def test_a_load_report_may_tell_how_slow_the_machine_is(self) -> None:
+    async def test_load_report_may_include_slowdown(self) -> None:
         reports = {
             "3,1,8": WorkerLoad(running=3, waiting=1, slots=8),
             "3,1,8,250": WorkerLoad(running=3, waiting=1, slots=8, slowdown=2.5, is_shared=True),
@@ -342,31 +342,33 @@
         for text, expected in reports.items():
             head = f"{self.head}X-Drumbay-Server-Load: {text}\r\n"
             worker = await self.server(head + "Content-Length: 2\r\n\r\nok")
-            answer = await self.client.call(worker, self.request())
-            self.assertEqual(answer.load, expected, text)
+            response = await self.client.call(worker, self.request())
+            self.assertEqual(response.load, expected, text)
 
-    async def test_a_repeatable_request_uses_a_kept_connection(self) -> None:
+    async def test_repeatable_request_reuses_connection(self) -> None:
         worker = await self.server(self.head + "Content-Length: 2\r\n\r\nok")
         self.scripted.keep = True
         for _ in range(3):
-            answer = await self.client.call(worker, self.repeatable())
-            self.assertEqual(answer.body, b"ok")
+            response = await self.client.call(worker, self.repeatable())
+            self.assertEqual(response.body, b"ok")
         self.assertEqual(self.scripted.connections, 1)
         await self.client.call(worker, self.request())
         self.assertEqual(self.scripted.connections, 2)
 
-    async def test_a_kept_connection_that_was_closed_is_not_an_answer_lost(self) -> None:
+    async def test_request_is_resent_if_idle_connection_was_closed(self) -> None:
         worker = await self.server(self.head + "Content-Length: 2\r\n\r\nok")
         for _ in range(3):
-            answer = await self.client.call(worker, self.repeatable())
-            self.assertEqual(answer.body, b"ok")
+            response = await self.client.call(worker, self.repeatable())
+            self.assertEqual(response.body, b"ok")
         self.assertEqual(len(self.scripted.requests), 3)
 
-    async def test_a_worker_that_ends_under_a_kept_connection_has_seen_the_request(self) -> None:
-        answer = self.head + "Content-Length: 2\r\n\r\nok"
+    async def test_worker_that_ends_during_request_on_reused_connection_may_have_run_it(
+        self,
+    ) -> None:
+        response = self.head + "Content-Length: 2\r\n\r\nok"
         worker = await self.server("")
         self.scripted.script = lambda _: (
-            answer.encode() if len(self.scripted.requests) == 1 else self.scripted.end()
+            response.encode() if len(self.scripted.requests) == 1 else self.scripted.end()
         )
         self.scripted.keep = True
         await self.client.call(worker, self.repeatable())
@@ -378,23 +380,23 @@
         with self.assertRaises(WorkerUnreachableError):
             await self.client.call(worker, self.repeatable())
 
-    async def test_a_connection_with_surplus_bytes_is_not_kept(self) -> None:
+    async def test_connection_with_surplus_bytes_is_not_reused(self) -> None:
         text = self.head + "Content-Length: 2\r\n\r\nok" + self.head + "Content-Length: 1\r\n\r\nx"
         worker = await self.server(text)
         self.scripted.keep = True
         for _ in range(3):
-            answer = await self.client.call(worker, self.repeatable())
-            self.assertEqual(answer.body, b"ok")
+            response = await self.client.call(worker, self.repeatable())
+            self.assertEqual(response.body, b"ok")
         self.assertEqual(self.scripted.connections, 3)
 
-    async def test_a_connection_that_the_worker_will_close_is_not_kept(self) -> None:
+    async def test_connection_close_header_prevents_reuse(self) -> None:
         worker = await self.server(self.head + "Connection: close\r\nContent-Length: 2\r\n\r\nok")
         self.scripted.keep = True
         for _ in range(2):
             await self.client.call(worker, self.repeatable())
         self.assertEqual(self.scripted.connections, 2)
 
-    async def test_reports_share_a_kept_connection_of_their_own(self) -> None:
+    async def test_status_reports_use_separate_connection(self) -> None:
         report = b'{"models":[{"name":"m","ver":3}],"busy":false,"seq":1}'
         head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(report)}\r\n\r\n"
         worker = await self.server(head + report.decode())
@@ -407,14 +409,14 @@
             await self.client.call(worker, self.repeatable())
         self.assertEqual(self.scripted.connections, 2)
 
-    async def test_a_report_may_tell_when_the_worker_started(self) -> None:
+    async def test_status_report_may_include_start_time(self) -> None:
         for told, started_at_ms in ((b"", 0), (b',"born":1700000000000', 1_700_000_000_000)):
             report = b'{"models":[],"busy":false,"seq":1%s}' % told
             head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(report)}\r\n\r\n"
             worker = await self.server(head + report.decode())
             self.assertEqual((await self.client.status(worker)).started_at_ms, started_at_ms)
 
-    async def test_a_report_with_numbers_that_nobody_counts_to_is_none(self) -> None:
+    async def test_status_report_with_number_out_of_range_is_rejected(self) -> None:
         for number in (-1, 2**53, 10**30):
             for report in (
                 {"models": [], "busy": False, "seq": 1, "born": number},
@@ -427,7 +429,7 @@
                 with self.subTest(body), self.assertRaises(WorkerError):
                     await self.client.status(worker)
 
-    async def test_the_answer_to_a_request_is_no_answer_to_an_order(self) -> None:
+    async def test_request_response_is_not_accepted_for_order(self) -> None:
         worker = await self.server(self.head + "Content-Length: 2\r\n\r\nok")
         self.scripted.keep = True
         order = LoadOrder(
@@ -441,7 +443,7 @@
         with self.assertRaises(WorkerError):
             await self.client.order(worker, order)
 
-    async def test_a_kept_connection_is_known_until_it_is_used_up(self) -> None:
+    async def test_idle_connection_is_reported_until_closed(self) -> None:
         worker = await self.server(self.head + "Content-Length: 2\r\n\r\nok")
         self.scripted.keep = True
         self.assertFalse(self.client.keeps_connection(worker))
@@ -450,36 +452,36 @@
         self.client.close()
         self.assertFalse(self.client.keeps_connection(worker))
 
-    async def test_a_cut_answer_is_broken(self) -> None:
+    async def test_truncated_response_is_broken(self) -> None:
         worker = await self.server(self.head + "Content-Length: 20\r\n\r\nok")
         with self.assertRaises(WorkerBrokenError):
             await self.client.call(worker, self.request())
 
-    async def test_an_answer_that_ends_with_its_connection_is_whole(self) -> None:
+    async def test_response_ended_by_connection_close_is_complete(self) -> None:
         worker = await self.server(self.head + "\r\nok")
         self.assertEqual((await self.client.call(worker, self.request())).body, b"ok")
 
-    async def test_an_answer_without_a_length_that_is_reset_is_broken(self) -> None:
+    async def test_reset_response_without_length_is_broken(self) -> None:
         worker = await self.server(self.head + "\r\nok", reset=True)
         with self.assertRaises(WorkerBrokenError):
             await self.client.call(worker, self.request())
 
-    async def test_surplus_bytes_belong_to_no_request(self) -> None:
+    async def test_surplus_bytes_are_ignored(self) -> None:
         text = self.head + "Content-Length: 2\r\n\r\nok" + self.head + "Content-Length: 1\r\n\r\nx"
         worker = await self.server(text)
         self.assertEqual((await self.client.call(worker, self.request())).body, b"ok")
 
-    async def test_bytes_that_form_no_answer_are_broken(self) -> None:
+    async def test_invalid_response_is_broken(self) -> None:
         worker = await self.server("\x00garbage\r\n\r\n")
         with self.assertRaises(WorkerBrokenError):
             await self.client.call(worker, self.request())
 
-    async def test_another_requests_answer_is_broken(self) -> None:
+    async def test_response_to_another_request_is_broken(self) -> None:
         worker = await self.server(self.head.replace("r1", "r2") + "Content-Length: 2\r\n\r\nok")
         with self.assertRaises(WorkerBrokenError):
             await self.client.call(worker, self.request())
 
-    async def test_refusals_prove_that_nothing_ran(self) -> None:
+    async def test_refusals_report_that_request_did_not_run(self) -> None:
         text = "HTTP/1.1 503 X\r\nX-Drumbay-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
         with self.assertRaises(WorkerRefusedError):
             await self.client.call(await self.server(text), self.request())
@@ -491,7 +493,7 @@
         with self.assertRaises(WorkerUnreachableError):
             await self.client.call(worker, self.request())
 
-    async def test_a_stream_is_whole_only_at_its_proper_end(self) -> None:
+    async def test_stream_is_complete_only_at_its_declared_end(self) -> None:
         whole = "id: 5\ndata: a\n\nid: 6\ndata: b\n\n"
         head = self.head + "X-Drumbay-Weight-Versions: 6\r\n"
         worker = await self.server(f"{head}Content-Length: {len(whole)}\r\n\r\n{whole}")
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,21 +1,7 @@
-"""Regression: service fell to 72% while open connections were silent.
-
-Symptom: on six nodes before nine workers, about a quarter of the work was not served on days on
-which open connections said nothing more, without a reset, while new ones worked.
-
-Sequence, seen in runs of the real processes with every open connection silenced at one moment:
-no item started for 19 s; the trainers had named new versions that no node heard of; nodes
-answered 404 for routes that had been in force in the store for seconds, and took removed keys.
-At 19 s the watches' own time limit passed, and all went on within half a second.
-
-Cause: that a connection lives was told from other connections. A waiting watch of the store
-counted as alive while the heartbeat was answered, which has a connection of its own
-(``request_without_route ... configuration_age_seconds=1.06`` beside ``store_lost ...
-unheard_seconds=20.6``). A request went from one kept, silent connection to the next until its
-attempts were used up (``request_not_served sent=2 elapsed_seconds=2.0``). Streams that were silent
-together counted as signs of dead workers (``item_run_stopped reason=silent`` for all of them at
-once, then ``worker_paused pause_seconds=4.0``), and what started again took another silent
-connection.
+"""Requests and streams recover when open connections stall without a reset.
+
+Guards against lookups that use up their attempts on stalled idle connections, and against workers
+that are paused because all their streams stalled although they answer over new connections.
 """
 
 import asyncio
@@ -43,16 +29,16 @@
 
 SERVICE = "lookups"
 WORKERS = 3
-KEPT_PER_WORKER = 4
+CONNECTIONS_PER_WORKER = 4
 LOOKUPS = 24
 ITEMS = 12
-NOTICED_SECONDS = 1.0
-"""The silence of a worker that made events, a plan, and one question on a new connection."""
+DETECTION_SECONDS = 1.0
+"""Allows for stream silence detection, one planning cycle and one status request."""
 
-PAUSED_SECONDS = 3.5
+PAUSE_DETECTION_SECONDS = 3.5
 INTERVAL_SECONDS = 0.1
 BUDGET_SECONDS = 8.0
-"""Long against every step on a busy machine; only a lookup that is lost takes so long."""
+"""Long enough for a busy machine; only a lost lookup takes so long."""
 
 
 def lookup(number: int) -> ClientRequest:
@@ -67,7 +53,7 @@
     )
 
 
-class KeptConnectionsTest(unittest.IsolatedAsyncioTestCase):
+class IdleConnectionsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         clock = SystemClock()
         self.pool = EmulatedWorkerPool(clock, answer_seconds=0.025)
@@ -97,7 +83,7 @@
         )
 
     async def add_worker(self, name: str) -> Worker:
-        emulated = self.pool.add(name, SERVICE, slots=KEPT_PER_WORKER)
+        emulated = self.pool.add(name, SERVICE, slots=CONNECTIONS_PER_WORKER)
         server = WorkerServer(self.pool, emulated.worker, streams=False)
         self.addAsyncCleanup(server.close)
         proxy = FaultyProxy(server.address)
@@ -109,22 +95,22 @@
             service=SERVICE,
             address=proxy.address,
             zone="zone-1",
-            slots=KEPT_PER_WORKER,
+            slots=CONNECTIONS_PER_WORKER,
             state=emulated.worker.state,
             versions={},
         )
 
-    async def keep_connections(self) -> None:
-        """Let the client keep several connections to each worker."""
+    async def open_idle_connections(self) -> None:
+        """Make the client hold several idle connections to each worker."""
         calls = [
-            self.client.call(worker, self.kept_request(f"{worker.worker_id}-{n}"))
+            self.client.call(worker, self.idle_connection_request(f"{worker.worker_id}-{n}"))
             for worker in self.workers
-            for n in range(KEPT_PER_WORKER)
+            for n in range(CONNECTIONS_PER_WORKER)
         ]
         await asyncio.gather(*calls)
 
     @staticmethod
-    def kept_request(request_id: str) -> WorkerRequest:
+    def idle_connection_request(request_id: str) -> WorkerRequest:
         return WorkerRequest(
             request_id=request_id,
             method="POST",
@@ -149,15 +135,15 @@
             attempts=attempts,
         )
         try:
-            answer = await self.forwarder.forward(route, lookup(number))
+            response = await self.forwarder.forward(route, lookup(number))
         except ForwardingError:
             return False
-        return answer.body == b"body"
+        return response.body == b"body"
 
-    async def test_lookups_are_served_while_kept_connections_are_silent(self) -> None:
+    async def test_lookups_are_served_while_idle_connections_are_stalled(self) -> None:
         for attempts in (1, 2, 3):
             with self.subTest(attempts=attempts):
-                await self.keep_connections()
+                await self.open_idle_connections()
                 for proxy in self.proxies:
                     proxy.silence_open()
                 served = await asyncio.gather(
@@ -167,8 +153,8 @@
 
 
 class StreamsTest(unittest.TestCase):
-    def test_items_go_on_at_once_when_all_their_streams_fall_silent(self) -> None:
-        """Workers that answer at once on a new connection are not paused."""
+    def test_items_resume_when_all_streams_stall(self) -> None:
+        """Workers that respond over a new connection are not paused."""
 
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
@@ -177,7 +163,7 @@
             self.assertEqual(len(world.workers.runs), ITEMS)
             world.workers.silences += 1
             silent_since = world.clock.monotonic()
-            await asyncio.sleep(NOTICED_SECONDS)
+            await asyncio.sleep(DETECTION_SECONDS)
             restarted = world.workers.runs[ITEMS:]
             self.assertEqual(len({run.request_id for run in restarted}), ITEMS)
             for run in restarted:
@@ -186,29 +172,29 @@
 
         play(scenario)
 
-    def test_a_worker_that_does_not_answer_on_a_new_connection_is_paused(self) -> None:
+    def test_worker_unreachable_over_new_connection_is_paused(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec())
             await asyncio.sleep(2.0)
             world.workers["worker-1"].faults.dark = True
             dark_since = world.clock.monotonic()
-            await asyncio.sleep(PAUSED_SECONDS)
+            await asyncio.sleep(PAUSE_DETECTION_SECONDS)
             later = [run for run in world.workers.runs if run.started_at > dark_since]
             self.assertGreater(len(later), 0)
             self.assertNotIn("worker-1", {run.worker_id for run in later})
 
         play(scenario, worker_count=4)
 
-    def test_a_worker_that_answers_but_makes_nothing_is_paused(self) -> None:
-        """Two silences in a row, the second over connections opened after the first."""
+    def test_worker_that_responds_but_sends_no_events_is_paused(self) -> None:
+        """It stalls twice in a row, the second time over new connections."""
 
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec())
             await asyncio.sleep(2.0)
             world.workers["worker-1"].faults.slowdown = 1_000.0
-            await asyncio.sleep(PAUSED_SECONDS)
+            await asyncio.sleep(PAUSE_DETECTION_SECONDS)
             before = len(world.workers.runs)
             await asyncio.sleep(1.0)
             later = world.workers.runs[before:]
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -254,7 +254,7 @@
         return msgspec.structs.replace(
             known,
             relative_latency=stats.relative_time(arrival.at),
-            last_run_at=stats.ran_at,
+            last_run_at=stats.last_run_at,
             has_idle_connection=self.connected_until.get(key, -math.inf) > arrival.at,
         )
 
