--- a/drumbay/serving/node.py
+++ b/drumbay/serving/node.py
@@ -402,14 +402,14 @@
             case Ping():
                 return DoneReply()
             case FollowFeeds():
-                self._usage.take(request.usage)
+                self._usage.merge(request.usage)
                 return await self._feeds.answer(request)
             case CollectPlaces():
                 return PlacesReply(jobs=self.batches.places())
             case CollectUsage():
-                return UsageReply(nodes=self._usage.known())
+                return UsageReply(nodes=self._usage.collected_usage())
             case UsageNotice():
-                self._usage.take(request.usage)
+                self._usage.merge(request.usage)
                 return DoneReply()
             case Notices():
                 self._take_notices(request.notices)
@@ -446,7 +446,7 @@
             await clock.sleep(DRAIN_POLL_SECONDS)
         self.batches.leave()
         watchers = self._peer_directory.ranking.watchers
-        await self._usage.tell(
+        await self._usage.send_to(
             self._environment.peers, self._peer_directory.others_responsive(watchers)
         )
         await self.close()
--- a/drumbay/usage/__init__.py
+++ b/drumbay/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Usage by tenant and window: counted at each node, collected by few, reported by the leader."""
+"""Request counts by tenant and time window, collected from the nodes and reported by the leader."""
--- a/drumbay/usage/collector.py
+++ b/drumbay/usage/collector.py
@@ -1,4 +1,4 @@
-"""Merges what nodes have counted. The order and the repetition of reports do not matter."""
+"""Merges the counts of all nodes; the order and repetition of reports do not matter."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable
@@ -10,91 +10,93 @@
 from drumbay.usage.records import NodeUsage, WindowCounts, WindowNumber
 
 
-class _Reporter(msgspec.Struct, frozen=True):
+class _Process(msgspec.Struct, frozen=True):
     """One process of a node."""
 
     address: NetworkAddress
     boot: str
 
 
-class _Reported(msgspec.Struct, kw_only=True):
-    """All that one process has told."""
+class _ProcessUsage(msgspec.Struct, kw_only=True):
+    """The counts received from one process."""
 
     complete_until: float
     windows: dict[WindowNumber, dict[TenantName, int]]
 
 
 class UsageCollector:
-    """Counts by process: a process's counts only grow, so the largest one told is the newest."""
+    """Merges counts per process. They only grow, so the largest one received is the newest."""
 
     def __init__(self) -> None:
-        """Know nothing."""
-        self._reported: dict[_Reporter, _Reported] = {}
-        self._oldest = WindowNumber(0)
-
-    def take(self, usage: NodeUsage) -> None:
-        """Merge what a node tells, or what another collector heard of it."""
-        reporter = _Reporter(usage.address, usage.boot)
-        known = self._reported.setdefault(
-            reporter, _Reported(complete_until=usage.complete_until, windows={})
+        """Create an empty collector."""
+        self._usage_by_process: dict[_Process, _ProcessUsage] = {}
+        self._oldest_window = WindowNumber(0)
+
+    def merge(self, usage: NodeUsage) -> None:
+        """Merge the counts of one process, received from it or from another collector."""
+        process = _Process(usage.address, usage.boot)
+        merged_usage = self._usage_by_process.setdefault(
+            process, _ProcessUsage(complete_until=usage.complete_until, windows={})
         )
-        known.complete_until = max(known.complete_until, usage.complete_until)
-        for told in usage.windows:
-            if told.window < self._oldest:
+        merged_usage.complete_until = max(merged_usage.complete_until, usage.complete_until)
+        for window_counts in usage.windows:
+            if window_counts.window < self._oldest_window:
                 continue
-            counts = known.windows.setdefault(told.window, {})
-            for tenant, count in told.counts.items():
+            counts = merged_usage.windows.setdefault(window_counts.window, {})
+            for tenant, count in window_counts.counts.items():
                 counts[tenant] = max(counts.get(tenant, 0), count)
 
-    def take_all(self, usages: Iterable[NodeUsage]) -> None:
-        """Merge what several nodes tell."""
+    def merge_all(self, usages: Iterable[NodeUsage]) -> None:
+        """Merge the counts of several processes."""
         for usage in usages:
-            self.take(usage)
+            self.merge(usage)
 
     def counts(self, window: WindowNumber) -> dict[TenantName, int]:
         """Return the counts of a window, summed over all processes."""
         total: Counter[TenantName] = Counter()
-        for reported in self._reported.values():
-            total.update(reported.windows.get(window, {}))
+        for process_usage in self._usage_by_process.values():
+            total.update(process_usage.windows.get(window, {}))
         return dict(total)
 
-    def missing(
+    def incomplete_nodes(
         self, nodes: Collection[NetworkAddress], until: float
     ) -> tuple[NetworkAddress, ...]:
-        """Return the nodes that have not told yet of everything before a time."""
-        told = {
-            reporter.address
-            for reporter, reported in self._reported.items()
-            if reported.complete_until >= until
+        """Return the nodes whose counts up to a time are not complete yet."""
+        complete = {
+            process.address
+            for process, process_usage in self._usage_by_process.items()
+            if process_usage.complete_until >= until
         }
-        return tuple(address for address in nodes if address not in told)
-
-    def forget_before(self, window: WindowNumber) -> None:
-        """Drop the windows before one; what is told of them later is passed over."""
-        self._oldest = max(self._oldest, window)
-        for reported in self._reported.values():
-            for old in [number for number in reported.windows if number < self._oldest]:
-                del reported.windows[old]
-
-    def forget_silent(self, before: float) -> None:
-        """Drop processes that have counted nothing that is kept and were last complete before."""
-        self._reported = {
-            reporter: reported
-            for reporter, reported in self._reported.items()
-            if reported.windows or reported.complete_until >= before
+        return tuple(address for address in nodes if address not in complete)
+
+    def discard_before(self, window: WindowNumber) -> None:
+        """Discard the windows before ``window`` and ignore later reports of them."""
+        self._oldest_window = max(self._oldest_window, window)
+        for process_usage in self._usage_by_process.values():
+            for outdated in [
+                number for number in process_usage.windows if number < self._oldest_window
+            ]:
+                del process_usage.windows[outdated]
+
+    def discard_inactive(self, before: float) -> None:
+        """Discard processes without stored counts whose last report is older than ``before``."""
+        self._usage_by_process = {
+            process: process_usage
+            for process, process_usage in self._usage_by_process.items()
+            if process_usage.windows or process_usage.complete_until >= before
         }
 
     def snapshot(self) -> tuple[NodeUsage, ...]:
-        """Return everything, for another collector."""
+        """Return everything, to be merged by another collector."""
         return tuple(
             NodeUsage(
-                address=reporter.address,
-                boot=reporter.boot,
-                complete_until=reported.complete_until,
+                address=process.address,
+                boot=process.boot,
+                complete_until=process_usage.complete_until,
                 windows=tuple(
                     WindowCounts(window=window, counts=dict(counts))
-                    for window, counts in sorted(reported.windows.items())
+                    for window, counts in sorted(process_usage.windows.items())
                 ),
             )
-            for reporter, reported in self._reported.items()
+            for process, process_usage in self._usage_by_process.items()
         )
--- a/drumbay/usage/ledger.py
+++ b/drumbay/usage/ledger.py
@@ -1,7 +1,8 @@
-"""Usage in the key-value store: counts on their way, and the one report of each window.
+"""Usage data in the key-value store: collected counts and the reports of windows.
 
-A window's report is written once, under the fence of its writer, before the platform is told. A
-successor repeats exactly what stands there, so that no window is ever reported with two counts.
+A window's report is written once, guarded by the writer's fencing token, before it is sent to the
+platform. A new leader sends exactly the stored report, so that a window is never reported with two
+different counts.
 """
 
 import msgspec
@@ -13,8 +14,8 @@
 PREFIX = "drumbay/usage/"
 COLLECTED_KEY = f"{PREFIX}collected"
 REPORT_PREFIX = f"{PREFIX}reports/"
-KEPT_REPORTS = 12
-"""Reports that stay: a successor repeats those that may not have arrived, one or two as a rule."""
+RETAINED_REPORTS = 12
+"""Reports that stay stored; a new leader resends those that may not have been delivered."""
 
 ABSENT = Revision(0)
 
@@ -22,14 +23,14 @@
 
 
 class CollectedUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """Counts of windows that are not reported yet, and the last window that surely is."""
+    """Counts of windows that are not reported yet, and the last window known to be delivered."""
 
     delivered: WindowNumber
     nodes: tuple[NodeUsage, ...]
 
 
 class StoredUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """All that the store holds."""
+    """Contents of the store."""
 
     collected: CollectedUsage | None
     reports: tuple[WindowCounts, ...]
@@ -40,18 +41,18 @@
 
 
 class UsageLedger:
-    """Reads and writes usage; every method may raise ``KeyValueError``."""
+    """Reads and writes usage data; every method may raise ``KeyValueError``."""
 
     def __init__(self, store: KeyValueStore) -> None:
         """Use a key-value store."""
         self._store = store
 
     async def read(self) -> StoredUsage:
-        """Return what is stored, reports in the order of their windows."""
+        """Return the stored data, reports ordered by window."""
         collected: CollectedUsage | None = None
         reports: list[WindowCounts] = []
-        found = await self._store.range_prefix(PREFIX)
-        for item in found.items:
+        result = await self._store.range_prefix(PREFIX)
+        for item in result.items:
             if item.key == COLLECTED_KEY:
                 collected = _collected_decoder.decode(item.value)
             elif item.key.startswith(REPORT_PREFIX):
@@ -59,25 +60,25 @@
         reports.sort(key=lambda report: report.window)
         return StoredUsage(collected=collected, reports=tuple(reports))
 
-    async def decide(self, report: WindowCounts, guard: ModRevisionIs) -> bool:
-        """Write the one report of a window; return whether it was written.
+    async def write_report(self, report: WindowCounts, guard: ModRevisionIs) -> bool:
+        """Write the report of a window unless it exists; return whether it was written.
 
         Args:
             report: The window's counts.
-            guard: Holds while the writer leads.
+            guard: Holds while the writer is the leader.
         """
         key = _report_key(report.window)
         outcome = await self._store.transact(
             (guard, ModRevisionIs(key=key, mod_revision=ABSENT)),
             (
                 Put(key=key, value=_encoder.encode(report)),
-                Delete(key=_report_key(WindowNumber(report.window - KEPT_REPORTS))),
+                Delete(key=_report_key(WindowNumber(report.window - RETAINED_REPORTS))),
             ),
         )
         return outcome.succeeded
 
-    async def save(self, collected: CollectedUsage, guard: ModRevisionIs) -> bool:
-        """Keep the counts on their way; return whether they were written."""
+    async def save_collected(self, collected: CollectedUsage, guard: ModRevisionIs) -> bool:
+        """Save the collected counts; return whether they were written."""
         outcome = await self._store.transact(
             (guard,), (Put(key=COLLECTED_KEY, value=_encoder.encode(collected)),)
         )
--- a/drumbay/usage/reporter.py
+++ b/drumbay/usage/reporter.py
@@ -1,4 +1,4 @@
-"""Reports usage to the platform while this node leads."""
+"""Sends usage reports to the platform while this node is the leader."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -23,27 +23,25 @@
 from drumbay.usage.window_clock import WindowClock
 
 TICK_SECONDS = 0.25
-COLLECT_SECONDS = 1.0
-"""A node that is killed takes with it what nobody has fetched; nodes that follow a watcher tell it
-their counts about as often."""
+COLLECT_INTERVAL_SECONDS = 1.0
+"""Interval at which counts are fetched; limits what is lost if a node is killed."""
 
-ASK_NODES_AFTER_SECONDS = 2.0
-"""So long after the end of a window nodes that are still missing are asked themselves: they follow
-nobody just now, or a watcher that died."""
+QUERY_NODES_AFTER_SECONDS = 2.0
+"""Time after the end of a window when nodes with incomplete counts are queried directly."""
 
-SAVE_SECONDS = 2.0
-"""Counts that are lost if every process is killed at once are at most so old. Each save is a priced
-call."""
+SAVE_INTERVAL_SECONDS = 2.0
+"""Interval at which collected counts are saved; limits what is lost if all processes are killed.
+Each save is a billed call."""
 
-CALL_SECONDS = 0.5
+CALL_TIMEOUT_SECONDS = 0.5
 RETRY_SECONDS = 0.5
-"""Pause after a call that the platform did not accept."""
+"""Pause after a report that the platform did not accept."""
 
 
-class _Lead(msgspec.Struct, kw_only=True):
-    """What this node does under one fence.
+class _Term(msgspec.Struct, kw_only=True):
+    """State of one leadership term.
 
-    ``undelivered`` are reports that are fixed and not surely accepted, oldest first.
+    ``undelivered`` are final reports that the platform may not have accepted, oldest first.
     """
 
     fence: Fence
@@ -52,11 +50,11 @@
     undelivered: list[WindowCounts]
     collected_at: float = float("-inf")
     saved_at: float = float("-inf")
-    not_before: float = float("-inf")
+    retry_at: float = float("-inf")
 
 
 class UsageReporter:
-    """Collects, fixes and delivers one report per window."""
+    """Collects, finalizes and delivers one report per window."""
 
     def __init__(
         self,
@@ -71,23 +69,23 @@
         directory: PeerDirectory,
         holder: str,
         metrics: ServingMetrics,
-        note_own: Callable[[], None],
+        merge_own: Callable[[], None],
     ) -> None:
-        """Create a reporter that does not lead.
+        """Create an inactive reporter.
 
         Args:
             clock: Time.
-            window_clock: Time of day for windows.
-            schedule: When reports are fixed.
-            collector: What nodes have told this one.
-            ledger: What is kept in the store.
-            leader: Says whether this node holds the duty.
-            duties: The platform.
+            window_clock: Wall clock time for windows.
+            schedule: When reports are finalized.
+            collector: Counts received from the nodes.
+            ledger: Usage data in the store.
+            leader: Tells whether this node is the leader.
+            duties: Client of the platform.
             peers: Calls to other nodes.
             directory: The nodes.
-            holder: This machine, as the platform knows it.
+            holder: Name of this machine at the platform.
             metrics: Counts reports.
-            note_own: Takes this node's own counts into the collector.
+            merge_own: Merges this node's own counts into the collector.
         """
         self._clock = clock
         self._window_clock = window_clock
@@ -100,8 +98,8 @@
         self._directory = directory
         self._holder = holder
         self._metrics = metrics
-        self._note_own = note_own
-        self._lead: _Lead | None = None
+        self._merge_own = merge_own
+        self._term: _Term | None = None
 
     async def run(self) -> None:
         """Report until cancelled."""
@@ -109,123 +107,123 @@
             await self._clock.sleep(TICK_SECONDS)
             fence = self._leader.duty_fence(self._clock.monotonic())
             if fence is None:
-                self._lead = None
+                self._term = None
                 continue
             try:
-                await self._advance(fence)
+                await self._run_cycle(fence)
             except KeyValueError as error:
-                # A write may have been carried out: the store says what stands.
+                # The write may have succeeded: start again from the store.
                 log_event("usage_not_stored", level="WARNING", error=error.code, fence=fence)
-                self._lead = None
-
-    async def _advance(self, fence: Fence) -> None:
-        lead = self._lead
-        if lead is None or lead.fence != fence:
-            lead = self._lead = await self._take_up(fence)
-        self._note_own()
-        await self._collect(lead)
-        if not await self._fix_reports(lead) or not await self._save(lead):
-            # Another node leads, or an earlier write of this one was carried out.
-            self._lead = None
+                self._term = None
+
+    async def _run_cycle(self, fence: Fence) -> None:
+        term = self._term
+        if term is None or term.fence != fence:
+            term = self._term = await self._resume(fence)
+        self._merge_own()
+        await self._collect(term)
+        if not await self._finalize_reports(term) or not await self._save(term):
+            # Another node is the leader, or an earlier write has succeeded.
+            self._term = None
             return
-        await self._deliver(lead)
+        await self._deliver(term)
 
-    async def _take_up(self, fence: Fence) -> _Lead:
-        """Go on from what the store holds."""
+    async def _resume(self, fence: Fence) -> _Term:
+        """Resume from the data in the store."""
         stored = await self._ledger.read()
         collected = stored.collected
         if collected is not None:
-            self._collector.take_all(collected.nodes)
-        last = stored.reports[-1].window if stored.reports else None
-        next_window = self._schedule.first_after(last, self._window_clock.now())
-        if last is not None and next_window > last + 1:
+            self._collector.merge_all(collected.nodes)
+        last_window = stored.reports[-1].window if stored.reports else None
+        next_window = self._schedule.window_to_report(last_window, self._window_clock.now())
+        if last_window is not None and next_window > last_window + 1:
             log_event(
                 "usage_windows_skipped",
                 level="WARNING",
-                first=last + 1,
-                count=next_window - last - 1,
+                first=last_window + 1,
+                count=next_window - last_window - 1,
             )
         delivered = collected.delivered if collected is not None else WindowNumber(-1)
         undelivered = [report for report in stored.reports if report.window > delivered]
         log_event(
             "usage_taken_up", fence=fence, next_window=next_window, undelivered=len(undelivered)
         )
-        return _Lead(
+        return _Term(
             fence=fence, next_window=next_window, delivered=delivered, undelivered=undelivered
         )
 
     # Collecting
 
-    async def _collect(self, lead: _Lead) -> None:
-        """Fetch what the nodes hold that watch for others, and what missing nodes have counted."""
+    async def _collect(self, term: _Term) -> None:
+        """Fetch counts from the watchers and, after a while, from incomplete nodes."""
         now = self._clock.monotonic()
-        if now - lead.collected_at < COLLECT_SECONDS:
+        if now - term.collected_at < COLLECT_INTERVAL_SECONDS:
             return
-        lead.collected_at = now
-        asked = set(self._directory.ranking.watchers)
-        end = self._schedule.length.end_of(lead.next_window)
-        if self._window_clock.now() - end >= ASK_NODES_AFTER_SECONDS:
-            asked.update(self._collector.missing(self._directory.ranking.nodes, end))
-        await self._ask(self._directory.others_responsive(asked))
+        term.collected_at = now
+        targets = set(self._directory.ranking.watchers)
+        end = self._schedule.length.end_of(term.next_window)
+        if self._window_clock.now() - end >= QUERY_NODES_AFTER_SECONDS:
+            targets.update(self._collector.incomplete_nodes(self._directory.ranking.nodes, end))
+        await self._query(self._directory.others_responsive(targets))
 
-    async def _ask(self, addresses: Collection[NetworkAddress]) -> None:
-        await asyncio.gather(*(self._ask_one(address) for address in addresses))
+    async def _query(self, addresses: Collection[NetworkAddress]) -> None:
+        await asyncio.gather(*(self._query_node(address) for address in addresses))
 
-    async def _ask_one(self, address: NetworkAddress) -> None:
+    async def _query_node(self, address: NetworkAddress) -> None:
         try:
-            reply = await self._peers.call(address, CollectUsage(), CALL_SECONDS)
+            reply = await self._peers.call(address, CollectUsage(), CALL_TIMEOUT_SECONDS)
         except PeerUnavailableError as error:
             self._directory.note_silent(address)
             log_event("usage_not_collected", level="DEBUG", node=str(address), error=error.code)
             return
         if isinstance(reply, UsageReply):
-            self._collector.take_all(reply.nodes)
+            self._collector.merge_all(reply.nodes)
 
-    # Fixing
+    # Finalizing
 
-    async def _fix_reports(self, lead: _Lead) -> bool:
-        """Fix the reports of the windows that are over; return whether this node may go on."""
+    async def _finalize_reports(self, term: _Term) -> bool:
+        """Finalize reports of completed windows; return whether this node is still the leader."""
         while True:
-            window = lead.next_window
+            window = term.next_window
             now = self._window_clock.now()
             end = self._schedule.length.end_of(window)
-            missing = self._collector.missing(self._directory.ranking.nodes, end)
-            if not self._schedule.may_fix(window, now, is_complete=not missing):
+            incomplete_nodes = self._collector.incomplete_nodes(self._directory.ranking.nodes, end)
+            if not self._schedule.can_finalize(window, now, is_complete=not incomplete_nodes):
                 return True
             report = WindowCounts(window=window, counts=self._collector.counts(window))
-            if not await self._ledger.decide(report, self._leader.guard(lead.fence)):
+            if not await self._ledger.write_report(report, self._leader.guard(term.fence)):
                 return False
             log_event(
                 "usage_fixed",
                 window=window,
                 requests=sum(report.counts.values()),
                 tenants=len(report.counts),
-                missing_nodes=len(missing),
+                missing_nodes=len(incomplete_nodes),
                 waited_seconds=round(now - end, 3),
             )
-            lead.undelivered.append(report)
-            lead.next_window = WindowNumber(window + 1)
-            self._collector.forget_before(lead.next_window)
+            term.undelivered.append(report)
+            term.next_window = WindowNumber(window + 1)
+            self._collector.discard_before(term.next_window)
 
-    async def _save(self, lead: _Lead) -> bool:
-        """Keep the counts on their way from time to time; return whether this node may go on."""
+    async def _save(self, term: _Term) -> bool:
+        """Save collected counts periodically; return whether this node is still the leader."""
         now = self._clock.monotonic()
-        if now - lead.saved_at < SAVE_SECONDS:
+        if now - term.saved_at < SAVE_INTERVAL_SECONDS:
             return True
-        lead.saved_at = now
-        self._collector.forget_silent(self._schedule.length.end_of(lead.next_window))
-        collected = CollectedUsage(delivered=lead.delivered, nodes=self._collector.snapshot())
-        return await self._ledger.save(collected, self._leader.guard(lead.fence))
+        term.saved_at = now
+        self._collector.discard_inactive(self._schedule.length.end_of(term.next_window))
+        collected = CollectedUsage(delivered=term.delivered, nodes=self._collector.snapshot())
+        return await self._ledger.save_collected(collected, self._leader.guard(term.fence))
 
     # Delivering
 
-    async def _deliver(self, lead: _Lead) -> None:
-        """Tell the platform what is fixed, in order, until a call is not accepted."""
-        while lead.undelivered and self._clock.monotonic() >= lead.not_before:
-            if self._leader.duty_fence(self._clock.monotonic()) != lead.fence:
+    async def _deliver(self, term: _Term) -> None:
+        """Send final reports to the platform in order, until one is not accepted."""
+        while term.undelivered and self._clock.monotonic() >= term.retry_at:
+            if self._leader.duty_fence(self._clock.monotonic()) != term.fence:
                 return
-            report = lead.undelivered[0]
-            token = DutyToken(holder=self._holder, fence=lead.fence)
+            report = term.undelivered[0]
+            token = DutyToken(holder=self._holder, fence=term.fence)
             outcome = await self._duties.report_usage(
                 token, UsageReport(window=report.window, counts=report.counts)
             )
@@ -233,7 +231,7 @@
             log_event(
                 "usage_reported",
                 window=report.window,
-                fence=lead.fence,
+                fence=term.fence,
                 outcome=outcome,
                 late_seconds=round(self._lateness(report.window), 3),
             )
@@ -241,12 +239,12 @@
                 self._leader.step_down("fenced")
                 return
             if outcome is not DutyOutcome.ACCEPTED:
-                lead.not_before = self._clock.monotonic() + RETRY_SECONDS
+                term.retry_at = self._clock.monotonic() + RETRY_SECONDS
                 return
-            lead.undelivered.pop(0)
-            lead.delivered = report.window
+            term.undelivered.pop(0)
+            term.delivered = report.window
 
     def _lateness(self, window: WindowNumber) -> float:
-        """Return how long ago a window's report fell due; negative before that."""
+        """Return the time since a window's report was due; negative before that."""
         due_at = self._schedule.length.end_of(window) + self._schedule.due_seconds
         return self._window_clock.now() - due_at
--- a/drumbay/usage/schedule.py
+++ b/drumbay/usage/schedule.py
@@ -1,45 +1,43 @@
-"""Pure decision: when a window's report is to be fixed."""
+"""Decides when a window's report is finalized."""
 
 import msgspec
 
-from drumbay.usage.counter import KEPT_SECONDS
+from drumbay.usage.counter import RETENTION_SECONDS
 from drumbay.usage.records import WindowLength, WindowNumber
 
-DECISION_SHARE = 0.6
-"""A report that still lacks nodes is fixed once this share of the time until it is due has passed.
-The rest is for a change of the leader, which takes up to half of it, and for calls that are
-repeated."""
+INCOMPLETE_FINALIZE_SHARE = 0.6
+"""A report with incomplete counts is finalized after this share of the time until it is due. The
+rest allows for a change of the leader and for retries."""
 
-SETTLE_SECONDS = 0.3
-"""Clocks of machines differ by a little: a window is not fixed in the moment in which it ends
-here."""
+CLOCK_SKEW_SECONDS = 0.3
+"""Tolerance for clock skew between machines."""
 
 
 class ReportSchedule(msgspec.Struct, frozen=True, kw_only=True):
-    """Times of reports.
+    """Schedule of reports.
 
     Attributes:
         length: Length of a window.
-        due_seconds: A report falls due so long after the end of its window.
+        due_seconds: Time after the end of a window when its report is due.
     """
 
     length: WindowLength
     due_seconds: float
 
-    def may_fix(self, window: WindowNumber, now: float, *, is_complete: bool) -> bool:
-        """Return whether a window's report is to be fixed now, at a time of day."""
-        waited = now - self.length.end_of(window)
+    def can_finalize(self, window: WindowNumber, now: float, *, is_complete: bool) -> bool:
+        """Return whether a window's report may be finalized at wall clock time ``now``."""
+        elapsed_seconds = now - self.length.end_of(window)
         if is_complete:
-            return waited >= SETTLE_SECONDS
-        return waited >= DECISION_SHARE * self.due_seconds
+            return elapsed_seconds >= CLOCK_SKEW_SECONDS
+        return elapsed_seconds >= INCOMPLETE_FINALIZE_SHARE * self.due_seconds
 
-    def first_after(self, last: WindowNumber | None, now: float) -> WindowNumber:
-        """Return the window to report next.
+    def window_to_report(self, last_window: WindowNumber | None, now: float) -> WindowNumber:
+        """Return the next window to report.
 
-        The first window ever is the one that runs now. After a long stop, windows are passed over
-        whose counts no node has kept: a report of nothing would be false.
+        The first one is the current window. After a long outage, windows are skipped whose counts
+        have been discarded, since a report without counts would be wrong.
         """
-        if last is None:
+        if last_window is None:
             return self.length.number_at(now)
-        oldest_kept = self.length.number_at(now - KEPT_SECONDS)
-        return max(WindowNumber(last + 1), oldest_kept)
+        oldest_retained = self.length.number_at(now - RETENTION_SECONDS)
+        return max(WindowNumber(last_window + 1), oldest_retained)
--- a/drumbay/usage/service.py
+++ b/drumbay/usage/service.py
@@ -1,4 +1,4 @@
-"""Usage at one node: what it counts, what others tell it, and the reports while it leads."""
+"""Usage counting of one node, and reporting while it is the leader."""
 
 import asyncio
 from collections.abc import Iterable
@@ -24,15 +24,15 @@
 from drumbay.usage.schedule import ReportSchedule
 from drumbay.usage.window_clock import WindowClock
 
-NOTICE_SECONDS = 0.3
+NOTICE_TIMEOUT_SECONDS = 0.3
 
 
 class UsageSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What an operator asks of usage reports.
+    """Settings of usage reports.
 
     Attributes:
         window_seconds: Length of a window.
-        due_seconds: A window's report falls due so long after its end.
+        due_seconds: Time after the end of a window when its report is due.
     """
 
     window_seconds: float = 5.0
@@ -40,15 +40,15 @@
 
 
 class UsageService:
-    """Counts always; collects and reports where reports are asked for."""
+    """Counts requests, and collects and reports the counts if reports are enabled."""
 
     def __init__(
         self, clock: Clock, settings: UsageSettings | None, identity: ServiceIdentity
     ) -> None:
-        """Create a service; without settings nothing is told to anybody."""
+        """Create a service; without ``settings`` reports are disabled."""
         self._clock = clock
         self._settings = settings or UsageSettings()
-        self._is_reported = settings is not None
+        self._is_enabled = settings is not None
         self._window_clock = WindowClock(clock)
         self._length = WindowLength(self._settings.window_seconds)
         self.counter = UsageCounter(
@@ -57,29 +57,29 @@
         self.collector = UsageCollector()
 
     def own_report(self) -> NodeUsage | None:
-        """Return what this node has counted; ``None`` where no reports are asked for."""
-        return self.counter.report() if self._is_reported else None
+        """Return this node's counts; ``None`` if reports are disabled."""
+        return self.counter.report() if self._is_enabled else None
 
-    def take(self, usage: NodeUsage | None) -> None:
-        """Take what another node has counted."""
+    def merge(self, usage: NodeUsage | None) -> None:
+        """Merge the counts of another node."""
         if usage is not None:
-            self.collector.take(usage)
+            self.collector.merge(usage)
 
-    def known(self) -> tuple[NodeUsage, ...]:
-        """Return all that this node knows, its own counts included."""
-        self._note_own()
+    def collected_usage(self) -> tuple[NodeUsage, ...]:
+        """Return all counts known to this node, including its own."""
+        self._merge_own()
         return self.collector.snapshot()
 
-    def _note_own(self) -> None:
-        self.take(self.own_report())
+    def _merge_own(self) -> None:
+        self.merge(self.own_report())
 
-    async def tell(self, peers: PeerClient, addresses: Iterable[NetworkAddress]) -> None:
-        """Tell some nodes what this one has counted, before its process ends."""
+    async def send_to(self, peers: PeerClient, addresses: Iterable[NetworkAddress]) -> None:
+        """Send this node's counts to other nodes, before its process ends."""
         usage = self.own_report()
         if usage is None:
             return
         notice = UsageNotice(usage=usage)
-        await asyncio.gather(*(_tell(peers, address, notice) for address in addresses))
+        await asyncio.gather(*(_send(peers, address, notice) for address in addresses))
 
     async def run(
         self,
@@ -91,7 +91,7 @@
         holder: str,
         metrics: ServingMetrics,
     ) -> None:
-        """Report to the platform while this node leads, until cancelled."""
+        """Report to the platform while this node is the leader, until cancelled."""
         reporter = UsageReporter(
             self._clock,
             self._window_clock,
@@ -104,13 +104,13 @@
             directory,
             holder,
             metrics,
-            self._note_own,
+            self._merge_own,
         )
         await reporter.run()
 
 
-async def _tell(peers: PeerClient, address: NetworkAddress, notice: UsageNotice) -> None:
+async def _send(peers: PeerClient, address: NetworkAddress, notice: UsageNotice) -> None:
     try:
-        await peers.call(address, notice, NOTICE_SECONDS)
+        await peers.call(address, notice, NOTICE_TIMEOUT_SECONDS)
     except PeerUnavailableError as error:
         log_event("usage_not_told", level="WARNING", node=str(address), error=error.code)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage reports: what is counted, who collects it, and one report a window over every fault."""
+"""Tests of usage counting, collection and reporting, including failures."""
 
 import asyncio
 import unittest
@@ -51,72 +51,72 @@
     )
 
 
-class SteppedClock:
-    """Time that a test sets."""
+class AdjustableClock:
+    """A clock set by the test."""
 
     def __init__(self) -> None:
-        self.steady = 100.0
-        self.step = 0.0
+        self.monotonic_seconds = 100.0
+        self.wall_offset = 0.0
 
     def monotonic(self) -> float:
-        return self.steady
+        return self.monotonic_seconds
 
     def wall(self) -> float:
-        return 1_000.0 + self.steady + self.step
+        return 1_000.0 + self.monotonic_seconds + self.wall_offset
 
 
 class WindowClockTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock = SteppedClock()
+        self.clock = AdjustableClock()
         self.window_clock = WindowClock(self.clock)  # type: ignore[arg-type]
 
-    def test_a_jump_and_back_changes_nothing(self) -> None:
-        for step in (2.0, 2.0, 0.0, -3.0, 0.0):
-            self.clock.step = step
-            self.clock.steady += 4.0
-            self.assertAlmostEqual(self.window_clock.now(), 1_000.0 + self.clock.steady)
+    def test_temporary_jump_is_ignored(self) -> None:
+        for wall_offset in (2.0, 2.0, 0.0, -3.0, 0.0):
+            self.clock.wall_offset = wall_offset
+            self.clock.monotonic_seconds += 4.0
+            self.assertAlmostEqual(self.window_clock.now(), 1_000.0 + self.clock.monotonic_seconds)
 
-    def test_a_jump_that_stays_is_taken_over(self) -> None:
-        self.clock.step = 2.0
+    def test_lasting_jump_is_accepted(self) -> None:
+        self.clock.wall_offset = 2.0
         self.window_clock.now()
-        self.clock.steady += JUMP_HOLD_SECONDS + 1
+        self.clock.monotonic_seconds += JUMP_HOLD_SECONDS + 1
         self.assertAlmostEqual(self.window_clock.now(), self.clock.wall())
 
     def test_drift_is_followed(self) -> None:
         for _ in range(100):
-            self.clock.step += 0.01
-            self.clock.steady += 1.0
+            self.clock.wall_offset += 0.01
+            self.clock.monotonic_seconds += 1.0
             self.window_clock.now()
         self.assertAlmostEqual(self.window_clock.now(), self.clock.wall())
 
 
 class CounterTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock = SteppedClock()
+        self.clock = AdjustableClock()
         window_clock = WindowClock(self.clock)  # type: ignore[arg-type]
         self.counter = UsageCounter(window_clock, LENGTH, ADDRESS, "boot")
 
-    def test_a_request_counts_in_the_window_in_which_its_run_began(self) -> None:
+    def test_request_counts_in_window_of_first_run(self) -> None:
         ticket = self.counter.open()
-        began_at = self.clock.steady + 4.9
-        self.clock.steady += 6.0
+        began_at = self.clock.monotonic_seconds + 4.9
+        self.clock.monotonic_seconds += 6.0
         self.counter.close(ticket, NORTH, began_at)
         refused = self.counter.open()
         self.counter.close(refused, NORTH, None)
         (counted,) = self.counter.report().windows
         self.assertEqual((counted.window, counted.counts), (220, {NORTH: 1}))
 
-    def test_a_report_says_from_when_on_it_may_lack_requests(self) -> None:
+    def test_report_is_complete_until_oldest_open_request(self) -> None:
         ticket = self.counter.open()
-        self.clock.steady += 2.0
+        self.clock.monotonic_seconds += 2.0
         self.assertEqual(self.counter.report().complete_until, 1_100.0)
         self.counter.close(ticket, NORTH, None)
         self.assertEqual(self.counter.report().complete_until, 1_102.0)
 
 
 def usage(boot: str, complete_until: float, **counts: int) -> NodeUsage:
-    told = {TenantName(tenant): count for tenant, count in counts.items()}
-    windows = (WindowCounts(window=WindowNumber(7), counts=told),) if told else ()
+    window_counts = {TenantName(tenant): count for tenant, count in counts.items()}
+    windows = (WindowCounts(window=WindowNumber(7), counts=window_counts),) if window_counts else ()
     return NodeUsage(address=ADDRESS, boot=boot, complete_until=complete_until, windows=windows)
 
 
@@ -129,52 +129,54 @@
 
     @given(st.permutations(REPORTS), st.lists(st.sampled_from(REPORTS)))
     def test_order_and_repetition_do_not_matter(
-        self, reports: list[NodeUsage], again: list[NodeUsage]
+        self, reports: list[NodeUsage], repeated: list[NodeUsage]
     ) -> None:
         collector = UsageCollector()
-        collector.take_all([*reports, *again])
+        collector.merge_all([*reports, *repeated])
         other = UsageCollector()
-        other.take_all(collector.snapshot())
+        other.merge_all(collector.snapshot())
         for found in (collector, other):
             self.assertEqual(found.counts(WindowNumber(7)), {NORTH: 5, SOUTH: 1})
 
-    def test_a_node_is_missing_until_it_has_told_of_everything(self) -> None:
+    def test_node_is_incomplete_until_it_reports_whole_window(self) -> None:
         collector = UsageCollector()
-        self.assertEqual(collector.missing([ADDRESS], 40.0), (ADDRESS,))
-        collector.take(usage("a", 39.9, north=1))
-        self.assertEqual(collector.missing([ADDRESS], 40.0), (ADDRESS,))
-        collector.take(usage("a", 40.0, north=1))
-        self.assertEqual(collector.missing([ADDRESS], 40.0), ())
+        self.assertEqual(collector.incomplete_nodes([ADDRESS], 40.0), (ADDRESS,))
+        collector.merge(usage("a", 39.9, north=1))
+        self.assertEqual(collector.incomplete_nodes([ADDRESS], 40.0), (ADDRESS,))
+        collector.merge(usage("a", 40.0, north=1))
+        self.assertEqual(collector.incomplete_nodes([ADDRESS], 40.0), ())
 
-    def test_what_is_told_of_a_window_that_is_over_is_passed_over(self) -> None:
+    def test_counts_of_discarded_window_are_ignored(self) -> None:
         collector = UsageCollector()
-        collector.forget_before(WindowNumber(8))
-        collector.take(usage("a", 40.0, north=1))
+        collector.discard_before(WindowNumber(8))
+        collector.merge(usage("a", 40.0, north=1))
         self.assertEqual(collector.counts(WindowNumber(7)), {})
 
 
 class ScheduleTest(unittest.TestCase):
     schedule = ReportSchedule(length=LENGTH, due_seconds=10.0)
 
-    def test_missing_nodes_are_waited_for_but_not_until_the_report_is_due(self) -> None:
+    def test_incomplete_report_is_finalized_before_it_is_due(self) -> None:
         window = WindowNumber(7)
-        for waited, is_complete, expected in (
+        for elapsed_seconds, is_complete, expected in (
             (0.1, True, False),
             (0.5, True, True),
             (5.9, False, False),
             (6.1, False, True),
         ):
-            fixed = self.schedule.may_fix(window, 40.0 + waited, is_complete=is_complete)
-            self.assertEqual((waited, fixed), (waited, expected))
+            is_final = self.schedule.can_finalize(
+                window, 40.0 + elapsed_seconds, is_complete=is_complete
+            )
+            self.assertEqual((elapsed_seconds, is_final), (elapsed_seconds, expected))
 
-    def test_windows_follow_each_other_and_unknown_ones_are_passed_over(self) -> None:
-        self.assertEqual(self.schedule.first_after(None, 42.0), 8)
-        self.assertEqual(self.schedule.first_after(WindowNumber(5), 42.0), 6)
-        self.assertEqual(self.schedule.first_after(WindowNumber(5), 1_000.0), 192)
+    def test_windows_without_counts_are_skipped(self) -> None:
+        self.assertEqual(self.schedule.window_to_report(None, 42.0), 8)
+        self.assertEqual(self.schedule.window_to_report(WindowNumber(5), 42.0), 6)
+        self.assertEqual(self.schedule.window_to_report(WindowNumber(5), 1_000.0), 192)
 
 
 class ReportTest(unittest.TestCase):
-    """Whole nodes: each window is reported once, with what began to run in it."""
+    """Tests with several nodes: each window is reported once with the requests started in it."""
 
     async def start(self, world: ServingWorld) -> None:
         for number in range(3):
@@ -184,22 +186,22 @@
             node.lead()
         await asyncio.sleep(1.0)
 
-    async def look_up(self, world: ServingWorld, node: WorldNode, name: str) -> None:
+    async def send_lookup(self, world: ServingWorld, node: WorldNode, name: str) -> None:
         tenant = NORTH if len(world.workers.runs) % 2 else SOUTH
         await node.node.forwarder.forward(ROUTE, lookup(name, tenant))
 
-    async def load(self, world: ServingWorld, seconds: float) -> None:
-        """Let the nodes that are up serve a lookup each half second."""
+    async def generate_load(self, world: ServingWorld, seconds: float) -> None:
+        """Let the running nodes serve a lookup every half second."""
         until = world.clock.monotonic() + seconds
         number = 0
         while world.clock.monotonic() < until:
             up = [node for node in world.nodes if node.address in world.peers.nodes]
             node = world.peers.nodes[up[number % len(up)].address]
-            await self.look_up(world, node, f"r{world.clock.monotonic():.2f}-{number}")
+            await self.send_lookup(world, node, f"r{world.clock.monotonic():.2f}-{number}")
             number += 1
             await asyncio.sleep(0.5)
 
-    def truth(self, world: ServingWorld) -> dict[int, dict[TenantName, int]]:
+    def actual_counts(self, world: ServingWorld) -> dict[int, dict[TenantName, int]]:
         offset = world.clock.wall() - world.clock.monotonic()
         found: dict[int, dict[TenantName, int]] = {}
         for run in world.workers.runs:
@@ -209,14 +211,14 @@
             counts[run.tenant] = counts.get(run.tenant, 0) + 1
         return found
 
-    def check(self, world: ServingWorld, *, lost_windows: int = 0) -> None:
+    def check_reports(self, world: ServingWorld, *, lost_windows: int = 0) -> None:
         duties = world.duties
         self.assertEqual(duties.contradictions, [])
         self.assertFalse(duties.holders_in_turns(TURN_SECONDS))
         now = world.clock.wall()
         due = {
             window: counts
-            for window, counts in self.truth(world).items()
+            for window, counts in self.actual_counts(world).items()
             if LENGTH.end_of(WindowNumber(window)) + 10.0 < now
         }
         wrong = [window for window, counts in due.items() if duties.usage.get(window) != counts]
@@ -226,9 +228,9 @@
     def test_every_window_is_reported_once_and_in_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
-            await self.load(world, 25.0)
+            await self.generate_load(world, 25.0)
             await asyncio.sleep(12.0)
-            self.check(world)
+            self.check_reports(world)
             offset = world.clock.wall() - world.clock.monotonic()
             for call in world.duties.calls:
                 assert call.report is not None
@@ -237,47 +239,47 @@
 
         play(scenario, node_count=3, usage=UsageSettings())
 
-    def test_nodes_that_follow_watchers_are_counted_too(self) -> None:
+    def test_nodes_that_follow_watchers_are_counted(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
-            await self.load(world, 25.0)
+            await self.generate_load(world, 25.0)
             await asyncio.sleep(12.0)
-            self.check(world)
+            self.check_reports(world)
 
         play(scenario, node_count=20, settle_seconds=1.0, usage=UsageSettings())
 
-    def test_a_killed_leader_is_followed_without_a_second_report_or_turns(self) -> None:
+    def test_new_leader_does_not_repeat_reports_or_alternate(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
-            await self.load(world, 9.0)
+            await self.generate_load(world, 9.0)
             leader = next(n for n in world.nodes if n.leader.fence(world.clock.monotonic()))
             await leader.kill()
-            await self.load(world, 25.0)
+            await self.generate_load(world, 25.0)
             await asyncio.sleep(14.0)
-            self.check(world, lost_windows=1)
+            self.check_reports(world, lost_windows=1)
             self.assertEqual(len({call.token.holder for call in world.duties.calls}), 2)
 
         play(scenario, node_count=3, usage=UsageSettings())
 
-    def test_an_outage_of_the_platform_delays_reports_and_loses_none(self) -> None:
+    def test_platform_outage_delays_reports_without_loss(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
             world.duties.silent_late_seconds = 5.0
-            await self.load(world, 9.0)
+            await self.generate_load(world, 9.0)
             world.duties.silent_next = 2
-            await self.load(world, 5.0)
+            await self.generate_load(world, 5.0)
             world.duties.down = True
-            await self.load(world, 6.0)
+            await self.generate_load(world, 6.0)
             world.duties.down = False
             await asyncio.sleep(16.0)
-            self.check(world)
+            self.check_reports(world)
 
         play(scenario, node_count=3, usage=UsageSettings())
 
-    def test_an_outage_of_the_store_with_all_processes_killed_repeats_what_was_fixed(self) -> None:
+    def test_reports_survive_store_outage_with_all_processes_killed(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
-            await self.load(world, 12.0)
+            await self.generate_load(world, 12.0)
             world.model.set_faults(KeyValueFaults(outage=True))
             for node in list(world.nodes):
                 await node.kill()
@@ -287,28 +289,28 @@
                 node.lead()
             await asyncio.sleep(4.0)
             world.model.set_faults(KeyValueFaults())
-            await self.load(world, 12.0)
+            await self.generate_load(world, 12.0)
             await asyncio.sleep(16.0)
-            # The window of the kill: requests of the last seconds stood in no other process.
-            self.check(world, lost_windows=1)
+            # The requests of the last seconds before the kill were known to no other process.
+            self.check_reports(world, lost_windows=1)
 
         play(scenario, node_count=3, usage=UsageSettings())
 
-    def test_a_successor_delivers_what_was_fixed_before(self) -> None:
+    def test_new_leader_delivers_final_reports(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
             world.duties.down = True
-            await self.load(world, 13.0)
+            await self.generate_load(world, 13.0)
             leader = next(n for n in world.nodes if n.leader.fence(world.clock.monotonic()))
             await leader.kill()
             world.duties.down = False
-            await self.load(world, 10.0)
+            await self.generate_load(world, 10.0)
             await asyncio.sleep(14.0)
-            self.check(world, lost_windows=1)
+            self.check_reports(world, lost_windows=1)
 
         play(scenario, node_count=3, usage=UsageSettings())
 
-    def test_a_successor_calls_only_after_a_turn_also_where_fences_are_checked(self) -> None:
+    def test_new_leader_waits_for_a_turn_even_with_fencing(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
             leader = next(n for n in world.nodes if n.leader.fence(world.clock.monotonic()))
@@ -328,15 +330,15 @@
 
         play(scenario, node_count=3, usage=UsageSettings(), workers_check_fences=True)
 
-    def test_a_platform_that_saw_a_higher_fence_ends_the_lead(self) -> None:
+    def test_higher_fence_at_platform_ends_leadership(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
-            await self.load(world, 6.0)
+            await self.generate_load(world, 6.0)
             leader = next(n for n in world.nodes if n.leader.fence(world.clock.monotonic()))
             before = leader.leader.fence(world.clock.monotonic())
             assert before is not None
             world.duties._highest_fence = Fence(before + 1)
-            await self.load(world, 8.0)
+            await self.generate_load(world, 8.0)
             self.assertNotEqual(leader.leader.fence(world.clock.monotonic()), before)
             self.assertEqual(len(world.duties.refused), 1)
 
@@ -344,7 +346,7 @@
 
 
 class ForwarderUsageTest(unittest.TestCase):
-    def test_a_refused_request_is_not_counted(self) -> None:
+    def test_refused_request_is_not_counted(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             worker = world.workers.add("lookup-1", LOOKUPS)
             worker.faults.full = True
