--- a/drumbay/tenants/__init__.py
+++ b/drumbay/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: whose key a request carries, and what a request without a known key is told."""
+"""Tenants, their API keys, and the authentication of requests."""
--- a/drumbay/tenants/access.py
+++ b/drumbay/tenants/access.py
@@ -1,4 +1,4 @@
-"""Pure decision: whether a request may be taken, and for which tenant."""
+"""Authenticates requests by API key."""
 
 from typing import ClassVar
 
@@ -6,18 +6,17 @@
 from drumbay.tenants.records import KeyTable, TenantName
 
 OUTDATED_RETRY_SECONDS = 0.3
-"""When a caller may come back whose key is not known at a node that is behind: the next try reaches
-another node, which needs no time."""
+"""Retry-After for keys unknown to a node that may be outdated; the retry may reach another node."""
 
 
 class UnknownKeyError(DrumbayError):
-    """The request carries no key, or one that no tenant holds; it has not run."""
+    """The request has no API key or an unknown one; it has not run."""
 
     code = "key_unknown"
 
 
 class KeysOutdatedError(RequestFailedError):
-    """The key is not known here, but this node may have missed the configuration that adds it."""
+    """The key is unknown, but this node may have missed the configuration that adds it."""
 
     code = "keys_outdated"
     http_status: ClassVar[int] = 503
@@ -31,24 +30,22 @@
     configuration_age_seconds: float,
     in_force_seconds: float,
 ) -> TenantName | None:
-    """Return the tenant of a request; ``None`` if none is needed.
+    """Return the tenant of a request; ``None`` if no key is needed.
 
-    A refusal of a key is final for its caller. So a node that has not heard of changes for longer
-    than a configuration may take to be in force does not refuse a key that it lacks, and asks the
-    caller to come back instead. It goes on taking the keys that it knows.
+    Clients treat a rejected key as final. A node that may have missed a configuration change
+    therefore asks the client to retry instead of rejecting an unknown key.
 
     Args:
-        keys: Keys of the configuration in force; ``None`` if it names no tenants.
+        keys: Keys of the current configuration; ``None`` if no tenants are configured.
         key: The request's key.
-        needs_key: Whether its route asks for one.
-        configuration_age_seconds: How long ago this node last knew that its configuration was
-            the newest.
-        in_force_seconds: Within this time after its acceptance, a configuration is to be in
-            force at every node.
+        needs_key: Whether its route requires one.
+        configuration_age_seconds: Time since the configuration was last confirmed to be current.
+        in_force_seconds: Time after its acceptance within which every node must have applied a
+            configuration.
 
     Raises:
-        UnknownKeyError: The request is refused for good.
-        KeysOutdatedError: This node cannot tell; another may.
+        UnknownKeyError: The key is invalid.
+        KeysOutdatedError: The configuration may be outdated; another node may know the key.
     """
     if keys is None or not needs_key:
         return None
--- a/drumbay/tenants/records.py
+++ b/drumbay/tenants/records.py
@@ -1,4 +1,4 @@
-"""Tenants and the table of their keys, as a configuration names them."""
+"""Tenants and their API keys, as configured."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
@@ -9,18 +9,18 @@
 TenantName = NewType("TenantName", str)
 
 KeyDigest = NewType("KeyDigest", bytes)
-"""SHA-256 of a key. Keys are compared by it, so that no table, log or dump holds one in clear."""
+"""SHA-256 of a key. Keys are compared by digest so that no table, log or dump contains them."""
 
 
 def digest_of(key: str) -> KeyDigest:
-    """Return the digest under which a key is kept."""
+    """Return the digest of a key."""
     return KeyDigest(hashlib.sha256(key.encode()).digest())
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """One tenant and its keys in one configuration.
+    """A tenant and its API keys.
 
-    ``priority`` ranks its requests in place of their routes' rank; ``None`` leaves that in force.
+    ``priority`` overrides the priority of the route; ``None`` keeps it.
     """
 
     name: TenantName
@@ -29,9 +29,9 @@
 
 
 class KeyTable(msgspec.Struct, frozen=True, kw_only=True):
-    """The tenant of each key of one configuration; built once for it.
+    """Maps the API keys of a configuration to tenants.
 
-    ``priorities`` has the tenants whose requests have a rank of their own.
+    ``priorities`` contains the tenants with a priority of their own.
     """
 
     owners: Mapping[KeyDigest, TenantName]
@@ -39,13 +39,13 @@
 
     @classmethod
     def of(cls, tenants: Iterable[Tenant]) -> "KeyTable":
-        """Build the table of all keys of some tenants."""
-        named = tuple(tenants)
+        """Build the table from the tenants of a configuration."""
+        tenant_list = tuple(tenants)
         return cls(
-            owners={digest: tenant.name for tenant in named for digest in tenant.key_digests},
-            priorities={t.name: t.priority for t in named if t.priority is not None},
+            owners={digest: tenant.name for tenant in tenant_list for digest in tenant.key_digests},
+            priorities={t.name: t.priority for t in tenant_list if t.priority is not None},
         )
 
     def tenant_of(self, key: str) -> TenantName | None:
-        """Return the tenant that holds a key, ``None`` if none does."""
+        """Return the tenant that owns a key, ``None`` if there is none."""
         return self.owners.get(digest_of(key))
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -1,4 +1,4 @@
-"""Keys over sockets: who is admitted, what workers are told, whose batch jobs are seen."""
+"""Tests of API keys over sockets: access, tenant headers and ownership of batch jobs."""
 
 import asyncio
 import base64
@@ -63,7 +63,7 @@
             for private in (SOUTH, "authorization", "forged"):
                 self.assertNotIn(private, sent)
 
-    async def test_a_key_that_was_taken_away_is_refused_and_one_that_was_added_is_taken(
+    async def test_removed_key_is_rejected_and_added_key_accepted(
         self,
     ) -> None:
         self.configure_tenants(1, north=NORTH)
@@ -90,7 +90,7 @@
         batch = {"trainStep": 1, "model": "m", "minVer": 1, "desired": 1, "requests": [item]}
         return json.dumps(batch).encode()
 
-    async def test_a_batch_job_belongs_to_its_tenant_at_every_node(self) -> None:
+    async def test_batch_job_belongs_to_its_tenant_at_every_node(self) -> None:
         self.configure_tenants(1, north=NORTH, south=SOUTH)
         first = await self.start()
         second = self.processes[1]
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Who may send a request: keys by tenant, and a node that may have missed a configuration."""
+"""Tests of API keys, also on a node that may have missed a configuration."""
 
 import json
 import unittest
@@ -19,7 +19,7 @@
 )
 
 
-def admitted(
+def tenant_for(
     key: str | None,
     *,
     keys: KeyTable | None = KEYS,
@@ -36,31 +36,33 @@
 
 
 class AccessTest(unittest.TestCase):
-    def test_each_key_is_its_tenants(self) -> None:
-        self.assertEqual([admitted(key) for key in ("k1", "k2", "k3")], ["north", "north", "south"])
+    def test_key_identifies_its_tenant(self) -> None:
+        self.assertEqual(
+            [tenant_for(key) for key in ("k1", "k2", "k3")], ["north", "north", "south"]
+        )
 
-    def test_a_missing_or_unknown_key_is_refused_for_good(self) -> None:
+    def test_missing_or_unknown_key_is_rejected(self) -> None:
         for key in (None, "k4", ""):
             with self.assertRaises(UnknownKeyError):
-                admitted(key)
+                tenant_for(key)
 
-    def test_no_key_is_asked_for_on_public_routes_or_without_tenants(self) -> None:
-        self.assertIsNone(admitted(None, needs_key=False))
-        self.assertIsNone(admitted(None, keys=None))
-        self.assertIsNone(admitted("k1", needs_key=False))
+    def test_no_key_is_needed_on_public_routes_or_without_tenants(self) -> None:
+        self.assertIsNone(tenant_for(None, needs_key=False))
+        self.assertIsNone(tenant_for(None, keys=None))
+        self.assertIsNone(tenant_for("k1", needs_key=False))
 
-    def test_a_node_that_may_be_behind_does_not_refuse_a_key_for_good(self) -> None:
+    def test_outdated_node_asks_to_retry_unknown_key(self) -> None:
         with self.assertRaises(KeysOutdatedError) as caught:
-            admitted("k4", age_seconds=IN_FORCE_SECONDS + 0.1)
+            tenant_for("k4", age_seconds=IN_FORCE_SECONDS + 0.1)
         self.assertIs(caught.exception.execution, Execution.NOT_RUN)
         self.assertIsNotNone(caught.exception.retry_after_seconds)
 
-    def test_a_node_that_may_be_behind_takes_the_keys_that_it_knows(self) -> None:
-        self.assertEqual(admitted("k1", age_seconds=100.0), "north")
+    def test_outdated_node_accepts_known_key(self) -> None:
+        self.assertEqual(tenant_for("k1", age_seconds=100.0), "north")
 
-    def test_a_request_without_a_key_is_refused_for_good_at_any_node(self) -> None:
+    def test_outdated_node_rejects_missing_key(self) -> None:
         with self.assertRaises(UnknownKeyError):
-            admitted(None, age_seconds=100.0)
+            tenant_for(None, age_seconds=100.0)
 
 
 class ConfigurationTest(unittest.TestCase):
@@ -69,20 +71,20 @@
         routes = [{**route, "name": f"r{number}", "public": True} for number in range(2)]
         return parse_configuration(json.dumps({"ver": 1, "routes": routes, **fields}).encode())
 
-    def test_keys_are_kept_as_digests_only(self) -> None:
+    def test_keys_are_stored_as_digests_only(self) -> None:
         tenants = [{"name": "north", "apiKeys": ["secret-1"], "prio": 1}]
         found = self.configuration(tenants=tenants)
         assert found.keys is not None
         self.assertEqual(found.keys.tenant_of("secret-1"), "north")
         self.assertNotIn("secret-1", repr(found))
 
-    def test_a_configuration_without_tenants_asks_for_no_keys(self) -> None:
+    def test_configuration_without_tenants_needs_no_keys(self) -> None:
         self.assertIsNone(self.configuration().keys)
         without_any = self.configuration(tenants=[])
         with self.assertRaises(UnknownKeyError):
-            admitted("k1", keys=without_any.keys)
+            tenant_for("k1", keys=without_any.keys)
 
-    def test_calls_about_batch_jobs_need_a_key_unless_all_their_routes_are_public(self) -> None:
+    def test_batch_calls_need_key_unless_all_routes_are_public(self) -> None:
         public = self.configuration()
         self.assertFalse(public.batches_need_key("h"))
         self.assertTrue(public.batches_need_key("other"))
