--- a/drumbay/duties/__init__.py
+++ b/drumbay/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to the platform that one node at a time makes for all: usage reports, worker counts."""
+"""Platform calls made by the leader only: usage reports and worker counts."""
--- a/drumbay/duties/interface.py
+++ b/drumbay/duties/interface.py
@@ -1,4 +1,4 @@
-"""What the leader tells the platform, under its fence."""
+"""Interface of the platform calls that the leader makes with its fencing token."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -11,11 +11,12 @@
 
 
 class DutyOutcome(StrEnum):
-    """What became of a call.
+    """Outcome of a call.
 
-    ``FENCED``: the platform has seen a higher fence, so another node holds the duty. ``DEFERRED``:
-    the platform refused it for now (rate, outage); it was not carried out. ``UNANSWERED``: it may
-    have been carried out, or may be later; its fence is checked at that time.
+    ``FENCED``: the platform has seen a higher fencing token, so another node is the leader.
+    ``DEFERRED``: the call was rejected temporarily (rate limit, outage) and had no effect.
+    ``UNANSWERED``: the call may have taken effect or may do so later; its fencing token is checked
+    then.
     """
 
     ACCEPTED = "accepted"
@@ -25,21 +26,21 @@
 
 
 class DutyToken(msgspec.Struct, frozen=True, kw_only=True):
-    """Who calls: the machine that holds the duties, and its fence."""
+    """Identifies the caller: the leader's machine and its fencing token."""
 
     holder: str
     fence: Fence
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
-    """How many requests of each tenant began to run in one window of time."""
+    """Number of requests of each tenant that started to run in a window."""
 
     window: int
     counts: Mapping[TenantName, int]
 
 
 class WorkerCount(msgspec.Struct, frozen=True, kw_only=True):
-    """How many workers of a service a zone is to have."""
+    """Desired number of workers of a service in a zone."""
 
     service: str
     zone: str
@@ -47,12 +48,12 @@
 
 
 class PlatformDuties(Protocol):
-    """The platform's side of the duties. No call raises; an outcome says what is known."""
+    """Calls to the platform. They do not raise; the outcome says what is known."""
 
     async def report_usage(self, token: DutyToken, report: UsageReport) -> DutyOutcome:
-        """Report one window. The platform passes over an exact repeat."""
+        """Report a window. The platform ignores exact repeats."""
         ...
 
     async def set_worker_count(self, token: DutyToken, count: WorkerCount) -> DutyOutcome:
-        """Set how many workers a zone is to have."""
+        """Set the desired number of workers in a zone."""
         ...
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -1,5 +1,4 @@
-"""The platform's API: what a call looks like, what its answers mean, and which duties are asked
-for."""
+"""Tests of the platform API client: requests, responses and settings."""
 
 import json
 import unittest
@@ -25,7 +24,7 @@
         self.addAsyncCleanup(self.server.close)
         return PlatformApi(SystemClock(), self.server.address)
 
-    async def test_a_report_bears_the_holder_and_its_fence(self) -> None:
+    async def test_report_contains_holder_and_fence(self) -> None:
         api = await self.api("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         self.assertIs(await api.report_usage(TOKEN, REPORT), DutyOutcome.ACCEPTED)
         (sent,) = self.server.requests
@@ -35,7 +34,7 @@
         body = {"windowId": 7, "counts": {"north": 2}}
         self.assertEqual(json.loads(self.server.bodies[0]), body)
 
-    async def test_a_worker_count_is_sent_for_a_service_and_zone(self) -> None:
+    async def test_worker_count_is_sent_for_service_and_zone(self) -> None:
         api = await self.api("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         count = WorkerCount(service="engines", zone="a", workers=6)
         self.assertIs(await api.set_worker_count(TOKEN, count), DutyOutcome.ACCEPTED)
@@ -43,7 +42,7 @@
         body = {"svc": "engines", "zone": "a", "desired": 6}
         self.assertEqual(json.loads(self.server.bodies[0]), body)
 
-    async def test_each_answer_says_what_became_of_the_call(self) -> None:
+    async def test_status_code_determines_outcome(self) -> None:
         for status, expected in (
             (409, DutyOutcome.FENCED),
             (429, DutyOutcome.DEFERRED),
@@ -54,18 +53,18 @@
             outcome = await api.report_usage(TOKEN, REPORT)
             self.assertEqual((status, outcome), (status, expected))
 
-    async def test_a_call_without_an_answer_may_have_been_carried_out(self) -> None:
+    async def test_call_without_response_is_unanswered(self) -> None:
         api = await self.api("")
         self.assertIs(await api.report_usage(TOKEN, REPORT), DutyOutcome.UNANSWERED)
 
-    async def test_a_call_that_was_not_sent_was_not_carried_out(self) -> None:
+    async def test_unsent_call_is_deferred(self) -> None:
         api = await self.api("")
         await self.server.close()
         self.assertIs(await api.report_usage(TOKEN, REPORT), DutyOutcome.DEFERRED)
 
 
 class DutySettingsTest(unittest.TestCase):
-    def test_usage_is_reported_where_it_is_a_duty(self) -> None:
+    def test_duties_settings_enable_usage_reports(self) -> None:
         self.assertIsNone(parse_settings(SETTINGS).usage)
         self.assertFalse(parse_settings(SETTINGS).orders_workers)
         text = (
