--- a/drumbay/forwarding/forwarder.py
+++ b/drumbay/forwarding/forwarder.py
@@ -33,7 +33,7 @@
 from drumbay.forwarding.routes import RequestKind, Route, RouteTable
 from drumbay.forwarding.worker_call import WorkerCaller
 from drumbay.forwarding.worker_choice import ChosenWorker
-from drumbay.forwarding.worker_selector import SendCriteria, WorkerSelector
+from drumbay.forwarding.worker_picker import SendCriteria, WorkerPicker
 from drumbay.identifiers import BackendId
 from drumbay.observability.serving_metrics import ServingMetrics
 from drumbay.quarantine.records import Decision, Verdict
@@ -101,7 +101,7 @@
         self.client = client
         self.metrics = metrics
         self.hedge_timing = HedgeTiming(clock.monotonic())
-        self.selector = WorkerSelector(directory, client, self.hedge_timing, zone, machine)
+        self.picker = WorkerPicker(directory, client, self.hedge_timing, zone, machine)
         self.caller = WorkerCaller(clock, directory, client, self.hedge_timing, quarantine)
         self._routes = routes
         self._usage = usage
@@ -162,7 +162,7 @@
         self._clock = forwarder.clock
         self._directory = forwarder.directory
         self._client = forwarder.client
-        self._selector = forwarder.selector
+        self._picker = forwarder.picker
         self._caller = forwarder.caller
         self._metrics = forwarder.metrics
         self._hedge_timing = forwarder.hedge_timing
@@ -198,7 +198,7 @@
         self._failed_workers: list[Worker] = []
         self._may_have_run = False
         self._tried: set[BackendId] = set()
-        self._excluded_workers: frozenset[BackendId] = frozenset()
+        self._avoided_workers: frozenset[BackendId] = frozenset()
 
     async def run(self) -> WorkerAnswer:
         """Send attempts until one succeeds or no further attempt is allowed."""
@@ -212,7 +212,7 @@
             remaining = self._deadline - now
             if remaining < MIN_BUDGET_SECONDS:
                 raise self._forwarding_error(timed_out=True)
-            if self._is_refused_by_all_workers(now):
+            if self._needs_readmission(now):
                 await self._wait_for_readmission()
                 continue
             is_due = now >= self._next_send_at and self._may_send()
@@ -228,8 +228,8 @@
             else:
                 raise self._forwarding_error(timed_out=False)
 
-    def _is_refused_by_all_workers(self, now: float) -> bool:
-        """Return whether all workers refused the request for lack of capacity."""
+    def _needs_readmission(self, now: float) -> bool:
+        """Return whether workers refused the request and it should wait for admission again."""
         if not self._is_service_full or self._attempts or not self._has_not_run():
             return False
         if not self._admission.is_limited:
@@ -238,7 +238,7 @@
             self._refusal_count - self._refusals_before_admission > MAX_REFUSALS_PER_ADMISSION
             or not any(
                 record.is_available(now)
-                for record in self._selector.allowed_workers(self._service, self._excluded_workers)
+                for record in self._picker.allowed_workers(self._service, self._avoided_workers)
             )
         )
 
@@ -261,7 +261,7 @@
             return True
         verdict = self._quarantine.verdict(self._fingerprint, self._service)
         if verdict.decision is Decision.RUN:
-            self._excluded_workers = verdict.apart_from
+            self._avoided_workers = verdict.apart_from
             return True
         if verdict.decision is Decision.HOLD and not self._attempts:
             self._quarantine.log_held(self._request.request_id, self._fingerprint, verdict)
@@ -366,8 +366,8 @@
         """Wait until an attempt finishes or the next one may be sent."""
         wait_seconds = remaining
         if self._may_send():
-            until_send = max(self._next_send_at - now, MIN_BUDGET_SECONDS)
-            wait_seconds = min(remaining, until_send)
+            seconds_until_send = max(self._next_send_at - now, MIN_BUDGET_SECONDS)
+            wait_seconds = min(remaining, seconds_until_send)
         done, _ = await asyncio.wait(
             self._attempts, timeout=wait_seconds, return_when=asyncio.FIRST_COMPLETED
         )
@@ -413,7 +413,7 @@
             if unconfirmed is not None:
                 self._send(unconfirmed.record, unconfirmed.choice, remaining)
             return
-        choice = self._selector.choose(self._send_criteria(), now)
+        choice = self._picker.choose(self._send_criteria(), now)
         record = self._directory.get(choice.worker_id) if choice is not None else None
         if choice is not None and record is not None:
             self._send(record, choice, remaining)
@@ -426,7 +426,7 @@
             service=self._service,
             body_bytes=len(self._request.body),
             tried=self._tried,
-            excluded=self._excluded_workers,
+            avoided_workers=self._avoided_workers,
         )
 
     def _send(self, record: WorkerRecord, choice: ChosenWorker, remaining: float) -> None:
@@ -439,7 +439,7 @@
         self._send_count += 1
         self._tried.add(record.worker.worker_id)
         request = self._request
-        outgoing = WorkerRequest(
+        worker_request = WorkerRequest(
             request_id=request.request_id,
             method=request.method,
             target=request.target,
@@ -455,7 +455,7 @@
         record.in_flight += 1
         record.body_bytes += len(request.body)
         task = asyncio.get_running_loop().create_task(
-            self._caller.call(record.worker, outgoing, self._route, self._fingerprint)
+            self._caller.call(record.worker, worker_request, self._route, self._fingerprint)
         )
         # A task that is cancelled before it starts never reaches a ``finally`` block of its own.
         task.add_done_callback(lambda _: _subtract_in_flight(record, len(request.body)))
@@ -489,7 +489,7 @@
             self._refusal_count += 1
             self._is_service_full = True
             self._metrics.count_worker_refusal(self._route.name)
-            pause_seconds = self._selector.refusal_backoff_seconds(attempt.record, self._route, now)
+            pause_seconds = self._picker.refusal_backoff_seconds(attempt.record, self._route, now)
             self._directory.pause(worker_id, now, pause_seconds, worker_started_at_ms)
         except WorkerBrokenError as error:
             self._record_run_start(attempt)
--- a/drumbay/forwarding/routes.py
+++ b/drumbay/forwarding/routes.py
@@ -78,7 +78,7 @@
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the host's route with the longest matching path prefix."""
-        matching = [r for r in self._of_host(host) if path.startswith(r.path_prefix)]
+        matching = [r for r in self._routes_of_host(host) if path.startswith(r.path_prefix)]
         return max(matching, key=lambda route: len(route.path_prefix), default=None)
 
     def priority_of(self, route: Route, tenant: TenantName | None) -> int:
@@ -102,10 +102,10 @@
 
     def batches_need_key(self, host: str) -> bool:
         """Return whether batch requests need a key: not if all rollout routes are public."""
-        routes = [r for r in self._of_host(host) if r.kind is RequestKind.ROLLOUT]
+        routes = [r for r in self._routes_of_host(host) if r.kind is RequestKind.ROLLOUT]
         return not routes or not all(route.is_public for route in routes)
 
-    def _of_host(self, host: str) -> list[Route]:
+    def _routes_of_host(self, host: str) -> list[Route]:
         name = host.partition(":")[0].lower()
         return [route for route in self.routes if route.host.lower() == name]
 
--- a/drumbay/forwarding/worker_call.py
+++ b/drumbay/forwarding/worker_call.py
@@ -21,14 +21,14 @@
         clock: Clock,
         directory: WorkerDirectory,
         client: WorkerClient,
-        timing: HedgeTiming,
+        hedge_timing: HedgeTiming,
         quarantine: Quarantine,
     ) -> None:
-        """Create a caller that reports to ``directory`` and ``timing``."""
+        """Create a caller that reports to ``directory`` and ``hedge_timing``."""
         self._clock = clock
         self._directory = directory
         self._client = client
-        self._hedge_timing = timing
+        self._hedge_timing = hedge_timing
         self._quarantine = quarantine
 
     async def call(
--- a/drumbay/forwarding/worker_selector.py
+++ b/drumbay/forwarding/worker_picker.py
@@ -22,17 +22,17 @@
 class SendCriteria(msgspec.Struct, frozen=True, kw_only=True):
     """What a worker is selected for.
 
-    ``tried`` workers have already received the request; ``excluded`` ones must not.
+    ``tried`` workers have already received the request; ``avoided_workers`` must not receive it.
     """
 
     route: Route
     service: str
     body_bytes: int
     tried: Set[BackendId]
-    excluded: Set[BackendId]
+    avoided_workers: Set[BackendId]
 
 
-class WorkerSelector:
+class WorkerPicker:
     """Selects workers for the requests of one node."""
 
     def __init__(
@@ -43,20 +43,20 @@
         zone: str,
         machine: str,
     ) -> None:
-        """Create a selector for a node in ``zone``, based on the records of a directory.
+        """Create a picker for a node in ``zone``, based on the records of a directory.
 
         ``machine`` breaks ties between workers, differently on each machine.
         """
         self._directory = directory
         self._client = client
-        self._hedge_timing = timing
+        self._timing = timing
         self._zone = zone
         self._machine = machine
 
-    def allowed_workers(self, service: str, excluded: Set[BackendId]) -> list[WorkerRecord]:
-        """Return the workers of a service except excluded ones."""
+    def allowed_workers(self, service: str, avoided_workers: Set[BackendId]) -> list[WorkerRecord]:
+        """Return the workers of a service except the avoided ones."""
         records = self._directory.of_service(service)
-        return [record for record in records if record.worker.worker_id not in excluded]
+        return [record for record in records if record.worker.worker_id not in avoided_workers]
 
     def choose(self, criteria: SendCriteria, now: float) -> ChosenWorker | None:
         """Return the worker for the next attempt; ``None`` if none is eligible.
@@ -66,7 +66,7 @@
         """
         records = [
             record
-            for record in self.allowed_workers(criteria.service, criteria.excluded)
+            for record in self.allowed_workers(criteria.service, criteria.avoided_workers)
             if may_send_body(record.body_bytes, criteria.body_bytes)
         ]
         available = [record for record in records if record.is_available(now)]
@@ -74,8 +74,8 @@
         candidates = untried or available
         if not candidates and not criteria.tried:
             candidates = [record for record in records if record.worker.state == "ready"]
-        snapshot = [self._snapshot_of(record, now) for record in candidates]
-        return choose_worker(snapshot, self.typical_seconds(criteria.route), self._machine, now)
+        snapshots = [self._snapshot_of(record, now) for record in candidates]
+        return choose_worker(snapshots, self.typical_seconds(criteria.route), self._machine, now)
 
     def refusal_backoff_seconds(self, record: WorkerRecord, route: Route, now: float) -> float:
         """Return for how long a worker that refused a request counts as full."""
@@ -85,7 +85,7 @@
 
     def typical_seconds(self, route: Route) -> float:
         """Return the typical latency of a route."""
-        return self._hedge_timing.typical_seconds(route.name, route.target_seconds)
+        return self._timing.typical_seconds(route.name, route.target_seconds)
 
     def _snapshot_of(self, record: WorkerRecord, now: float) -> WorkerSnapshot:
         return WorkerSnapshot(
--- a/drumbay/serving/held_memory.py
+++ b/drumbay/serving/held_memory.py
@@ -94,7 +94,7 @@
         return True
 
     def _record_shed(self, reason: ShedReason, amount_bytes: int, still_seconds: float) -> None:
-        current_use = self._memory.bytes.use
+        memory_usage = self._memory.bytes.use
         self._memory.metrics.count_shed(self._kind, reason)
         log_event(
             "request_shed",
@@ -104,6 +104,6 @@
             reason=reason,
             amount_bytes=amount_bytes,
             still_seconds=still_seconds,
-            held_bytes=current_use.held_bytes,
-            bound_bytes=current_use.bound_bytes,
+            held_bytes=memory_usage.held_bytes,
+            bound_bytes=memory_usage.bound_bytes,
         )
--- a/drumbay/serving/request_intake.py
+++ b/drumbay/serving/request_intake.py
@@ -141,8 +141,8 @@
         self._discard()
         headers = HTTPHeaders({"Retry-After": f"{NO_ROOM_RETRY_SECONDS:g}", "Content-Length": "0"})
         start_line = ResponseStartLine("HTTP/1.1", 503, "Service Unavailable")
-        written = self._connection.write_headers(start_line, headers)
-        written.add_done_callback(lambda future: future.cancelled() or future.exception())
+        write_future = self._connection.write_headers(start_line, headers)
+        write_future.add_done_callback(lambda future: future.cancelled() or future.exception())
 
     def _discard(self) -> None:
         self._cancel_stall_check()
--- a/drumbay/workers/answer_pace.py
+++ b/drumbay/workers/answer_pace.py
@@ -66,6 +66,6 @@
         self._last_run_at = now
 
 
-def decay_weight(age_seconds: float, memory_seconds: float) -> float:
+def decay_weight(age_seconds: float, time_constant_seconds: float) -> float:
     """Return the weight of an observation of this age; the default has the rest."""
-    return math.exp(-max(0.0, age_seconds) / memory_seconds)
+    return math.exp(-max(0.0, age_seconds) / time_constant_seconds)
--- a/drumbay/workers/silence_check.py
+++ b/drumbay/workers/silence_check.py
@@ -37,7 +37,7 @@
         directory: WorkerDirectory,
         client: WorkerClient,
         task_owner: TaskOwner,
-        on_silent_connections: Callable[[], None],
+        on_stalled_connections: Callable[[], None],
     ) -> None:
         """Create a check.
 
@@ -46,13 +46,13 @@
             directory: The workers to pause.
             client: Calls to workers.
             task_owner: Runs the checks.
-            on_silent_connections: Called when a live worker's connections have all stalled.
+            on_stalled_connections: Called when a live worker's connections have all stalled.
         """
         self._clock = clock
         self._directory = directory
         self._client = client
         self._task_owner = task_owner
-        self._on_silent_connections = on_silent_connections
+        self._on_stalled_connections = on_stalled_connections
         self._silent_runs: dict[BackendId, int] = {}
         self._responded_at: dict[WorkerStart, float] = {}
 
@@ -69,14 +69,14 @@
         record = self._directory.get(worker_id)
         if record is None:
             return
-        if not record.is_available(now) or self._is_stuck(record, now):
+        if not record.is_available(now) or self._has_stalled_again(record, now):
             self._directory.observe_failure(worker_id, now)
             return
         self._silent_runs[worker_id] = 1
         self._directory.pause(worker_id, now, CHECK_SECONDS)
         self._task_owner.spawn(self._run_check(record.worker), f"silence-check-{worker_id}")
 
-    def _is_stuck(self, record: WorkerRecord, now: float) -> bool:
+    def _has_stalled_again(self, record: WorkerRecord, now: float) -> bool:
         responded_at = self._responded_at.pop(record.worker.start, None)
         if responded_at is None or now - responded_at > REPEATED_STALL_SECONDS:
             return False
@@ -95,7 +95,7 @@
         if has_lost_connections:
             self._record_response(worker.start, now)
             self._directory.end_pause(worker_id, now)
-            self._on_silent_connections()
+            self._on_stalled_connections()
             return
         for _ in range(silent_runs):
             self._directory.observe_failure(worker_id, now, worker.started_at_ms)
