--- a/drumbay/forwarding/worker_picker.py
+++ b/drumbay/forwarding/worker_picker.py
@@ -1,4 +1,4 @@
-"""Which worker gets the next send of a request, by what the node knows of the service's workers."""
+"""Selects the worker for the next attempt from the node's records of a service's workers."""
 
 from collections.abc import Set
 
@@ -8,9 +8,9 @@
 from drumbay.forwarding.routes import Route
 from drumbay.forwarding.worker_choice import (
     ChosenWorker,
-    WorkerNews,
+    WorkerSnapshot,
     choose_worker,
-    refusal_seconds,
+    refusal_backoff_seconds,
 )
 from drumbay.identifiers import BackendId
 from drumbay.limits.worker_bodies import may_send_body
@@ -19,21 +19,21 @@
 from drumbay.workers.worker_record import WorkerRecord
 
 
-class NextSend(msgspec.Struct, frozen=True, kw_only=True):
-    """The next send of a request of ``body_bytes`` to a service.
+class SendCriteria(msgspec.Struct, frozen=True, kw_only=True):
+    """What a worker is selected for.
 
-    ``tried`` had it before; none of ``apart_from`` may have it.
+    ``tried`` workers have already received the request; ``avoided_workers`` must not receive it.
     """
 
     route: Route
     service: str
     body_bytes: int
     tried: Set[BackendId]
-    apart_from: Set[BackendId]
+    avoided_workers: Set[BackendId]
 
 
 class WorkerPicker:
-    """Chooses workers for the requests of one node."""
+    """Selects workers for the requests of one node."""
 
     def __init__(
         self,
@@ -43,9 +43,9 @@
         zone: str,
         machine: str,
     ) -> None:
-        """Choose by a directory's records and the usual times of routes, for a node in a zone.
+        """Create a picker for a node in ``zone``, based on the records of a directory.
 
-        Nodes on different machines choose differently between equal workers.
+        ``machine`` breaks ties between workers, differently on each machine.
         """
         self._directory = directory
         self._client = client
@@ -53,50 +53,52 @@
         self._zone = zone
         self._machine = machine
 
-    def allowed(self, service: str, apart_from: Set[BackendId]) -> list[WorkerRecord]:
-        """Return the workers of a service that a request may be sent to."""
+    def allowed_workers(self, service: str, avoided_workers: Set[BackendId]) -> list[WorkerRecord]:
+        """Return the workers of a service except the avoided ones."""
         records = self._directory.of_service(service)
-        return [record for record in records if record.worker.worker_id not in apart_from]
+        return [record for record in records if record.worker.worker_id not in avoided_workers]
 
-    def choose(self, send: NextSend, now: float) -> ChosenWorker | None:
-        """Return the worker for a send; ``None`` if none can take it.
+    def choose(self, criteria: SendCriteria, now: float) -> ChosenWorker | None:
+        """Return the worker for the next attempt; ``None`` if none is eligible.
 
-        A worker that has not had the request goes before one that had it. The first send of a
-        request may also go to a worker that is paused: none may be better.
+        Untried workers are preferred. The first attempt may also use a paused worker if there is no
+        other.
         """
         records = [
             record
-            for record in self.allowed(send.service, send.apart_from)
-            if may_send_body(record.body_bytes, send.body_bytes)
+            for record in self.allowed_workers(criteria.service, criteria.avoided_workers)
+            if may_send_body(record.body_bytes, criteria.body_bytes)
         ]
         available = [record for record in records if record.is_available(now)]
-        untried = [r for r in available if r.worker.worker_id not in send.tried]
+        untried = [r for r in available if r.worker.worker_id not in criteria.tried]
         candidates = untried or available
-        if not candidates and not send.tried:
+        if not candidates and not criteria.tried:
             candidates = [record for record in records if record.worker.state == "ready"]
-        news = [self._news_of(record, now) for record in candidates]
-        return choose_worker(news, self.usual_seconds(send.route), self._machine, now)
+        snapshots = [self._snapshot_of(record, now) for record in candidates]
+        return choose_worker(snapshots, self.typical_seconds(criteria.route), self._machine, now)
 
-    def refusal_seconds(self, record: WorkerRecord, route: Route, now: float) -> float:
-        """Return for how long a worker that has refused a request of a route counts as full."""
-        return refusal_seconds(self._news_of(record, now), self.usual_seconds(route), now)
+    def refusal_backoff_seconds(self, record: WorkerRecord, route: Route, now: float) -> float:
+        """Return for how long a worker that refused a request counts as full."""
+        return refusal_backoff_seconds(
+            self._snapshot_of(record, now), self.typical_seconds(route), now
+        )
 
-    def usual_seconds(self, route: Route) -> float:
-        """Return the usual time of a route's answers."""
-        return self._timing.usual_seconds(route.name, route.target_seconds)
+    def typical_seconds(self, route: Route) -> float:
+        """Return the typical latency of a route."""
+        return self._timing.typical_seconds(route.name, route.target_seconds)
 
-    def _news_of(self, record: WorkerRecord, now: float) -> WorkerNews:
-        return WorkerNews(
+    def _snapshot_of(self, record: WorkerRecord, now: float) -> WorkerSnapshot:
+        return WorkerSnapshot(
             worker_id=record.worker.worker_id,
             slots=record.worker.slots,
-            own=record.in_flight,
-            others=record.others,
+            own_requests=record.in_flight,
+            other_requests=record.others,
             slowdown=record.slowdown,
             reported_at=record.reported_at,
-            relative_time=record.answers.relative_time(now),
-            failure_share=record.answers.failure_share(now),
-            ran_at=record.answers.ran_at,
+            relative_latency=record.answers.relative_time(now),
+            failure_rate=record.answers.failure_share(now),
+            last_run_at=record.answers.last_run_at,
             paused_until=record.paused_until,
-            keeps_connection=self._client.keeps_connection(record.worker),
+            has_idle_connection=self._client.keeps_connection(record.worker),
             is_same_zone=record.worker.zone == self._zone,
         )
