--- a/drumbay/admission/__init__.py
+++ b/drumbay/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission of requests to services whose workers have too little room for all of them."""
+"""Admission control per service: queues or rejects requests while workers are overloaded."""
--- /dev/null
+++ b/drumbay/admission/capacity.py
@@ -0,0 +1,33 @@
+"""Estimates the capacity of a service from this node's worker records."""
+
+import math
+from collections.abc import Sequence
+
+from drumbay.admission.records import ServiceCapacity
+from drumbay.workers.records import WorkerState
+from drumbay.workers.worker_record import WorkerRecord
+
+QUEUED_REQUESTS_PER_WORKER = 1
+"""Requests sent beyond a worker's free slots, so that its next request is already queued there."""
+
+SHORT_PAUSE_SECONDS = 0.2
+"""Workers paused for at most this time count toward the capacity; workers paused for longer, as
+after a failure, do not."""
+
+
+def capacity_of(records: Sequence[WorkerRecord], now: float) -> ServiceCapacity:
+    """Return the estimated capacity of a service for this node."""
+    ready = [record for record in records if record.worker.state is WorkerState.READY]
+    available = [record for record in ready if record.is_available(now)]
+    pause_ends = [record.paused_until for record in ready if not record.is_available(now)]
+    newest_report_at = max((record.reported_at for record in ready), default=-math.inf)
+    usable = [record for record in ready if record.paused_until <= now + SHORT_PAUSE_SECONDS]
+    return ServiceCapacity(
+        available_workers=len(available),
+        max_in_flight=sum(
+            max(0, record.worker.slots - record.others_busy(now)) + QUEUED_REQUESTS_PER_WORKER
+            for record in usable
+        ),
+        pause_ends_at=min(pause_ends, default=None),
+        report_age_seconds=now - newest_report_at,
+    )
--- a/drumbay/admission/queue.py
+++ b/drumbay/admission/queue.py
@@ -1,12 +1,9 @@
-"""The order in which waiting requests of one service go out.
+"""Fair queue of the requests that wait for one service.
 
-The load it answers: a tenant's burst beside many small tenants, urgent requests beside others, and
-the reward requests of a training step, sixty at a moment, beside lookups.
-
-Callers' requests go before reward requests, and the smallest rank first. Flows of one rank share by
-start-time fair queueing (Goyal, Vin and Cheng 1996, section 2), one request at a time; within a
-flow the earliest deadline goes first. Ranks rise with the wait, and reward requests keep a part of
-the turns, so that neither is starved.
+Callers' requests go before reward requests, and smaller ranks go first. Flows of the same rank
+share by start-time fair queueing (Goyal, Vin and Cheng 1996, section 2), one request at a time;
+within a flow the earliest deadline goes first. To prevent starvation, the rank of a waiting flow
+improves over time, and a share of the turns is reserved for reward requests.
 """
 
 import math
@@ -15,20 +12,18 @@
 
 from drumbay.admission.records import AdmissionRequest
 
-SECONDS_A_RANK = 0.5
-"""A flow rises by one rank for each such time that its oldest request has waited: within the usual
-deadlines, of two seconds, a request that is two ranks behind still has its turn."""
+SECONDS_PER_RANK = 0.5
+"""A flow's rank improves by one for each such period that its oldest request has waited."""
 
-TURNS_A_REWARD = 4
-"""One turn in so many is a reward request's while both kinds wait: a step waits for its last score,
-and trainers for their steps, yet callers have the larger part."""
+TURNS_PER_REWARD = 4
+"""While both kinds wait, one turn in this many goes to a reward request."""
 
 
 class _Flow(msgspec.Struct):
-    """The waiting requests of one rank and flow; ``start`` is the start tag of the first."""
+    """The waiting requests of one rank and flow; ``start_tag`` is the start tag of the first."""
 
     key: "_FlowKey"
-    start: float
+    start_tag: float
     requests: list[AdmissionRequest] = msgspec.field(default_factory=list)
 
 
@@ -39,18 +34,18 @@
 
 
 class AdmissionQueue:
-    """Requests that wait for one service."""
+    """Queue of the requests that wait for one service."""
 
     def __init__(self) -> None:
         """Create an empty queue."""
         self._flows: dict[_FlowKey, _Flow] = {}
-        self._finish: dict[_FlowKey, float] = {}
+        self._finish_tags: dict[_FlowKey, float] = {}
         self._virtual_time = 0.0
         self._turns_since_reward = 0
         self._count = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued requests."""
         return self._count
 
     def push(self, request: AdmissionRequest) -> None:
@@ -58,95 +53,102 @@
         key = _key_of(request)
         flow = self._flows.get(key)
         if flow is None:
-            start = max(self._virtual_time, self._finish.pop(key, 0.0))
-            flow = self._flows[key] = _Flow(key, start)
+            start_tag = max(self._virtual_time, self._finish_tags.pop(key, 0.0))
+            flow = self._flows[key] = _Flow(key, start_tag)
         flow.requests.append(request)
-        flow.requests.sort(key=lambda waiting: waiting.order_in_flow)
+        flow.requests.sort(key=lambda queued: queued.order_in_flow)
         self._count += 1
 
     def remove(self, request: AdmissionRequest) -> bool:
-        """Take out a request that waits no longer; return whether it did."""
+        """Remove a request; return whether it was queued."""
         flow = self._flows.get(_key_of(request))
         if flow is None or request not in flow.requests:
             return False
-        self._take_out(flow, request)
+        self._remove(flow, request)
         return True
 
     def pop(self, now: float) -> AdmissionRequest:
-        """Return the request whose turn it is; the queue must not be empty."""
+        """Remove and return the next request; the queue must not be empty."""
         flow = self._next_flow(now)
         request = flow.requests[0]
-        self._virtual_time = max(self._virtual_time, flow.start)
-        flow.start += 1.0
+        self._virtual_time = max(self._virtual_time, flow.start_tag)
+        flow.start_tag += 1.0
         self._turns_since_reward = 0 if request.is_reward else self._turns_since_reward + 1
-        self._take_out(flow, request)
-        self._forget_past_tags()
+        self._remove(flow, request)
+        self._drop_past_tags()
         return request
 
     def waiting(self) -> tuple[AdmissionRequest, ...]:
-        """Return all requests, the last of each flow first."""
+        """Return all queued requests, each flow in reverse order."""
         return tuple(
             request for flow in self._flows.values() for request in reversed(flow.requests)
         )
 
     def count_ahead(self, request: AdmissionRequest, now: float) -> int:
-        """Return about how many go out before a request, whether or not it is in the queue.
+        """Estimate how many requests go before one that may or may not be queued yet.
 
-        Flows of its rank have as many turns as its own before it. What comes later is not counted,
-        nor are the turns that reward requests keep.
+        Each other flow of the same rank is assumed to get as many turns as the request's own flow.
+        Later arrivals and turns reserved for reward requests are not counted.
         """
         own_key = _key_of(request)
         own_flow = self._flows.get(own_key)
-        own_ahead = 0
+        ahead_in_flow = 0
         if own_flow is not None:
-            own_ahead = sum(1 for w in own_flow.requests if w.order_in_flow < request.order_in_flow)
-        own_order = (request.is_reward, self._rank(own_flow, now) if own_flow else request.rank)
-        ahead = own_ahead
+            ahead_in_flow = sum(
+                1 for queued in own_flow.requests if queued.order_in_flow < request.order_in_flow
+            )
+        own_order = (
+            request.is_reward,
+            self._effective_rank(own_flow, now) if own_flow else request.rank,
+        )
+        ahead = ahead_in_flow
         for key, flow in self._flows.items():
-            order = (key.is_reward, self._rank(flow, now))
+            order = (key.is_reward, self._effective_rank(flow, now))
             if key == own_key or order > own_order:
                 continue
-            is_equal = order == own_order
-            ahead += min(len(flow.requests), own_ahead + 1) if is_equal else len(flow.requests)
+            is_same_order = order == own_order
+            ahead += (
+                min(len(flow.requests), ahead_in_flow + 1) if is_same_order else len(flow.requests)
+            )
         return ahead
 
     def _next_flow(self, now: float) -> _Flow:
         flows = list(self._flows.values())
         rewards = [flow for flow in flows if flow.key.is_reward]
-        if rewards and self._turns_since_reward >= TURNS_A_REWARD - 1:
+        if rewards and self._turns_since_reward >= TURNS_PER_REWARD - 1:
             flows = rewards
         return min(
             flows,
             key=lambda flow: (
                 flow.key.is_reward,
-                self._rank(flow, now),
-                flow.start,
+                self._effective_rank(flow, now),
+                flow.start_tag,
                 flow.requests[0].deadline,
                 flow.key.flow,
             ),
         )
 
     @staticmethod
-    def _rank(flow: _Flow, now: float) -> int:
-        """Return the rank of a flow's requests, which rises with their wait."""
+    def _effective_rank(flow: _Flow, now: float) -> int:
+        """Return the rank of a flow, improved by the time that its oldest request has waited."""
         oldest = min(request.arrived_at for request in flow.requests)
-        return max(0, flow.key.rank - math.floor((now - oldest) / SECONDS_A_RANK))
+        return max(0, flow.key.rank - math.floor((now - oldest) / SECONDS_PER_RANK))
 
-    def _take_out(self, flow: _Flow, request: AdmissionRequest) -> None:
+    def _remove(self, flow: _Flow, request: AdmissionRequest) -> None:
         flow.requests.remove(request)
         self._count -= 1
         if not flow.requests:
             del self._flows[flow.key]
-            self._finish[flow.key] = flow.start
+            self._finish_tags[flow.key] = flow.start_tag
 
-    def _forget_past_tags(self) -> None:
-        """Forget flows whose next request would start at the present virtual time anyway."""
+    def _drop_past_tags(self) -> None:
+        """Drop finish tags that lie in the past and no longer delay their flow."""
         if not self._flows:
-            self._finish.clear()
+            self._finish_tags.clear()
             return
-        past = [key for key, tag in self._finish.items() if tag <= self._virtual_time]
+        past = [key for key, tag in self._finish_tags.items() if tag <= self._virtual_time]
         for key in past:
-            del self._finish[key]
+            del self._finish_tags[key]
 
 
 def _key_of(request: AdmissionRequest) -> _FlowKey:
--- a/drumbay/admission/records.py
+++ b/drumbay/admission/records.py
@@ -1,4 +1,4 @@
-"""A request that asks to go out to a service, and what is decided about it."""
+"""Admission requests, decisions about them, and the capacity of a service."""
 
 from enum import StrEnum
 
@@ -8,13 +8,19 @@
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True, kw_only=True, eq=False):
-    """A request on its way to a service; times are monotonic seconds.
+    """A request that asks for admission to a service.
 
-    Each is equal to itself only: callers choose the ids, and may use one twice.
+    Compared by identity, since callers choose the request ids and may reuse one.
 
-    Requests of one ``flow`` share one part of the service: those of a tenant, or of a caller where
-    there are no tenants. ``rank`` 0 goes first. Of reward requests, those of the batch job that
-    began first (``batch_started_at``) go first, then the smaller ``batch_priority``.
+    Attributes:
+        request_id: Id given by the caller.
+        flow: Unit of fair sharing: the tenant, or the caller where there are no tenants.
+        rank: Smaller ranks go first; 0 is the first.
+        arrived_at: Monotonic time of arrival.
+        deadline: Monotonic time by which the caller needs the answer.
+        is_reward: Whether it is a reward request of a batch job.
+        batch_started_at: Of reward requests, those of the oldest batch job go first.
+        batch_priority: Of reward requests of equally old batch jobs, smaller values go first.
     """
 
     request_id: str
@@ -28,34 +34,34 @@
 
     @property
     def order_in_flow(self) -> tuple[float, int, float, float]:
-        """Return the key by which the requests of one flow follow each other."""
+        """Return the sort key of the request within its flow."""
         return (self.batch_started_at, self.batch_priority, self.deadline, self.arrived_at)
 
 
 class RejectionReason(StrEnum):
-    """Why a request is not served."""
+    """Why a request was rejected."""
 
     QUEUE_TOO_LONG = "queue_too_long"
-    """By the time the queue ahead is served, it would have waited too long."""
+    """Its predicted wait exceeds the longest allowed wait."""
 
     WAITED_TOO_LONG = "waited_too_long"
-    """No place came up for it in time."""
+    """It was queued and exceeded the longest allowed wait."""
 
 
 class Admitted(msgspec.Struct, frozen=True, kw_only=True):
-    """The request goes out now."""
+    """The request may be sent now."""
 
     request: AdmissionRequest
 
 
 class Queued(msgspec.Struct, frozen=True, kw_only=True):
-    """The request waits."""
+    """The request waits in the queue."""
 
     request: AdmissionRequest
 
 
 class Rejected(msgspec.Struct, frozen=True, kw_only=True):
-    """The request gets its final answer now, with what the decision was based on."""
+    """The request is rejected; the other fields say what the decision was based on."""
 
     request: AdmissionRequest
     reason: RejectionReason
@@ -69,7 +75,7 @@
     """A request was not admitted.
 
     Attributes:
-        decision: Why, and when its caller should come back.
+        decision: The reason, and when the caller should retry.
     """
 
     code = "admission_rejected"
@@ -80,16 +86,18 @@
         self.decision = decision
 
 
-class ServiceRoom(msgspec.Struct, frozen=True, kw_only=True):
-    """What a service's workers bear, as far as this node knows.
+class ServiceCapacity(msgspec.Struct, frozen=True, kw_only=True):
+    """Capacity of a service's workers, as known to this node.
 
-    ``available_workers`` take requests now. ``places`` is how many requests this node may have at
-    those and at the ones that pause for a moment, beside other nodes. ``pause_ends_at`` is when the
-    first of those that pause may be asked again, ``None`` if none pauses; ``report_age_seconds`` is
-    the age of the newest load report, infinite without one.
+    Attributes:
+        available_workers: Workers that take requests now.
+        max_in_flight: Requests that this node may have in flight at the available and the briefly
+            paused workers, given the load from other nodes.
+        pause_ends_at: When the first pause of a worker ends; ``None`` if no worker is paused.
+        report_age_seconds: Age of the newest load report; infinite without one.
     """
 
     available_workers: int
-    places: int
+    max_in_flight: int
     pause_ends_at: float | None
     report_age_seconds: float
--- a/drumbay/admission/service.py
+++ b/drumbay/admission/service.py
@@ -1,9 +1,7 @@
-"""Which requests of one service go out, wait or are rejected at one node.
+"""Admission decisions of one node for one service.
 
-The load it answers: callers compete for the places of few workers; bursts of several times the
-usual traffic, a large tenant's among them; a service that is four to six times slower for some
-seconds. A request that can still be served waits; one whose wait would be too long is rejected as
-soon as that is known, and its caller told when the queue ahead will be served.
+While the service is overloaded, a request that can still be served in time is queued. A request
+whose predicted wait is too long is rejected immediately, with a time after which to retry.
 """
 
 import hashlib
@@ -18,198 +16,210 @@
     Queued,
     Rejected,
     RejectionReason,
-    ServiceRoom,
+    ServiceCapacity,
 )
 
-LONGEST_WAIT_SHARE = 0.5
-"""A request waits at most this share of the time its caller gave it: what is left is enough to be
-served, or for the caller to try again at another node."""
+MAX_WAIT_FRACTION = 0.5
+"""Longest wait as a fraction of the time until the deadline; the rest is left to serve the request
+or to retry it at another node."""
 
-LONGEST_WAIT_SHARE_UNANSWERED = 0.25
-"""The share while the service has answered nothing of late: nothing speaks for waiting here, and
-the caller has most of its time left for another node."""
+MAX_WAIT_FRACTION_UNRESPONSIVE = 0.25
+"""The fraction for a service that has not answered recently."""
 
-ANSWER_MEMORY_SECONDS = 5.0
-"""A service that has answered within this time and refuses now is full, not gone: places come free
-with the requests that it works on, which callers wait for no longer than some seconds."""
+RESPONSIVE_WINDOW_SECONDS = 5.0
+"""A service that answered within this time counts as responsive: its refusals mean that it is
+overloaded, not down."""
 
 RATE_WINDOW_SECONDS = 1.0
-"""The service's rate is counted over this time, once requests have waited that long without a
-break: before, the queue and not the service may have been what was short."""
+"""The service rate is measured over this window, once the queue has been non-empty for as long;
+otherwise the arrival rate would be measured instead."""
 
-SHORTEST_RETRY_AFTER_SECONDS = 0.05
-"""A caller that comes back sooner meets the same moment."""
+MIN_RETRY_AFTER_SECONDS = 0.05
+"""Lower bound of the retry delay."""
 
-LONGEST_RETRY_AFTER_SHARE = 1 / 3
-"""Callers wait for no more than this share of the time they have left."""
+MAX_RETRY_AFTER_FRACTION = 1 / 3
+"""Upper bound of the retry delay, as a fraction of the time until the deadline."""
 
-RETRY_SPREAD = 0.5
-"""Callers that are rejected at one moment come back spread over this share of their wait."""
+RETRY_JITTER = 0.5
+"""Retry delays are spread by up to this fraction, to avoid simultaneous retries."""
 
 
 class ServiceAdmission:
-    """The requests of one service at one node: those under way, and those that wait."""
+    """Tracks the in-flight and queued requests of one service at one node."""
 
     def __init__(self) -> None:
         """Start without requests."""
         self._limit = ConcurrencyLimit()
         self._queue = AdmissionQueue()
-        self._under_way = 0
-        self._answered_at: deque[float] = deque()
+        self._in_flight = 0
+        self._answer_times: deque[float] = deque()
         self._last_answer_at = -math.inf
         self._waiting_since: float | None = None
 
     @property
-    def needs_room(self) -> bool:
-        """Return whether decisions depend on what the workers bear."""
-        return self._limit.is_in_force or len(self._queue) > 0
+    def needs_capacity(self) -> bool:
+        """Return whether admission decisions need the current capacity."""
+        return self._limit.is_active or len(self._queue) > 0
 
     @property
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return len(self._queue)
 
     @property
-    def under_way(self) -> int:
-        """Return how many requests are under way."""
-        return self._under_way
+    def in_flight(self) -> int:
+        """Return the number of requests in flight."""
+        return self._in_flight
 
-    def arrive(
-        self, request: AdmissionRequest, now: float, room: ServiceRoom | None
+    def try_admit(
+        self, request: AdmissionRequest, now: float, capacity: ServiceCapacity | None
     ) -> Admitted | Queued | Rejected:
-        """Take a new request; ``room`` may be ``None`` unless :attr:`needs_room`."""
+        """Decide about a new request; ``capacity`` is required if :attr:`needs_capacity`."""
         if not len(self._queue):
-            self._limit.note_idle(now)
-        if room is None or not self.needs_room or self._has_place(room, now):
-            self._under_way += 1
+            self._limit.record_idle(now)
+        if capacity is None or not self.needs_capacity or self._can_admit_now(capacity, now):
+            self._in_flight += 1
             return Admitted(request=request)
-        return self._reject_or_queue(request, now, room)
+        return self._reject_or_queue(request, now, capacity)
 
-    def take_back(
-        self, request: AdmissionRequest, now: float, room: ServiceRoom
+    def requeue(
+        self, request: AdmissionRequest, now: float, capacity: ServiceCapacity
     ) -> Queued | Rejected:
-        """Take back a request that was under way, and that every worker refused."""
-        self._limit.note_refused(self._under_way, now)
-        self._under_way -= 1
-        return self._reject_or_queue(request, now, room)
-
-    def answered(self, seconds: float, now: float) -> None:
-        """Take the end of a request that a worker answered."""
-        self._under_way -= 1
-        self._limit.note_answered(seconds)
-        self._answered_at.append(now)
+        """Queue or reject a request in flight that every worker refused."""
+        self._limit.record_refusal(self._in_flight, now)
+        self._in_flight -= 1
+        return self._reject_or_queue(request, now, capacity)
+
+    def complete(self, latency_seconds: float, now: float) -> None:
+        """Record the end of a request that a worker answered."""
+        self._in_flight -= 1
+        self._limit.record_answer(latency_seconds)
+        self._answer_times.append(now)
         self._last_answer_at = now
-        self._forget_old_answers(now)
+        self._drop_old_answers(now)
 
-    def ended(self) -> None:
-        """Take the end of a request that no worker answered, or whose caller has left."""
-        self._under_way -= 1
+    def release(self) -> None:
+        """Record the end of a request without an answer, or whose caller disconnected."""
+        self._in_flight -= 1
 
-    def leave(self, request: AdmissionRequest, now: float) -> None:
-        """Take out a waiting request whose caller has left."""
+    def cancel(self, request: AdmissionRequest, now: float) -> None:
+        """Remove a queued request whose caller disconnected."""
         if self._queue.remove(request):
-            self._note_queue(now)
+            self._update_waiting_since(now)
 
-    def advance(self, now: float, room: ServiceRoom) -> list[Admitted | Rejected]:
-        """Return what is decided about waiting requests now."""
+    def dispatch(self, now: float, capacity: ServiceCapacity) -> list[Admitted | Rejected]:
+        """Admit and reject queued requests; return the decisions."""
         decisions: list[Admitted | Rejected] = []
-        while len(self._queue) and self._has_room(room, now):
+        while len(self._queue) and self._has_capacity(capacity, now):
             request = self._queue.pop(now)
-            if now > self._give_up_at(request, now):
-                decisions.append(self._rejected(request, now, room))
+            if now > self._wait_deadline(request, now):
+                decisions.append(self._rejection(request, now, capacity))
                 continue
-            self._under_way += 1
+            self._in_flight += 1
             decisions.append(Admitted(request=request))
         for request in self._queue.waiting():
-            if self._is_too_late(request, now, room):
+            if self._exceeds_wait_limit(request, now, capacity):
                 self._queue.remove(request)
-                decisions.append(self._rejected(request, now, room))
-        self._note_queue(now)
+                decisions.append(self._rejection(request, now, capacity))
+        self._update_waiting_since(now)
         return decisions
 
-    def _has_place(self, room: ServiceRoom, now: float) -> bool:
-        """Return whether a new request may pass: there is room, and nobody waits for it."""
-        return not len(self._queue) and self._has_room(room, now)
+    def _can_admit_now(self, capacity: ServiceCapacity, now: float) -> bool:
+        """Return whether a new request may be sent without queueing."""
+        return not len(self._queue) and self._has_capacity(capacity, now)
 
-    def _has_room(self, room: ServiceRoom, now: float) -> bool:
-        if not self._limit.is_in_force:
+    def _has_capacity(self, capacity: ServiceCapacity, now: float) -> bool:
+        if not self._limit.is_active:
             return True
-        if now < self._limit.pause_ends_at(room, now):
+        if now < self._limit.pause_ends_at(capacity, now):
             return False
-        return self._under_way < self._limit.current(room)
+        return self._in_flight < self._limit.current(capacity)
 
     def _reject_or_queue(
-        self, request: AdmissionRequest, now: float, room: ServiceRoom
+        self, request: AdmissionRequest, now: float, capacity: ServiceCapacity
     ) -> Queued | Rejected:
-        if self._is_too_late(request, now, room):
-            return self._rejected(request, now, room)
+        if self._exceeds_wait_limit(request, now, capacity):
+            return self._rejection(request, now, capacity)
         self._queue.push(request)
-        self._note_queue(now)
+        self._update_waiting_since(now)
         return Queued(request=request)
 
-    def _is_too_late(self, request: AdmissionRequest, now: float, room: ServiceRoom) -> bool:
-        return now + self._predicted_wait(request, now, room) > self._give_up_at(request, now)
-
-    def _give_up_at(self, request: AdmissionRequest, now: float) -> float:
-        """Return until when a request may wait."""
-        known_since = min(request.arrived_at, now - ANSWER_MEMORY_SECONDS)
-        is_answering = self._last_answer_at >= known_since
-        share = LONGEST_WAIT_SHARE if is_answering else LONGEST_WAIT_SHARE_UNANSWERED
-        return request.arrived_at + share * (request.deadline - request.arrived_at)
+    def _exceeds_wait_limit(
+        self, request: AdmissionRequest, now: float, capacity: ServiceCapacity
+    ) -> bool:
+        return now + self._predicted_wait_seconds(request, now, capacity) > self._wait_deadline(
+            request, now
+        )
 
-    def _rejected(self, request: AdmissionRequest, now: float, room: ServiceRoom) -> Rejected:
-        predicted = self._predicted_wait(request, now, room)
-        is_over = now > self._give_up_at(request, now)
+    def _wait_deadline(self, request: AdmissionRequest, now: float) -> float:
+        """Return the time until which a request may be queued."""
+        responsive_since = min(request.arrived_at, now - RESPONSIVE_WINDOW_SECONDS)
+        is_responsive = self._last_answer_at >= responsive_since
+        wait_fraction = MAX_WAIT_FRACTION if is_responsive else MAX_WAIT_FRACTION_UNRESPONSIVE
+        return request.arrived_at + wait_fraction * (request.deadline - request.arrived_at)
+
+    def _rejection(
+        self, request: AdmissionRequest, now: float, capacity: ServiceCapacity
+    ) -> Rejected:
+        predicted = self._predicted_wait_seconds(request, now, capacity)
+        has_expired = now > self._wait_deadline(request, now)
         return Rejected(
             request=request,
-            reason=RejectionReason.WAITED_TOO_LONG if is_over else RejectionReason.QUEUE_TOO_LONG,
+            reason=RejectionReason.WAITED_TOO_LONG
+            if has_expired
+            else RejectionReason.QUEUE_TOO_LONG,
             predicted_wait_seconds=predicted,
             retry_after_seconds=retry_after_seconds(
                 request.request_id, predicted, request.deadline - now
             ),
             queue_length=len(self._queue),
-            limit=self._limit.current(room),
+            limit=self._limit.current(capacity),
         )
 
-    def _predicted_wait(self, request: AdmissionRequest, now: float, room: ServiceRoom) -> float:
-        """Return how long the queue ahead of a request takes, as far as it is known."""
-        pause_seconds = max(0.0, self._limit.pause_ends_at(room, now) - now)
-        rate = self._requests_a_second(now, room)
+    def _predicted_wait_seconds(
+        self, request: AdmissionRequest, now: float, capacity: ServiceCapacity
+    ) -> float:
+        """Estimate how long a request will be queued."""
+        pause_seconds = max(0.0, self._limit.pause_ends_at(capacity, now) - now)
+        rate = self._service_rate(now, capacity)
         if rate is None:
             return pause_seconds
         return max(pause_seconds, self._queue.count_ahead(request, now) / rate)
 
-    def _requests_a_second(self, now: float, room: ServiceRoom) -> float | None:
+    def _service_rate(self, now: float, capacity: ServiceCapacity) -> float | None:
         since = self._waiting_since
         if since is not None and now - since >= RATE_WINDOW_SECONDS:
-            self._forget_old_answers(now)
-            return max(1, len(self._answered_at)) / RATE_WINDOW_SECONDS
-        seconds = self._limit.answer_seconds
-        if not seconds:
+            self._drop_old_answers(now)
+            return max(1, len(self._answer_times)) / RATE_WINDOW_SECONDS
+        latency_seconds = self._limit.recent_latency_seconds
+        if not latency_seconds:
             return None
-        # Little's law; more than the limit may be under way when it has just been lowered.
-        return max(self._limit.current(room), self._under_way) / seconds
+        # Little's law. More requests than the limit may be in flight right after a decrease.
+        return max(self._limit.current(capacity), self._in_flight) / latency_seconds
 
-    def _forget_old_answers(self, now: float) -> None:
-        while self._answered_at and now - self._answered_at[0] > RATE_WINDOW_SECONDS:
-            self._answered_at.popleft()
+    def _drop_old_answers(self, now: float) -> None:
+        while self._answer_times and now - self._answer_times[0] > RATE_WINDOW_SECONDS:
+            self._answer_times.popleft()
 
-    def _note_queue(self, now: float) -> None:
+    def _update_waiting_since(self, now: float) -> None:
         if not len(self._queue):
             self._waiting_since = None
         elif self._waiting_since is None:
             self._waiting_since = now
 
 
-def retry_after_seconds(request_id: str, prospect_seconds: float, left_seconds: float) -> float:
-    """Return when a caller should come back: once the queue is served, within its own time.
+def retry_after_seconds(
+    request_id: str, expected_wait_seconds: float, remaining_seconds: float
+) -> float:
+    """Return the delay after which a rejected caller should retry.
 
-    The same request id gives the same time; different ones are spread.
+    The delay follows the expected wait, bounded by the caller's remaining time. Its jitter is
+    derived from the request id, so that the same id always gets the same delay.
     """
     digest = hashlib.blake2s(request_id.encode(), digest_size=4).digest()
-    spread = 1.0 + RETRY_SPREAD * int.from_bytes(digest) / 2**32
-    wanted = spread * max(prospect_seconds, SHORTEST_RETRY_AFTER_SECONDS)
-    longest = LONGEST_RETRY_AFTER_SHARE * max(0.0, left_seconds)
-    if wanted > longest:
-        wanted = longest * spread / (1.0 + RETRY_SPREAD)
-    return round(wanted, 3)
+    jitter = 1.0 + RETRY_JITTER * int.from_bytes(digest) / 2**32
+    delay_seconds = jitter * max(expected_wait_seconds, MIN_RETRY_AFTER_SECONDS)
+    max_delay_seconds = MAX_RETRY_AFTER_FRACTION * max(0.0, remaining_seconds)
+    if delay_seconds > max_delay_seconds:
+        delay_seconds = max_delay_seconds * jitter / (1.0 + RETRY_JITTER)
+    return round(delay_seconds, 3)
