--- a/drumbay/limits/admission.py
+++ b/drumbay/limits/admission.py
@@ -1,12 +1,12 @@
-"""Admission of requests: per-route limits, and fair shares between classes of work.
+"""Admission control: per-route limits, and fair shares between classes of work.
 
-A request that cannot be served soon is refused at once, with the time after which it is
-worth coming back, estimated from the observed service rate. Nothing is queued here.
+A request over a limit is refused immediately, with a retry delay estimated from the observed
+service rate. Nothing is queued here.
 
 Shares between live traffic, application requests and rollouts are weighted max-min fair
-over recent demand, hence work-conserving: a class may use all places that the others did not
-ask for of late. What it holds beyond its share when the others come back is reported by
-:meth:`AdmissionController.excess_places`.
+over recent demand, hence work-conserving: a class may use all slots that the others did not
+request recently. :meth:`AdmissionController.excess_slots` reports how many slots a class holds
+beyond its share once the others request theirs again.
 """
 
 import math
@@ -37,10 +37,11 @@
     Attributes:
         route_name: Name of the route.
         route_kind: Class of work the route belongs to.
-        max_concurrency: Most requests in flight.
-        max_rate_per_second: Most requests started per second, averaged over the burst.
+        max_concurrency: Maximum number of requests in flight.
+        max_rate_per_second: Maximum number of requests started per second, averaged over the
+            burst.
         burst_seconds: Seconds of the rate that may start at once.
-        priority: Larger is served first.
+        priority: Routes of positive priority may use the priority reserve.
     """
 
     route_name: str
@@ -52,7 +53,7 @@
 
 
 class ClassWeights(msgspec.Struct, frozen=True, kw_only=True):
-    """Weights by which the classes of work share a node when all ask for more."""
+    """Weights by which the classes of work share an overloaded node."""
 
     live: float = 4.0
     application: float = 2.0
@@ -71,20 +72,20 @@
     """Capacity of a node and how it is shared.
 
     Attributes:
-        max_in_flight: Most requests in flight on the node.
+        max_in_flight: Maximum number of requests in flight on the node.
         class_weights: Weight of each class of work.
-        headroom_places: Places kept free for each other class beyond its recent demand, so
-            that its next requests need not wait for one to end.
-        priority_reserve_share: Part of the node's places kept for routes of positive
+        headroom_slots: Slots kept free for each other class beyond its recent demand, so
+            that its next requests need not wait for a request to end.
+        priority_reserve_share: Fraction of the node's slots reserved for routes of positive
             priority, for each class that has such a route.
         window_seconds: Window over which demand and service rate are observed.
-        min_retry_after_seconds: Shortest time a refused caller is told.
-        max_retry_after_seconds: Longest time a refused caller is told.
+        min_retry_after_seconds: Lower bound of the retry delay of a refused request.
+        max_retry_after_seconds: Upper bound of the retry delay of a refused request.
     """
 
     max_in_flight: int = 512
     class_weights: ClassWeights = ClassWeights()
-    headroom_places: int = 4
+    headroom_slots: int = 4
     priority_reserve_share: float = 0.1
     window_seconds: float = 5.0
     min_retry_after_seconds: float = 0.05
@@ -92,13 +93,13 @@
 
 
 class UnknownRouteError(ConfigurationError):
-    """No limits have been set for a route."""
+    """The limits of a route are not set."""
 
     code = "unknown_route"
 
 
 class Permit(msgspec.Struct, frozen=True, kw_only=True):
-    """Permission for one request; it must be released exactly once."""
+    """Permission to run one request; it must be released exactly once."""
 
     route_name: str
     route_kind: RouteKind
@@ -112,8 +113,8 @@
     retry_after_seconds: float
 
 
-class _Flow:
-    """Requests in flight and recent outcomes of one route or class of work."""
+class _LoadTracker:
+    """Tracks the requests in flight and the recent load of one route or class of work."""
 
     def __init__(self, window_seconds: float, now: float) -> None:
         self._window_seconds = window_seconds
@@ -122,23 +123,23 @@
         self._refusals = RecentCounter(window_seconds, now)
         self._completions = RecentCounter(window_seconds, now)
 
-    def start(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         self.in_flight += 1
         self._peak.observe(now, self.in_flight)
 
-    def finish(self, now: float) -> None:
+    def record_completion(self, now: float) -> None:
         self.in_flight -= 1
         self._completions.add(now)
 
-    def refuse(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         self._refusals.add(now)
 
     def demand(self, now: float) -> float:
-        """Return the places that recent requests, refused ones included, asked for."""
+        """Return the slots that recent requests needed, including refused ones."""
         return self._peak.peak(now, self.in_flight) + self._refusals.count(now)
 
-    def seconds_to_place(self, now: float) -> float:
-        """Estimate when a place frees for one more after those refused before it."""
+    def seconds_until_free_slot(self, now: float) -> float:
+        """Estimate the time until a slot is free, counting the requests refused before."""
         service_rate = self._completions.rate_per_second(now)
         if service_rate <= 0:
             return self._window_seconds
@@ -150,7 +151,7 @@
 
     def __init__(self, limits: RouteLimits, window_seconds: float, now: float) -> None:
         self.limits = limits
-        self.flow = _Flow(window_seconds, now)
+        self.load = _LoadTracker(window_seconds, now)
         self.rate = _rate_bucket(limits, now)
 
 
@@ -162,8 +163,8 @@
         self._policy = policy
         self._in_flight = 0
         self._routes: dict[str, _Route] = {}
-        self._classes = {kind: _Flow(policy.window_seconds, now) for kind in RouteKind}
-        self._guaranteed = _guaranteed_places(policy)
+        self._classes = {kind: _LoadTracker(policy.window_seconds, now) for kind in RouteKind}
+        self._guaranteed_slots = _guaranteed_slots_per_class(policy)
 
     @property
     def in_flight(self) -> int:
@@ -197,83 +198,85 @@
         route = self._routes.get(route_name)
         if route is None:
             raise UnknownRouteError(f"route {route_name!r} has no limits")
-        work = self._classes[route.limits.route_kind]
+        class_load = self._classes[route.limits.route_kind]
         reason = self._exceeded_limit(route, now)
         if reason is not None:
-            return self._refuse(route, work, reason, now)
-        route.flow.start(now)
-        work.start(now)
+            return self._refuse(route, class_load, reason, now)
+        route.load.record_start(now)
+        class_load.record_start(now)
         self._in_flight += 1
         return Permit(route_name=route_name, route_kind=route.limits.route_kind)
 
     def release(self, permit: Permit, now: float) -> None:
         """End an admitted request, however it ended."""
         route = self._routes.get(permit.route_name)
-        if route is not None and route.flow.in_flight > 0:
-            route.flow.finish(now)
-        self._classes[permit.route_kind].finish(now)
+        if route is not None and route.load.in_flight > 0:
+            route.load.record_completion(now)
+        self._classes[permit.route_kind].record_completion(now)
         self._in_flight -= 1
 
-    def excess_places(self, route_kind: RouteKind, now: float) -> int:
-        """Return the places a class holds beyond its fair share while others ask for them.
+    def excess_slots(self, route_kind: RouteKind, now: float) -> int:
+        """Return the slots a class holds beyond its fair share while other classes need them.
 
-        Rollouts hold places for minutes. Whoever runs them may stop that many, to resume
-        them elsewhere or later, so that live requests need not wait for their end.
+        Rollouts hold slots for minutes. Their owner may preempt as many and resume them later or
+        elsewhere, so that live requests need not wait for them to end.
         """
-        held = self._classes[route_kind].in_flight
-        return max(0, held - math.ceil(self._fair_share(route_kind, held, now)))
+        in_use = self._classes[route_kind].in_flight
+        return max(0, in_use - math.ceil(self._fair_share(route_kind, in_use, now)))
 
     def _exceeded_limit(self, route: _Route, now: float) -> RefusalReason | None:
         limits = route.limits
-        if route.flow.in_flight >= limits.max_concurrency:
+        if route.load.in_flight >= limits.max_concurrency:
             return RefusalReason.ROUTE_CONCURRENCY
-        free = self._policy.max_in_flight - self._in_flight
-        if free <= 0:
+        free_slots = self._policy.max_in_flight - self._in_flight
+        if free_slots <= 0:
             return RefusalReason.NODE_CAPACITY
-        held = self._classes[limits.route_kind].in_flight
-        if not self._is_within_share(limits.route_kind, held, now):
+        in_use = self._classes[limits.route_kind].in_flight
+        if not self._is_within_share(limits.route_kind, in_use, now):
             return RefusalReason.FAIR_SHARE
-        if limits.priority <= 0 and free <= self._priority_reserve(limits.route_kind):
+        if limits.priority <= 0 and free_slots <= self._priority_reserve(limits.route_kind):
             return RefusalReason.PRIORITY_RESERVE
         if not route.rate.try_take(now):
             return RefusalReason.ROUTE_RATE
         return None
 
-    def _is_within_share(self, route_kind: RouteKind, held: int, now: float) -> bool:
-        # NOTE: max-min fairness gives every class its weight's part of the places if it asks
-        # for them, so that the demands need not be weighed below it.
-        if held < self._guaranteed[route_kind]:
+    def _is_within_share(self, route_kind: RouteKind, in_use: int, now: float) -> bool:
+        # NOTE: max-min fairness guarantees every class the share of its weight, so the
+        # allocation need not be computed below that share.
+        if in_use < self._guaranteed_slots[route_kind]:
             return True
-        return held < self._fair_share(route_kind, held + 1, now)
+        return in_use < self._fair_share(route_kind, in_use + 1, now)
 
-    def _fair_share(self, route_kind: RouteKind, own_places: int, now: float) -> float:
+    def _fair_share(self, route_kind: RouteKind, own_demand: int, now: float) -> float:
         policy = self._policy
         demands = [
             ShareDemand(
                 weight=policy.class_weights.of(kind),
-                places=max(own_places, flow.demand(now))
+                amount=max(own_demand, load.demand(now))
                 if kind is route_kind
-                else flow.demand(now) + policy.headroom_places,
+                else load.demand(now) + policy.headroom_slots,
             )
-            for kind, flow in self._classes.items()
+            for kind, load in self._classes.items()
         ]
         allocation = fair_allocation(policy.max_in_flight, demands)
         return allocation[list(self._classes).index(route_kind)]
 
     def _priority_reserve(self, route_kind: RouteKind) -> int:
-        """Return the places kept for prioritized routes; none if the class has none."""
+        """Return the slots reserved for prioritized routes; 0 if the class has no such route."""
         for route in self._routes.values():
             if route.limits.route_kind is route_kind and route.limits.priority > 0:
                 return math.floor(self._policy.max_in_flight * self._policy.priority_reserve_share)
         return 0
 
-    def _refuse(self, route: _Route, work: _Flow, reason: RefusalReason, now: float) -> Refusal:
+    def _refuse(
+        self, route: _Route, class_load: _LoadTracker, reason: RefusalReason, now: float
+    ) -> Refusal:
         if reason is RefusalReason.ROUTE_RATE:
             retry_after = route.rate.seconds_until(now)
         else:
-            flow = route.flow if reason is RefusalReason.ROUTE_CONCURRENCY else work
-            retry_after = flow.seconds_to_place(now)
-            flow.refuse(now)
+            load = route.load if reason is RefusalReason.ROUTE_CONCURRENCY else class_load
+            retry_after = load.seconds_until_free_slot(now)
+            load.record_refusal(now)
         policy = self._policy
         bounded = max(policy.min_retry_after_seconds, retry_after)
         return Refusal(
@@ -283,7 +286,7 @@
         )
 
 
-def _guaranteed_places(policy: AdmissionPolicy) -> dict[RouteKind, int]:
+def _guaranteed_slots_per_class(policy: AdmissionPolicy) -> dict[RouteKind, int]:
     total_weight = sum(policy.class_weights.of(kind) for kind in RouteKind)
     return {
         kind: math.floor(policy.max_in_flight * policy.class_weights.of(kind) / total_weight)
--- a/drumbay/limits/circuit_breaker.py
+++ b/drumbay/limits/circuit_breaker.py
@@ -1,11 +1,11 @@
-"""Circuit breaker of one back end, with the time passed in.
+"""Circuit breaker of one back end.
 
-Closed, it counts failures in a window. When too many of the recent attempts failed it opens
-and admits nothing for a while; then it is half open and admits a few probes. Their success
-closes it; one failure opens it again for longer.
+A closed breaker counts failures in a window and opens when too many recent attempts failed. An
+open breaker admits nothing for a while, then becomes half open and admits a few probes. Successful
+probes close it; a failed probe opens it again for longer.
 
-``pybreaker`` was weighed and not taken: it reads the clock itself, wraps the call it guards,
-and lets every call through while half open. See ``docs/design/limits.md``.
+The current time is an argument of each method, so that simulations control the clock. See
+``docs/design/limits.md``.
 """
 
 from enum import StrEnum
@@ -26,12 +26,12 @@
 
     Attributes:
         window_seconds: Length of the window in which outcomes are counted.
-        min_failures: Fewest failures in the window that open it.
-        failure_share: Share of failures in the window that opens it.
-        open_seconds: Time it stays open at first; doubles with each failed probe.
-        max_open_seconds: Longest time it stays open.
-        max_probes: Attempts admitted at once while half open.
-        successes_to_close: Successful probes that close it.
+        min_failures: Minimum number of failures in the window that open it.
+        failure_share: Minimum fraction of failures in the window that opens it.
+        open_seconds: Initial time it stays open; doubles with each failed probe.
+        max_open_seconds: Maximum time it stays open.
+        max_probes: Maximum number of concurrent attempts while half open.
+        successes_to_close: Number of successful probes that close it.
     """
 
     window_seconds: float = 10.0
@@ -44,13 +44,13 @@
 
 
 class CircuitPermit(msgspec.Struct, frozen=True, kw_only=True):
-    """Permission for one attempt; it names the period of the breaker that gave it."""
+    """Permission for one attempt; ``period`` is the breaker's period that issued it."""
 
     period: int
 
 
 class CircuitBreaker:
-    """Stops sending attempts to a back end that fails."""
+    """Stops attempts at a failing back end."""
 
     def __init__(self, policy: CircuitPolicy, now: float) -> None:
         """Create a closed breaker."""
@@ -90,7 +90,7 @@
     def record_success(self, permit: CircuitPermit, now: float) -> None:
         """Record that the attempt of a permit succeeded."""
         if permit.period != self._period:
-            # NOTE: an attempt begun before the breaker opened says nothing about now.
+            # NOTE: the attempt started before the breaker last changed its state.
             return
         if self._opened_at is None:
             self._roll_window(now)
@@ -102,7 +102,7 @@
             self._close(now)
 
     def record_failure(self, permit: CircuitPermit, now: float) -> None:
-        """Record that the attempt of a permit failed for the back end's reasons."""
+        """Record that the attempt of a permit failed because of the back end."""
         if permit.period != self._period:
             return
         if self._opened_at is not None:
@@ -112,12 +112,12 @@
         self._roll_window(now)
         self._failure_count += 1
         total = self._failure_count + self._success_count
-        has_enough = self._failure_count >= self._policy.min_failures
-        if has_enough and self._failure_count >= self._policy.failure_share * total:
+        has_min_failures = self._failure_count >= self._policy.min_failures
+        if has_min_failures and self._failure_count >= self._policy.failure_share * total:
             self._open(now)
 
     def record_no_outcome(self, permit: CircuitPermit) -> None:
-        """Give a permit back: the attempt said nothing about the back end."""
+        """Return a permit whose attempt ended without an outcome of the back end."""
         if permit.period == self._period and self._opened_at is not None:
             self._probes_in_flight -= 1
 
--- a/drumbay/limits/deadline.py
+++ b/drumbay/limits/deadline.py
@@ -1,8 +1,7 @@
-"""Deadlines of requests, handed on between processes as the remaining seconds.
+"""Deadlines of requests, propagated between processes as the remaining seconds.
 
-Clocks of two machines differ, so a point in time cannot be handed on; the time in transit
-is not subtracted and must be small against the deadline (gRPC's ``grpc-timeout`` does the
-same).
+Clocks of two machines differ, so a point in time cannot be propagated. The time in transit is not
+subtracted and must be small compared to the deadline, as with gRPC's ``grpc-timeout``.
 """
 
 import math
@@ -16,19 +15,19 @@
 
 
 class InvalidTimeoutError(DrumbayError):
-    """A remaining time is not a positive, finite number of seconds."""
+    """The remaining time is not a positive, finite number of seconds within the limit."""
 
     code = "invalid_timeout"
 
 
 class Deadline(msgspec.Struct, frozen=True, kw_only=True):
-    """Point on this process's monotonic clock by which an answer must be there."""
+    """Time on this process's monotonic clock by which an answer is needed."""
 
     expires_at: float
 
     @classmethod
     def after(cls, seconds: float, now: float) -> "Deadline":
-        """Return the deadline that lies ``seconds`` ahead."""
+        """Return the deadline in ``seconds`` from ``now``."""
         return cls(expires_at=now + seconds)
 
     def remaining_seconds(self, now: float) -> float:
@@ -39,12 +38,12 @@
         """Return whether the deadline has passed."""
         return now >= self.expires_at
 
-    def attempt_timeout_seconds(self, now: float, limit_seconds: float) -> float:
+    def attempt_timeout_seconds(self, now: float, timeout_seconds: float) -> float:
         """Return the time limit of one attempt: the remaining time, at most the limit."""
-        return min(self.remaining_seconds(now), limit_seconds)
+        return min(self.remaining_seconds(now), timeout_seconds)
 
     def shortened(self, seconds: float, now: float) -> "Deadline":
-        """Return the earlier of this deadline and one ``seconds`` ahead."""
+        """Return the earlier of this deadline and one in ``seconds`` from ``now``."""
         return Deadline(expires_at=min(self.expires_at, now + seconds))
 
     def header_value(self, now: float) -> str:
@@ -53,7 +52,7 @@
 
 
 def parse_timeout_seconds(text: str) -> float:
-    """Read the remaining seconds from a ``TIMEOUT_HEADER``.
+    """Parse the remaining seconds from the value of ``TIMEOUT_HEADER``.
 
     Raises:
         InvalidTimeoutError: Not a number, not finite, not positive, or over
--- a/drumbay/limits/demand.py
+++ b/drumbay/limits/demand.py
@@ -1,10 +1,10 @@
-"""Recent demand and service rate of one class of work, with the time passed in."""
+"""Sliding-window counter and peak, from which recent demand and service rates are estimated."""
 
 
 class RecentCounter:
     """Counts events over a sliding window, approximated by two fixed windows.
 
-    The count of the previous window is weighed by the part of it that the sliding window
+    The count of the previous window is weighted by the fraction of it that the sliding window
     still covers.
     """
 
@@ -40,7 +40,7 @@
 
 
 class RecentPeak:
-    """Largest value seen in the current and the previous window."""
+    """Tracks the largest value in the current and the previous window."""
 
     def __init__(self, window_seconds: float, now: float) -> None:
         """Create a peak of zero."""
@@ -50,12 +50,12 @@
         self._previous = 0
 
     def observe(self, now: float, value: int) -> None:
-        """Take in the value that holds from ``now`` on."""
+        """Record the value from ``now`` on."""
         self._advance(now, value)
         self._current = max(self._current, value)
 
     def peak(self, now: float, value: int) -> int:
-        """Return the peak at ``now``, given the value that holds now."""
+        """Return the peak at ``now``, given the current value."""
         self._advance(now, value)
         return max(self._current, self._previous, value)
 
--- a/drumbay/limits/engine_priority.py
+++ b/drumbay/limits/engine_priority.py
@@ -1,18 +1,18 @@
-"""Priorities that engines are given: live requests always go before rollouts.
+"""Priorities of requests at the engines: live requests go before rollouts.
 
-Engines take the request of the largest priority first. Rollouts use the priorities below
-``LIVE_PRIORITY_BASE`` among themselves; the priority of a live route is added to it, so that
-a route without a priority of its own goes before rollouts too.
+Engines schedule the request of the largest priority first. Rollouts use priorities below
+``LIVE_PRIORITY_BASE``; the priority of a live route is added to that base, so that even a route
+of priority 0 goes before rollouts.
 
-Strict priority alone would starve rollouts while live requests ask for more than an engine
-has. There the few rollouts of the share that the operator's weights guarantee go first.
+On an engine saturated by live requests, strict priority would starve rollouts. There, rollouts
+within the share guaranteed by the operator's weights go first.
 """
 
 LIVE_PRIORITY_BASE = 100
 GUARANTEED_PRIORITY = 1_000_000
-"""Added for rollouts within their guaranteed share of an engine that live requests fill."""
+"""Added for rollouts within their guaranteed share of an engine saturated by live requests."""
 
 
 def live_engine_priority(route_priority: int) -> int:
-    """Return the priority at the engine of a request of a live route."""
+    """Return the engine priority of requests of a live route."""
     return LIVE_PRIORITY_BASE + route_priority
--- a/drumbay/limits/engine_share.py
+++ b/drumbay/limits/engine_share.py
@@ -1,11 +1,10 @@
-"""How many of an engine's places rollouts may hold beside live requests.
-
-Rollouts hold a place for minutes and engines do not interrupt a running request, so a live
-request that finds all places taken waits for one to end, whatever its priority. Rollouts
-therefore get what a weighted max-min fair allocation (:mod:`drumbay.limits.fair_share`)
-leaves beside the recent live demand and a few places kept free for what comes next. On an
-engine that live requests have not used for a while they get all places; under sustained live
-demand they keep their weight's part.
+"""Computes how many slots of an engine rollouts may use beside live requests.
+
+Rollouts hold a slot for minutes and engines do not interrupt a running request, so a live
+request that finds all slots taken waits for one to end, whatever its priority. A weighted max-min
+fair allocation (:mod:`drumbay.limits.fair_share`) therefore reserves slots for the recent live
+demand plus some headroom, and rollouts get the rest. Rollouts may use the whole engine when it has
+had no live requests for a while, and keep their weighted share under sustained live demand.
 """
 
 import math
@@ -22,11 +21,11 @@
 
 
 class EngineObservation(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of one engine's load.
+    """Observed load of one engine.
 
     Attributes:
-        running: Requests in its batch by its last report.
-        waiting: Requests in its queue by its last report.
+        running: Running requests in its last report.
+        waiting: Queued requests in its last report.
         reported_rollouts: This node's rollouts that the report may contain.
         own_live: This node's live requests on it now.
         rollouts: This node's rollouts on it now.
@@ -45,14 +44,14 @@
 
 
 class EngineAllotment(msgspec.Struct, frozen=True, kw_only=True):
-    """What rollouts may do on one engine.
+    """Slots that rollouts may use on one engine.
 
     Attributes:
-        live_load: Requests of other work on it.
-        rollout_slots: Rollouts that may run there at once.
-        excess: Rollouts to stop now, because live requests wait for their places.
-        contended: Whether live requests ask for more than their share, so that the slots
-            are what the weights guarantee.
+        live_load: Requests on it that are not rollouts.
+        rollout_slots: Maximum number of concurrent rollouts.
+        excess: Rollouts to preempt now, because live requests wait for their slots.
+        contended: Whether live demand exceeds its share, so that rollouts get only the share
+            guaranteed by their weight.
     """
 
     live_load: int
@@ -62,21 +61,21 @@
 
 
 class EngineShare:
-    """Allots the places of one engine from what is observed over time."""
+    """Allots the slots of one engine, based on its observed load over time."""
 
     def __init__(self, sharing: EngineSharing, now: float) -> None:
-        """Create a share that has seen no demand."""
+        """Create a share without observed demand."""
         self._sharing = sharing
         self._live_peak = RecentPeak(DEMAND_WINDOW_SECONDS, now)
         self._last_live_at = -math.inf
 
     @property
     def sharing(self) -> EngineSharing:
-        """Return the operator's weights in use."""
+        """Return the configured sharing weights."""
         return self._sharing
 
     def allot(self, observation: EngineObservation, now: float) -> EngineAllotment:
-        """Take in an observation and return what rollouts may hold now."""
+        """Record an observation and return the slots that rollouts may use now."""
         live_load = observation.live_load
         self._live_peak.observe(now, live_load)
         demand = self._live_peak.peak(now, live_load) + self._headroom(live_load, now)
@@ -98,17 +97,17 @@
         sharing = self._sharing
         places = sharing.engine_places
         demands = (
-            ShareDemand(weight=sharing.live_weight, places=live_demand),
-            ShareDemand(weight=sharing.rollout_weight, places=places),
+            ShareDemand(weight=sharing.live_weight, amount=live_demand),
+            ShareDemand(weight=sharing.rollout_weight, amount=places),
         )
         live_places = fair_allocation(places, demands)[0]
         return places - math.floor(live_places)
 
     def _excess(self, observation: EngineObservation, slots: int) -> int:
-        """Return how many rollouts beyond their places keep live requests waiting."""
+        """Return how many rollouts over their share keep live requests waiting."""
         if not self._sharing.preempt:
             return 0
-        beyond = observation.rollouts - slots
-        crowded_out = observation.own_live + observation.rollouts - self._sharing.engine_places
-        waiting_live = max(observation.waiting, crowded_out)
-        return max(0, min(beyond, waiting_live))
+        over_share = observation.rollouts - slots
+        over_capacity = observation.own_live + observation.rollouts - self._sharing.engine_places
+        waiting_live = max(observation.waiting, over_capacity)
+        return max(0, min(over_share, waiting_live))
--- a/drumbay/limits/held_bytes.py
+++ b/drumbay/limits/held_bytes.py
@@ -1,50 +1,45 @@
-"""How many bytes a node may hold for its callers, and what goes without room first.
+"""Bounds the memory that a node uses for request bodies and answers of its callers.
 
-The load that this answers: many callers that send large bodies, or that read large answers slowly,
-at once. A process over its memory limit is killed, and takes every other request along.
-
-Pure: the caller says what it takes and gives back, and performs what is decided.
+Guards against running out of memory when many callers send large bodies or read large answers
+slowly. Only accounts and decides; the caller refuses requests and drops answers.
 """
 
 from enum import StrEnum
 
 import msgspec
 
-PROCESS_OWN_BYTES = 72_000_000
-"""What a process needs before it holds anything for callers: code, routes, workers, connections.
-About 45 MB are in use on a busy node; the rest is room for the batch jobs that it owns."""
+PROCESS_BASELINE_BYTES = 72_000_000
+"""Memory of the process without callers' bytes: code, routes, workers, connections, batch jobs."""
 
-HELD_SHARE_OF_MEMORY = 0.5
-"""Share of the remaining memory that callers' bytes may take. The other half is for copies that are
-made while bytes are decoded or sent, and for what workers send."""
+HELD_FRACTION_OF_MEMORY = 0.5
+"""Fraction of the remaining memory for callers' bytes. The rest is for temporary copies while bytes
+are decoded or sent, and for data received from workers."""
 
-SMALLEST_BOUND_BYTES = 8_000_000
-"""Even the smallest process serves several pages of results and usual lookups at once."""
+MIN_BOUND_BYTES = 8_000_000
+"""Lower limit of the bound, so that small processes can serve several requests at once."""
 
 REQUEST_OWN_BYTES = 32_768
-"""What an open request holds beside its body: its headers, tasks and connections."""
+"""Memory of an open request besides its body: headers, tasks, connections."""
 
 BODY_COPIES = 2
-"""How often the body of a request stands in memory: as it came, and decoded or on its way on."""
+"""Copies of a request body in memory: as received, and decoded or being forwarded."""
 
-OVERSIZED_WHILE_HELD_SHARE = 0.25
-"""A request larger than its kind's share could never be taken by the rule for the others. It is
-taken while at most this share of the bound is held, so that such requests pass one at a time."""
+MAX_HELD_FRACTION_FOR_OVERSIZED = 0.25
+"""A request larger than the bound of its kind is accepted only while other requests hold at most
+this fraction of the bound, so that oversized requests are served one at a time."""
 
-LONGEST_STILL_SECONDS = 20.0
-"""A connection over which nothing went for so long has nobody at its other end. Long against a
-partition of some seconds, after which a ready answer is still of use."""
+STALL_TIMEOUT_SECONDS = 20.0
+"""A connection without progress for this time is dropped; longer than short network partitions."""
 
-ANSWER_MEMORY_SHARE = 0.95
-"""What an expected size keeps with each answer that is smaller: a large one is remembered for some
-tens of answers, as routes mix small and large ones."""
+EXPECTED_SIZE_DECAY = 0.95
+"""Decay of the expected size with each smaller answer."""
 
-MOST_ROUTES_REMEMBERED = 256
-"""Expected sizes are kept for so many routes; the one that was longest without an answer goes."""
+MAX_TRACKED_ROUTES = 256
+"""Limit on the tracked routes; the least recently updated route is evicted."""
 
 
 class HeldKind(StrEnum):
-    """What bytes are held for."""
+    """Kind of request for which bytes are held."""
 
     RESULTS = "results"
     SUBMISSION = "submission"
@@ -52,129 +47,133 @@
 
 
 class ShedReason(StrEnum):
-    """Why a request was refused or its answer dropped."""
+    """Why a request was refused, or its answer dropped."""
 
     NO_ROOM = "no_room"
     NOT_READ = "not_read"
     NOT_SENT = "not_sent"
 
 
-BOUND_SHARES = {HeldKind.RESULTS: 0.5, HeldKind.SUBMISSION: 0.75, HeldKind.LOOKUP: 1.0}
-"""Up to which share of the bound each kind is taken. Results can be read again at any node at no
-loss, so they go first; a new batch job can be handed in again; a lookup has a caller who waits."""
+BOUND_FRACTIONS = {HeldKind.RESULTS: 0.5, HeldKind.SUBMISSION: 0.75, HeldKind.LOOKUP: 1.0}
+"""Fraction of the bound up to which each kind is accepted. Results are shed first, since they can
+be read again at any node; then submissions, which can be retried; lookups last."""
 
 PRESSED_STILL_SECONDS = {
     HeldKind.RESULTS: 2.0,
     HeldKind.SUBMISSION: 5.0,
     HeldKind.LOOKUP: 5.0,
 }
-"""How long an answer may lie unread, or a body stop coming, while others are refused for want of
-room. Sending stands still for a second or two when packets are lost; a page of results costs its
-reader only another call."""
+"""Stall timeouts while other requests are refused for lack of memory. They allow for pauses of a
+second or two by packet loss."""
 
 
-class HeldBytesUse(msgspec.Struct, frozen=True, kw_only=True):
-    """What is held, for a log line."""
+class HeldBytesUsage(msgspec.Struct, frozen=True, kw_only=True):
+    """Bytes held and their bound."""
 
     held_bytes: int
     bound_bytes: int | None
 
 
 class HeldBytes:
-    """Counts the bytes held by kind, and decides what is taken and who is given up."""
+    """Accounts for held bytes by kind; decides which requests to accept and which to drop."""
 
     def __init__(self, bound_bytes: int | None) -> None:
-        """Keep below a bound; ``None`` counts only."""
+        """Create an account with a bound; ``None`` for no bound."""
         self._bound_bytes = bound_bytes
         self._held = dict.fromkeys(HeldKind, 0)
 
     @property
-    def use(self) -> HeldBytesUse:
-        """Return what is held of which bound."""
-        return HeldBytesUse(held_bytes=self._total(), bound_bytes=self._bound_bytes)
+    def use(self) -> HeldBytesUsage:
+        """Return the bytes held in total, and the bound."""
+        return HeldBytesUsage(held_bytes=self._total(), bound_bytes=self._bound_bytes)
 
     def held(self, kind: HeldKind) -> int:
         """Return the bytes held of one kind."""
         return self._held[kind]
 
-    def try_take(self, kind: HeldKind, amount_bytes: int, own_bytes: int = 0) -> bool:
-        """Take bytes if there is room.
+    def try_take(self, kind: HeldKind, amount_bytes: int, already_held_bytes: int = 0) -> bool:
+        """Reserve bytes if they fit the bound; return whether they did.
 
-        ``own_bytes`` is what the same request holds already: it makes a large request oversized,
-        and does not stand in its own way.
+        ``already_held_bytes`` is what the same request holds already. It counts toward the size of
+        an oversized request, but not toward what other requests hold.
         """
-        if not self._has_room(kind, amount_bytes, own_bytes):
+        if not self._fits(kind, amount_bytes, already_held_bytes):
             return False
         self.take(kind, amount_bytes)
         return True
 
     def take(self, kind: HeldKind, amount_bytes: int) -> None:
-        """Take bytes whether or not there is room: an answer that is ready is delivered."""
+        """Reserve bytes regardless of the bound, as for an answer that is ready to be sent."""
         self._held[kind] += amount_bytes
 
     def release(self, kind: HeldKind, amount_bytes: int) -> None:
-        """Give bytes back."""
+        """Release reserved bytes."""
         self._held[kind] -= amount_bytes
 
-    def gives_up(self, kind: HeldKind, still_seconds: float, *, leaving: bool) -> bool:
-        """Return whether what is held is given up, after nothing of it moved for some time.
+    def gives_up(self, kind: HeldKind, stalled_seconds: float, *, leaving: bool) -> bool:
+        """Return whether to drop an unread answer or an incomplete body that is stalled.
 
-        It is an answer of which nothing was read, or a body of which nothing came.
-        A node that is ``leaving`` waits for readers that read, not for others.
+        Args:
+            kind: The kind of the request.
+            stalled_seconds: Time since the last byte was sent or received.
+            leaving: Whether the node is shutting down; the shorter timeouts apply then.
         """
-        is_pressed = leaving or self._is_pressed()
-        limit_seconds = PRESSED_STILL_SECONDS[kind] if is_pressed else LONGEST_STILL_SECONDS
-        return still_seconds >= limit_seconds
+        is_under_pressure = leaving or self._is_under_pressure()
+        timeout_seconds = (
+            PRESSED_STILL_SECONDS[kind] if is_under_pressure else STALL_TIMEOUT_SECONDS
+        )
+        return stalled_seconds >= timeout_seconds
 
-    def _has_room(self, kind: HeldKind, amount_bytes: int, own_bytes: int) -> bool:
+    def _fits(self, kind: HeldKind, amount_bytes: int, already_held_bytes: int) -> bool:
         if self._bound_bytes is None:
             return True
-        limit_bytes = BOUND_SHARES[kind] * self._bound_bytes
+        limit_bytes = BOUND_FRACTIONS[kind] * self._bound_bytes
         if self._total() + amount_bytes <= limit_bytes:
             return True
-        others_bytes = self._total() - own_bytes
-        is_oversized = own_bytes + amount_bytes > limit_bytes - self._oversized_while_held_bytes()
-        return is_oversized and others_bytes <= self._oversized_while_held_bytes()
+        others_bytes = self._total() - already_held_bytes
+        is_oversized = (
+            already_held_bytes + amount_bytes > limit_bytes - self._max_held_for_oversized_bytes()
+        )
+        return is_oversized and others_bytes <= self._max_held_for_oversized_bytes()
 
-    def _oversized_while_held_bytes(self) -> float:
-        return OVERSIZED_WHILE_HELD_SHARE * (self._bound_bytes or 0)
+    def _max_held_for_oversized_bytes(self) -> float:
+        return MAX_HELD_FRACTION_FOR_OVERSIZED * (self._bound_bytes or 0)
 
-    def _is_pressed(self) -> bool:
-        """Return whether the kind that goes first is refused already."""
+    def _is_under_pressure(self) -> bool:
+        """Return whether the kind that is shed first is refused already."""
         if self._bound_bytes is None:
             return False
-        return self._total() >= BOUND_SHARES[HeldKind.RESULTS] * self._bound_bytes
+        return self._total() >= BOUND_FRACTIONS[HeldKind.RESULTS] * self._bound_bytes
 
     def _total(self) -> int:
         return sum(self._held.values())
 
 
 class ExpectedAnswerSizes:
-    """How large the answers of each route are to be expected, from those that came of late.
+    """Estimates the answer size of each route from recent answers.
 
-    The size of an answer is known when it is there, and then it is delivered: room for it has to be
-    set aside when its request is taken.
+    Memory for an answer is reserved when its request is accepted, before the size is known.
     """
 
     def __init__(self) -> None:
-        """Expect nothing yet."""
+        """Create an estimator without observations."""
         self._sizes: dict[str, float] = {}
 
     def expected_bytes(self, route_name: str) -> int:
-        """Return the expected size; 0 where nothing is known."""
+        """Return the expected size; 0 for an unknown route."""
         return int(self._sizes.get(route_name, 0.0))
 
     def observe(self, route_name: str, size_bytes: int) -> None:
-        """Take the size of an answer."""
-        remembered = self._sizes.pop(route_name, 0.0) * ANSWER_MEMORY_SHARE
-        self._sizes[route_name] = max(float(size_bytes), remembered)
-        if len(self._sizes) > MOST_ROUTES_REMEMBERED:
+        """Record the size of an answer."""
+        decayed_bytes = self._sizes.pop(route_name, 0.0) * EXPECTED_SIZE_DECAY
+        self._sizes[route_name] = max(float(size_bytes), decayed_bytes)
+        if len(self._sizes) > MAX_TRACKED_ROUTES:
             del self._sizes[next(iter(self._sizes))]
 
 
 def held_bytes_bound(memory_bytes: int | None) -> int | None:
-    """Return how much a process may hold for callers; ``None`` where no limit is named."""
+    """Return the bound on held bytes for a memory limit; ``None`` for no limit."""
     if memory_bytes is None:
         return None
-    share_bytes = HELD_SHARE_OF_MEMORY * (memory_bytes - PROCESS_OWN_BYTES)
-    return max(SMALLEST_BOUND_BYTES, int(share_bytes))
+    bound_bytes = HELD_FRACTION_OF_MEMORY * (memory_bytes - PROCESS_BASELINE_BYTES)
+    return max(MIN_BOUND_BYTES, int(bound_bytes))
--- a/drumbay/limits/retry_budget.py
+++ b/drumbay/limits/retry_budget.py
@@ -1,8 +1,8 @@
-"""Budget that bounds retries to a share of the requests.
+"""Budget that bounds retries to a fraction of the requests.
 
-Each first attempt deposits a share of one retry and each retry withdraws a whole one, as in
-Finagle's ``RetryBudget``. When a large part of the requests fails, the load on the back
-ends then grows by that share only, where retrying each failure would multiply it.
+Each first attempt deposits a fraction of a retry and each retry withdraws a whole one, as in
+Finagle's ``RetryBudget``. This prevents a retry storm: when many requests fail, the load on the
+back ends grows by that fraction only.
 """
 
 import msgspec
@@ -15,8 +15,8 @@
 
     Attributes:
         retry_ratio: Retries earned by one request.
-        min_retries_per_second: Retries earned without any request, for low traffic.
-        max_balance: Most retries that can be saved up; also the balance at the start.
+        min_retries_per_second: Retries earned per second regardless of requests, for low traffic.
+        max_balance: Maximum balance, which is also the initial one.
     """
 
     retry_ratio: float = 0.1
@@ -39,5 +39,5 @@
         self._balance.add(now, self._retry_ratio)
 
     def try_withdraw(self, now: float) -> bool:
-        """Take one retry from the budget; False if it is spent."""
+        """Withdraw one retry; return whether the balance sufficed."""
         return self._balance.try_take(now)
--- a/drumbay/limits/token_bucket.py
+++ b/drumbay/limits/token_bucket.py
@@ -1,8 +1,6 @@
-"""A token bucket whose time is passed in.
+"""Token bucket whose current time is an argument, so that simulations control the clock.
 
-Written here because ``aiolimiter``, ``token-bucket`` and ``limits`` read the clock
-themselves, which would make simulations depend on real time, and ``pyrate-limiter`` keeps
-one entry per event and takes no deposits; see ``docs/design/limits.md``.
+``docs/design/limits.md`` compares it with libraries.
 """
 
 
@@ -19,7 +17,7 @@
         self._updated_at = now
 
     def available(self, now: float) -> float:
-        """Return the tokens that can be taken at ``now``; time that went back is ignored."""
+        """Return the tokens available at ``now``; a clock that moves backwards is ignored."""
         if now > self._updated_at:
             refill = (now - self._updated_at) * self._rate_per_second
             self._tokens = min(self._capacity, self._tokens + refill)
@@ -38,7 +36,7 @@
         self._tokens = min(self._capacity, self.available(now) + amount)
 
     def seconds_until(self, now: float, amount: float = 1.0) -> float:
-        """Return the seconds until ``amount`` tokens are there, without other takers."""
+        """Return the seconds until ``amount`` tokens are available if no others are taken."""
         missing = amount - self.available(now)
         if missing <= 0:
             return 0.0
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits hold under any order of events, and unused capacity is not held back."""
+"""Admission limits, fair shares, retry budgets, circuit breakers and deadlines."""
 
 import random
 import unittest
@@ -43,8 +43,8 @@
     )
 
 
-class AdmissionWithoutShares(AdmissionController):
-    """Test-only fault: whoever comes first takes the places."""
+class AdmissionWithoutFairShare(AdmissionController):
+    """Injected fault: slots go to the first requests regardless of fair shares."""
 
     def _is_within_share(self, route_kind: RouteKind, held: int, now: float) -> bool:
         del route_kind, held, now
@@ -59,7 +59,7 @@
     policy = AdmissionPolicy(
         max_in_flight=CAPACITY,
         class_weights=ClassWeights(live=3.0, application=0.0, rollout=1.0),
-        headroom_places=headroom,
+        headroom_slots=headroom,
     )
     admission = controller_type(policy, 0.0)
     for limits in routes:
@@ -101,8 +101,8 @@
             self.assertLessEqual(live_starts, 5.0 * now + 5.0 + 1e-6)
         self.assertEqual(admission.in_flight, len(permits))
 
-    def saturate(self, admission: AdmissionController, seconds: float) -> dict[str, int]:
-        """Offer both classes more than fits; each request takes 0.1 s. Returns completions."""
+    def run_saturated(self, admission: AdmissionController, seconds: float) -> dict[str, int]:
+        """Overload both classes with requests of 0.1 s; return the completions by class."""
         generator = random.Random(3)
         ends: list[tuple[float, Permit]] = []
         done = {"live": 0, "rollout": 0}
@@ -119,23 +119,23 @@
         return done
 
     def test_saturated_classes_share_by_weight(self) -> None:
-        shared = self.saturate(controller(LIVE, ROLLOUT), 10.0)
+        shared = self.run_saturated(controller(LIVE, ROLLOUT), 10.0)
         self.assertAlmostEqual(shared["live"] / shared["rollout"], 3.0, delta=0.4)
-        unshared = controller(LIVE, ROLLOUT, controller_type=AdmissionWithoutShares)
-        done = self.saturate(unshared, 10.0)
+        without_shares = controller(LIVE, ROLLOUT, controller_type=AdmissionWithoutFairShare)
+        done = self.run_saturated(without_shares, 10.0)
         self.assertLess(done["live"] / done["rollout"], 1.5)
 
-    def test_one_class_may_use_what_the_other_does_not_ask_for(self) -> None:
+    def test_class_may_use_capacity_unused_by_others(self) -> None:
         admission = controller(LIVE, ROLLOUT, headroom=0)
         outcomes = [admission.try_admit("rollout", 0.1) for _ in range(CAPACITY + 1)]
         self.assertEqual(sum(isinstance(entry, Permit) for entry in outcomes), CAPACITY)
 
-    def test_a_returning_class_gets_its_share_back(self) -> None:
+    def test_returning_class_regains_its_share(self) -> None:
         admission = controller(LIVE, ROLLOUT, headroom=0)
         permits = [admission.try_admit("rollout", 0.0) for _ in range(CAPACITY)]
         for _ in range(30):
             self.assertIsInstance(admission.try_admit("live", 0.1), Refusal)
-        self.assertEqual(admission.excess_places(RouteKind.ROLLOUT, 0.1), 15)
+        self.assertEqual(admission.excess_slots(RouteKind.ROLLOUT, 0.1), 15)
         for permit in permits[:15]:
             assert isinstance(permit, Permit)
             admission.release(permit, 0.2)
@@ -164,7 +164,7 @@
         self.assertAlmostEqual(waits[0], 0.1, delta=0.02)
         self.assertAlmostEqual(waits[1], 1.0, delta=0.2)
 
-    def test_last_places_are_kept_for_priority(self) -> None:
+    def test_last_slots_are_reserved_for_priority(self) -> None:
         urgent = route_limits("urgent", RouteKind.LIVE, priority=5)
         admission = controller(LIVE, urgent, headroom=0)
         admitted = 0
@@ -182,19 +182,19 @@
     @settings(derandomize=True, max_examples=150, deadline=None)
     @given(st.lists(st.tuples(st.floats(0.1, 9), st.floats(0, 50)), min_size=1, max_size=4))
     def test_allocation_is_work_conserving(self, pairs: list[tuple[float, float]]) -> None:
-        demands = [ShareDemand(weight=weight, places=places) for weight, places in pairs]
+        demands = [ShareDemand(weight=weight, amount=amount) for weight, amount in pairs]
         allocation = fair_allocation(20.0, demands)
-        wanted = sum(demand.places for demand in demands)
+        wanted = sum(demand.amount for demand in demands)
         self.assertAlmostEqual(sum(allocation), min(20.0, wanted), places=6)
         total_weight = sum(demand.weight for demand in demands)
-        for demand, given_places in zip(demands, allocation, strict=True):
+        for demand, allocated in zip(demands, allocation, strict=True):
             guarantee = 20.0 * demand.weight / total_weight
-            self.assertGreaterEqual(given_places + 1e-6, min(demand.places, guarantee))
+            self.assertGreaterEqual(allocated + 1e-6, min(demand.amount, guarantee))
 
 
 class RetryBudgetTest(unittest.TestCase):
     def attempts_in_outage(self, budget: RetryBudget | None) -> int:
-        """Send 1000 requests in 10 s to back ends that fail; each may be tried 4 times."""
+        """Send 1000 requests in 10 s to failing back ends, with up to 4 attempts each."""
         attempts = 0
         for number in range(1000):
             now = number * 0.01
@@ -228,7 +228,7 @@
                 retries += budget.try_withdraw(now)
             self.assertLessEqual(retries, 0.5 * requests + 0.2 * now + 3.0 + 1e-6)
 
-    def test_time_that_goes_back_gives_no_tokens(self) -> None:
+    def test_backward_clock_adds_no_tokens(self) -> None:
         bucket = TokenBucket(rate_per_second=1.0, capacity=1.0, now=10.0)
         self.assertTrue(bucket.try_take(10.0))
         self.assertFalse(bucket.try_take(5.0))
@@ -274,7 +274,7 @@
         breaker.record_failure(permits[4], 1.5)
         self.assertEqual(breaker.state(1.5), CircuitState.HALF_OPEN)
 
-    def test_probe_without_outcome_gives_its_place_back(self) -> None:
+    def test_probe_without_outcome_releases_its_permit(self) -> None:
         breaker = self.open_breaker()
         probe = breaker.try_acquire(1.0)
         assert probe is not None
@@ -297,12 +297,12 @@
 
 
 class DeadlineTest(unittest.TestCase):
-    def test_remaining_time_only_shrinks(self) -> None:
+    def test_remaining_time_never_grows(self) -> None:
         deadline = Deadline.after(5.0, now=100.0)
-        handed_on = Deadline.after(parse_timeout_seconds(deadline.header_value(102.0)), now=7.0)
-        self.assertAlmostEqual(handed_on.remaining_seconds(7.0), 3.0)
-        self.assertEqual(handed_on.shortened(9.0, 7.0), handed_on)
-        self.assertEqual(handed_on.attempt_timeout_seconds(7.0, 1.0), 1.0)
+        propagated = Deadline.after(parse_timeout_seconds(deadline.header_value(102.0)), now=7.0)
+        self.assertAlmostEqual(propagated.remaining_seconds(7.0), 3.0)
+        self.assertEqual(propagated.shortened(9.0, 7.0), propagated)
+        self.assertEqual(propagated.attempt_timeout_seconds(7.0, 1.0), 1.0)
         self.assertTrue(deadline.is_expired(105.0))
         self.assertEqual(deadline.remaining_seconds(106.0), 0.0)
 
--- a/tests/test_worker_bodies.py
+++ b/tests/test_worker_bodies.py
@@ -1,4 +1,4 @@
-"""Large bodies on their way to workers: no more at one worker than it can be expected to bear."""
+"""Large request bodies in flight to one worker are limited."""
 
 import asyncio
 import unittest
@@ -9,7 +9,7 @@
 from drumbay.forwarding.routes import RequestKind
 from drumbay.limits import worker_bodies
 from drumbay.limits.worker_bodies import (
-    MOST_BODY_BYTES_TO_ONE_WORKER,
+    MAX_BODY_BYTES_PER_WORKER,
     SMALL_BODY_BYTES,
     may_send_body,
 )
@@ -19,8 +19,8 @@
 
 
 class WorkerBodiesTest(unittest.TestCase):
-    def test_what_may_be_sent(self) -> None:
-        most = MOST_BODY_BYTES_TO_ONE_WORKER
+    def test_may_send_body(self) -> None:
+        most = MAX_BODY_BYTES_PER_WORKER
         large = SMALL_BODY_BYTES + 1
         table = [
             (0, 10, True),
@@ -30,12 +30,12 @@
             (5 * most, large, False),
             (5 * most, SMALL_BODY_BYTES, True),
         ]
-        for under_way_bytes, body_bytes, may_send in table:
-            with self.subTest(under_way_bytes=under_way_bytes, body_bytes=body_bytes):
-                self.assertEqual(may_send_body(under_way_bytes, body_bytes), may_send)
+        for in_flight_bytes, body_bytes, may_send in table:
+            with self.subTest(in_flight_bytes=in_flight_bytes, body_bytes=body_bytes):
+                self.assertEqual(may_send_body(in_flight_bytes, body_bytes), may_send)
 
     def test_large_bodies_do_not_pile_up_at_full_workers(self) -> None:
-        """Nine bodies of six bytes before three workers that take ten each: three are sent."""
+        """Of nine bodies of six bytes, three workers with a limit of ten bytes get one each."""
 
         async def scenario(world: ServingWorld) -> None:
             for number in range(3):
@@ -56,7 +56,7 @@
             self.assertEqual(again.body, b"body-9")
 
         with (
-            mock.patch.object(worker_bodies, "MOST_BODY_BYTES_TO_ONE_WORKER", 10),
+            mock.patch.object(worker_bodies, "MAX_BODY_BYTES_PER_WORKER", 10),
             mock.patch.object(worker_bodies, "SMALL_BODY_BYTES", 0),
         ):
             play(scenario)
