--- a/drumbay/quarantine/__init__.py
+++ b/drumbay/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps a request that crashes its workers away from them."""
+"""Quarantine of requests that crash their workers."""
--- a/drumbay/quarantine/fingerprint.py
+++ b/drumbay/quarantine/fingerprint.py
@@ -1,25 +1,25 @@
-"""What tells that two tries, at any node, are tries of the same request."""
+"""Fingerprint that identifies a request across retries and nodes."""
 
 import hashlib
 from typing import NewType
 
 Fingerprint = NewType("Fingerprint", str)
-"""Hexadecimal digest of what a request asks for and who asks."""
+"""Hexadecimal digest of the content of a request and its caller."""
 
 DIGEST_BYTES = 8
-"""Two of a million requests share a digest of 64 bits with a chance of 3 in 10^8 (n^2 / 2^65)."""
+"""With 64 bits, a collision among a million requests has a probability of 3e-8 (n^2 / 2^65)."""
 
 
 def fingerprint_of(*, caller: str, method: str, host: str, target: str, body: bytes) -> Fingerprint:
     """Return the fingerprint of a request.
 
-    Ids, deadlines and other headers differ from try to try and do not count.
+    Ids, deadlines and other headers differ between retries and are not included.
 
     Args:
-        caller: The tenant, or the address where callers have no keys; empty for requests of the
-            system's own and for items without a tenant.
-        method: The method.
-        host: The host that it names.
+        caller: The tenant, or the address of a caller without a key; empty for internal requests
+            and for items without a tenant.
+        method: HTTP method.
+        host: Requested host.
         target: Path and query.
         body: The whole body.
     """
--- a/drumbay/quarantine/records.py
+++ b/drumbay/quarantine/records.py
@@ -1,4 +1,4 @@
-"""Deaths of workers under requests, and what is decided about the next run of a request."""
+"""Crashes of workers under requests, and decisions about the next run of a request."""
 
 from enum import StrEnum
 
@@ -10,17 +10,22 @@
 
 
 class WorkerKind(msgspec.Struct, frozen=True, order=True):
-    """Workers that a request may find alike: one service, one release of its software."""
+    """Service and software release of a worker."""
 
     service: str
     release: str
 
 
-class WorkerDeath(msgspec.Struct, frozen=True, kw_only=True):
-    """A start of a worker that ended while it ran a request.
+class WorkerCrash(msgspec.Struct, frozen=True, kw_only=True):
+    """A crash of a worker while it ran a request. Times are monotonic seconds of this node.
 
-    ``started_at_ms`` tells the starts of a worker apart, 0 where it does not tell. The other times
-    are monotonic seconds of this node; ``learnt_at`` is when it learnt of the death.
+    Attributes:
+        worker_id: The worker.
+        kind: Service and release of the worker.
+        began_at: When the run began.
+        ended_at: When the run ended without an answer.
+        started_at_ms: Identifies the start of the worker; 0 if unknown.
+        learned_at: When this node learned of the crash.
     """
 
     worker_id: BackendId
@@ -28,16 +33,16 @@
     began_at: float
     ended_at: float
     started_at_ms: int = 0
-    learnt_at: float = float("-inf")
+    learned_at: float = float("-inf")
 
     @property
     def start(self) -> WorkerStart:
-        """Return which start of which worker ended."""
+        """Return the worker start that crashed."""
         return WorkerStart(worker_id=self.worker_id, started_at_ms=self.started_at_ms)
 
 
-class ToldDeath(msgspec.Struct, frozen=True, kw_only=True):
-    """A death as nodes tell each other: its times are ages, since clocks differ."""
+class CrashReport(msgspec.Struct, frozen=True, kw_only=True):
+    """A crash as reported between nodes, with ages instead of times since clocks differ."""
 
     worker_id: BackendId
     kind: WorkerKind
@@ -46,50 +51,50 @@
     started_at_ms: int = 0
 
     @classmethod
-    def of(cls, death: WorkerDeath, now: float) -> "ToldDeath":
-        """Return a death as it is told at a monotonic time."""
+    def of(cls, crash: WorkerCrash, now: float) -> "CrashReport":
+        """Return the report of a crash at a monotonic time."""
         return cls(
-            worker_id=death.worker_id,
-            kind=death.kind,
-            began_seconds_ago=now - death.began_at,
-            ended_seconds_ago=now - death.ended_at,
-            started_at_ms=death.started_at_ms,
+            worker_id=crash.worker_id,
+            kind=crash.kind,
+            began_seconds_ago=now - crash.began_at,
+            ended_seconds_ago=now - crash.ended_at,
+            started_at_ms=crash.started_at_ms,
         )
 
-    def heard(self, now: float) -> WorkerDeath:
-        """Return the death as it is kept by a node that hears of it now."""
-        return WorkerDeath(
+    def to_crash(self, now: float) -> WorkerCrash:
+        """Return the crash at a node that receives the report now."""
+        return WorkerCrash(
             worker_id=self.worker_id,
             kind=self.kind,
             began_at=now - self.began_seconds_ago,
             ended_at=now - self.ended_seconds_ago,
             started_at_ms=self.started_at_ms,
-            learnt_at=now,
+            learned_at=now,
         )
 
 
 class RequestSuspected(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Notice: workers have ended under a request."""
+    """Notice: workers crashed under a request."""
 
     fingerprint: Fingerprint
-    deaths: tuple[ToldDeath, ...]
+    deaths: tuple[CrashReport, ...]
 
 
 class RequestProvedSound(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Notice: a worker has answered a request under which others had ended."""
+    """Notice: a worker answered a request under which others had crashed."""
 
     fingerprint: Fingerprint
 
 
 class WorkerProvedAlive(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Notice: a start of a worker that was taken for ended lives."""
+    """Notice: a worker start that was reported as crashed is alive."""
 
     worker_id: BackendId
     started_at_ms: int = 0
 
     @property
     def start(self) -> WorkerStart:
-        """Return which start of which worker lives."""
+        """Return the worker start that is alive."""
         return WorkerStart(worker_id=self.worker_id, started_at_ms=self.started_at_ms)
 
 
@@ -97,17 +102,17 @@
 
 
 class Decision(StrEnum):
-    """What becomes of the next run of a request."""
+    """Whether the next run of a request may start."""
 
     RUN = "run"
     WAIT = "wait"
-    """Something is under way that decides it within tenths of a second."""
+    """The outcome of another run or check is awaited, for a fraction of a second."""
     HOLD = "hold"
-    """It must not run now."""
+    """The request is quarantined or too few workers are available."""
 
 
 class Reason(StrEnum):
-    """Why a request waits or is held back."""
+    """Why a request waits or is held."""
 
     NONE = "none"
     RUN_UNDER_WAY = "run_under_way"
@@ -117,9 +122,14 @@
 
 
 class Verdict(msgspec.Struct, frozen=True, kw_only=True):
-    """A decision; a request that is held may come back after ``retry_after_seconds``.
+    """A decision with its reason.
 
-    A run must not go to a worker of ``apart_from``, where another request runs that may end it.
+    Attributes:
+        decision: The decision.
+        reason: Why the request waits or is held.
+        deaths_in_a_row: Consecutive crashes under the request.
+        retry_after_seconds: When a held request may be retried.
+        apart_from: Workers to avoid, since they run other requests that may crash them.
     """
 
     decision: Decision
@@ -129,13 +139,13 @@
     apart_from: frozenset[BackendId] = frozenset()
 
 
-class ServiceOutlook(msgspec.Struct, frozen=True, kw_only=True):
+class WorkerAvailability(msgspec.Struct, frozen=True, kw_only=True):
     """The workers that a request could run on.
 
     Attributes:
-        ready: Workers that discovery calls ready.
-        available: Those of them that get new requests now.
-        kinds: The kinds of these.
+        ready: Number of ready workers.
+        available: Number of ready workers that accept new requests now.
+        kinds: Kinds of the available workers.
     """
 
     ready: int
@@ -143,13 +153,13 @@
     kinds: frozenset[WorkerKind]
 
 
-class Activity(msgspec.Struct, frozen=True, kw_only=True):
-    """What this node has under way that bears on a request.
+class RequestActivity(msgspec.Struct, frozen=True, kw_only=True):
+    """Runs and checks in progress at this node that affect a request.
 
     Attributes:
         runs: Runs of the same request.
-        trials: Runs of any request that has ended two workers in a row or more.
-        checks: Runs of the same request that broke, whose workers are being asked.
+        trials: Runs of any request with at least two consecutive crashes.
+        checks: Failed runs of the same request whose workers are being checked.
     """
 
     runs: int = 0
--- a/drumbay/quarantine/service.py
+++ b/drumbay/quarantine/service.py
@@ -1,14 +1,14 @@
-"""Keeps a request that crashes its workers away from them, at one node.
+"""Quarantine of requests that crash their workers, at one node.
 
-A run that ends without an answer is no evidence by itself: resets, lost answers and cuts do the
-same. Its worker is looked at over a new connection. If nobody listens there, or another worker has
-the address by the time the request comes again, or it has started again under its id, it has ended
-under it. Deaths are told to every node at once, and kept in the store for nodes that start later.
+A run without an answer may be due to a network fault, so its worker is checked over a new
+connection. The worker crashed if the connection is refused, or if it was replaced at its address
+or restarted by the time of the next run. Crashes are broadcast to all nodes and stored for nodes
+that start later.
 
-A worker that was taken for ended takes its deaths back. Where workers tell their starts, an answer
-proves nothing: it may come from the next start, of which discovery tells some time later, or may
-have been sent before the worker ended and read after that. The worker is then asked for a report,
-which names its start. Only one that was asked for after this node learnt of the death counts.
+A crash is withdrawn when its worker turns out to be alive. If workers report their start times, an
+answer is not sufficient: it may come from a restarted worker, or may have been sent before the
+crash. The worker is then asked for a status report, which identifies its start. Only a report
+requested after this node learned of the crash counts.
 """
 
 from collections import Counter
@@ -23,15 +23,15 @@
 from drumbay.quarantine.fingerprint import Fingerprint
 from drumbay.quarantine.ledger import DEATHS_UNTIL_TRIAL, QuarantineLedger
 from drumbay.quarantine.records import (
-    Activity,
+    CrashReport,
     Decision,
     QuarantineNotice,
+    RequestActivity,
     RequestProvedSound,
     RequestSuspected,
-    ServiceOutlook,
-    ToldDeath,
     Verdict,
-    WorkerDeath,
+    WorkerAvailability,
+    WorkerCrash,
     WorkerKind,
     WorkerProvedAlive,
 )
@@ -40,42 +40,39 @@
 from drumbay.workers.interface import WorkerClient
 from drumbay.workers.records import Listening, Worker, WorkerError, WorkerStart
 
-SUSPICION_SECONDS = 30.0
-"""How long a run that broke may still turn out to have ended its worker: workers are back within
-seconds, and their entries lapse within some heartbeats."""
+SUSPICION_TIMEOUT_SECONDS = 30.0
+"""Time after a run without an answer in which a replaced worker counts as crashed by it."""
 
-REPORT_PAUSE_SECONDS = 1.0
-"""A worker that was taken for ended and answers is asked for its start so often: a report costs a
-call, and such a worker may have many answers a second."""
+REPORT_REQUEST_INTERVAL_SECONDS = 1.0
+"""Minimum interval between two report requests to the same worker."""
 
-MOST_SUSPICIONS = 1_024
-MOST_RUNS_OF_A_SUSPICION = 8
-"""Requests, and broken runs of each; while answers get lost in numbers, the oldest are forgotten
-first. At 203 bytes a run (measured over 8,192 runs by tracemalloc), 1.7 MB at the most."""
+MAX_SUSPICIONS = 1_024
+MAX_RUNS_PER_SUSPICION = 8
+"""Bounds on the suspected requests and on the runs of each; the oldest are dropped first."""
 
 
-class _BrokenRun(msgspec.Struct, frozen=True, kw_only=True):
-    """A run without an answer, whose worker may have ended. Times are monotonic seconds."""
+class _UnansweredRun(msgspec.Struct, frozen=True, kw_only=True):
+    """A run without an answer, whose worker may have crashed. Times are monotonic seconds."""
 
     request_id: str
     worker: Worker
     began_at: float
-    broke_at: float
+    failed_at: float
 
-    def death(self, now: float) -> WorkerDeath:
-        """Return the death of its worker, as it is learnt of now."""
-        return WorkerDeath(
+    def crash(self, now: float) -> WorkerCrash:
+        """Return the crash of its worker, learned of now."""
+        return WorkerCrash(
             worker_id=self.worker.worker_id,
             kind=_kind(self.worker),
             began_at=self.began_at,
-            ended_at=self.broke_at,
+            ended_at=self.failed_at,
             started_at_ms=self.worker.started_at_ms,
-            learnt_at=now,
+            learned_at=now,
         )
 
 
 class Quarantine:
-    """Says whether a request may run, from what this node and others have seen of it."""
+    """Decides whether a request may run, based on crashes seen by all nodes."""
 
     def __init__(
         self,
@@ -86,15 +83,15 @@
         metrics: ServingMetrics,
         tell: Callable[[QuarantineNotice], None],
     ) -> None:
-        """Create a quarantine that holds nothing.
+        """Create an empty quarantine.
 
         Args:
             clock: Time.
             directory: The workers.
-            client: Looks whether a worker listens.
-            task_owner: Runs these looks.
-            metrics: Counts deaths and held requests.
-            tell: Tells every other node.
+            client: Checks whether a worker accepts connections.
+            task_owner: Runs the checks.
+            metrics: Counts crashes and held requests.
+            tell: Sends a notice to every other node.
         """
         self.ledger = QuarantineLedger()
         self._clock = clock
@@ -102,30 +99,30 @@
         self._client = client
         self._task_owner = task_owner
         self._metrics = metrics
-        self._tell = tell
+        self._broadcast = tell
         self._listeners: list[Callable[[Fingerprint, bool], None]] = []
         self._runs: dict[Fingerprint, list[BackendId]] = {}
         self._checks: Counter[Fingerprint] = Counter()
-        self._suspicions: dict[Fingerprint, list[_BrokenRun]] = {}
-        self._asked_at: dict[WorkerStart, float] = {}
-        directory.add_report_listener(self._note_report)
+        self._suspicions: dict[Fingerprint, list[_UnansweredRun]] = {}
+        self._report_requested_at: dict[WorkerStart, float] = {}
+        directory.add_report_listener(self._on_report)
 
     def add_listener(self, listener: Callable[[Fingerprint, bool], None]) -> None:
-        """Call ``listener`` after each change of a request, with whether this node saw why."""
+        """Call ``listener`` after each change of a request, with whether it originated here."""
         self._listeners.append(listener)
 
     @property
     def is_idle(self) -> bool:
-        """Return whether every request may run: nothing is known of any."""
+        """Return whether no request is recorded or suspected, so that every request may run."""
         return self.ledger.is_empty and not self._checks and not self._suspicions
 
     @property
-    def suspicions(self) -> int:
-        """Return of how many requests a run broke lately whose worker may have ended."""
+    def suspected_requests(self) -> int:
+        """Return the number of requests with a recent run whose worker may have crashed."""
         return len(self._suspicions)
 
     def knows(self, fingerprint: Fingerprint) -> bool:
-        """Return whether anything is known of a request."""
+        """Return whether a request is recorded, suspected or being checked."""
         return (
             fingerprint in self.ledger
             or fingerprint in self._checks
@@ -140,44 +137,44 @@
         Args:
             fingerprint: The request.
             service: The service.
-            starting: Requests under which workers have ended in a row that are about to run.
+            starting: Number of other trials that are about to start.
         """
         if not self.knows(fingerprint):
             return Verdict(decision=Decision.RUN)
         now = self._clock.monotonic()
-        self._confirm(fingerprint, now)
+        self._detect_replaced_workers(fingerprint, now)
         trials = [
             worker_id
             for running, workers in self._runs.items()
-            if self.ledger.in_a_row(running) >= DEATHS_UNTIL_TRIAL
+            if self.ledger.consecutive_crashes(running) >= DEATHS_UNTIL_TRIAL
             for worker_id in workers
         ]
-        activity = Activity(
+        activity = RequestActivity(
             runs=len(self._runs.get(fingerprint, ())),
             trials=len(trials) + starting,
             checks=self._checks[fingerprint],
         )
-        verdict = self.ledger.judge(fingerprint, self._outlook(service, now), activity, now)
+        verdict = self.ledger.decide(fingerprint, self._availability(service, now), activity, now)
         if verdict.deaths_in_a_row < DEATHS_UNTIL_TRIAL:
             return verdict
         return msgspec.structs.replace(verdict, apart_from=frozenset(trials))
 
-    def _outlook(self, service: str, now: float) -> ServiceOutlook:
+    def _availability(self, service: str, now: float) -> WorkerAvailability:
         records = self._directory.of_service(service)
-        ended = self.ledger.ended_workers()
+        ended = self.ledger.crashed_workers()
         available = [
             record.worker
             for record in records
             if record.is_available(now) and record.worker.start not in ended
         ]
-        return ServiceOutlook(
+        return WorkerAvailability(
             ready=len(records),
             available=len(available),
             kinds=frozenset(_kind(worker) for worker in available),
         )
 
     def log_held(self, request_id: str, fingerprint: Fingerprint, verdict: Verdict) -> None:
-        """Log and count a request that is held back."""
+        """Log and count a held request."""
         self._metrics.count_held_request(verdict.reason)
         log_event(
             "request_held_back",
@@ -192,11 +189,11 @@
     # Runs
 
     def begin(self, fingerprint: Fingerprint, worker_id: BackendId) -> None:
-        """Note that a run begins on a worker; :meth:`end` it."""
+        """Record the beginning of a run on a worker; :meth:`end` must follow."""
         self._runs.setdefault(fingerprint, []).append(worker_id)
 
     def end(self, fingerprint: Fingerprint, worker_id: BackendId) -> None:
-        """Note that a run on a worker has ended, however."""
+        """Record the end of a run on a worker, with any outcome."""
         workers = self._runs[fingerprint]
         workers.remove(worker_id)
         if not workers:
@@ -205,122 +202,126 @@
     def note_broken(
         self, fingerprint: Fingerprint, request_id: str, worker: Worker, began_at: float
     ) -> None:
-        """Look whether the worker of a run that ended without an answer has ended."""
-        broken = _BrokenRun(
+        """Check whether the worker of a run that failed without an answer has crashed."""
+        run = _UnansweredRun(
             request_id=request_id,
             worker=worker,
             began_at=began_at,
-            broke_at=self._clock.monotonic(),
+            failed_at=self._clock.monotonic(),
         )
         self._checks[fingerprint] += 1
-        self._task_owner.spawn(self._check(fingerprint, broken), "worker-end-check")
+        self._task_owner.spawn(self._check(fingerprint, run), "worker-end-check")
 
-    async def _check(self, fingerprint: Fingerprint, broken: _BrokenRun) -> None:
+    async def _check(self, fingerprint: Fingerprint, run: _UnansweredRun) -> None:
         try:
-            listening = await self._client.listening(broken.worker)
+            listening = await self._client.listening(run.worker)
         finally:
             self._checks[fingerprint] -= 1
             if not self._checks[fingerprint]:
                 del self._checks[fingerprint]
         if listening is Listening.REFUSES:
-            self._note_death(fingerprint, broken, "refused")
+            self._record_crash(fingerprint, run, "refused")
         else:
-            self._suspect(fingerprint, broken)
+            self._add_suspicion(fingerprint, run)
 
     def note_unanswered(
         self, fingerprint: Fingerprint, request_id: str, worker: Worker, began_at: float
     ) -> None:
-        """Note a run that was given up without an answer: its worker may have gone dark."""
+        """Record a run that was abandoned without an answer; its worker may have crashed."""
         now = self._clock.monotonic()
-        broken = _BrokenRun(request_id=request_id, worker=worker, began_at=began_at, broke_at=now)
-        self._suspect(fingerprint, broken)
+        run = _UnansweredRun(request_id=request_id, worker=worker, began_at=began_at, failed_at=now)
+        self._add_suspicion(fingerprint, run)
 
-    def _suspect(self, fingerprint: Fingerprint, broken: _BrokenRun) -> None:
-        self._drop_old_suspicions(broken.broke_at)
-        if fingerprint not in self._suspicions and len(self._suspicions) >= MOST_SUSPICIONS:
+    def _add_suspicion(self, fingerprint: Fingerprint, run: _UnansweredRun) -> None:
+        self._drop_old_suspicions(run.failed_at)
+        if fingerprint not in self._suspicions and len(self._suspicions) >= MAX_SUSPICIONS:
             del self._suspicions[next(iter(self._suspicions))]
         kept = self._suspicions.pop(fingerprint, [])
-        self._suspicions[fingerprint] = [*kept, broken][-MOST_RUNS_OF_A_SUSPICION:]
+        self._suspicions[fingerprint] = [*kept, run][-MAX_RUNS_PER_SUSPICION:]
 
     def _drop_old_suspicions(self, now: float) -> None:
-        """Forget requests whose last broken run is long past; the oldest stand first."""
+        """Drop requests whose last unanswered run is too old; the oldest come first."""
         for fingerprint, runs in list(self._suspicions.items()):
-            if now - runs[-1].broke_at <= SUSPICION_SECONDS:
+            if now - runs[-1].failed_at <= SUSPICION_TIMEOUT_SECONDS:
                 return
             del self._suspicions[fingerprint]
 
-    def _confirm(self, fingerprint: Fingerprint, now: float) -> None:
-        """Look which workers of broken runs have been replaced at their addresses since."""
-        suspicions = self._suspicions.get(fingerprint, [])
-        replaced = [run for run in suspicions if self._directory.is_replaced(run.worker)]
+    def _detect_replaced_workers(self, fingerprint: Fingerprint, now: float) -> None:
+        """Record crashes of the workers of unanswered runs that were replaced since."""
+        suspected_runs = self._suspicions.get(fingerprint, [])
+        replaced = [run for run in suspected_runs if self._directory.is_replaced(run.worker)]
         kept = [
             run
-            for run in suspicions
-            if run not in replaced and now - run.broke_at <= SUSPICION_SECONDS
+            for run in suspected_runs
+            if run not in replaced and now - run.failed_at <= SUSPICION_TIMEOUT_SECONDS
         ]
         if kept:
             self._suspicions[fingerprint] = kept
         else:
             self._suspicions.pop(fingerprint, None)
         for run in replaced:
-            self._note_death(fingerprint, run, "replaced")
+            self._record_crash(fingerprint, run, "replaced")
 
-    def _note_death(self, fingerprint: Fingerprint, broken: _BrokenRun, evidence: str) -> None:
+    def _record_crash(self, fingerprint: Fingerprint, run: _UnansweredRun, evidence: str) -> None:
         now = self._clock.monotonic()
-        if not self.ledger.note_deaths(fingerprint, (broken.death(now),)):
+        if not self.ledger.add_crashes(fingerprint, (run.crash(now),)):
             return
         self._metrics.count_worker_death()
         log_event(
             "worker_ended_under_request",
             level="WARNING",
-            request=broken.request_id,
+            request=run.request_id,
             fingerprint=fingerprint,
-            worker=broken.worker.worker_id,
-            started_at_ms=broken.worker.started_at_ms,
+            worker=run.worker.worker_id,
+            started_at_ms=run.worker.started_at_ms,
             evidence=evidence,
-            run_seconds=round(broken.broke_at - broken.began_at, 4),
-            deaths_in_a_row=self.ledger.in_a_row(fingerprint),
+            run_seconds=round(run.failed_at - run.began_at, 4),
+            deaths_in_a_row=self.ledger.consecutive_crashes(fingerprint),
         )
-        deaths = tuple(ToldDeath.of(death, now) for death in self.ledger.deaths(fingerprint))
-        self._tell(RequestSuspected(fingerprint=fingerprint, deaths=deaths))
-        self._announce(fingerprint, was_seen=True)
+        reports = tuple(CrashReport.of(crash, now) for crash in self.ledger.crashes(fingerprint))
+        self._broadcast(RequestSuspected(fingerprint=fingerprint, deaths=reports))
+        self._notify_listeners(fingerprint, is_local=True)
 
     # Answers
 
     def note_answer(self, fingerprint: Fingerprint) -> None:
-        """Note that a worker has answered a request, whatever it answered: it is sound."""
+        """Clear a request that a worker answered, with any answer."""
         self._suspicions.pop(fingerprint, None)
-        deaths_in_a_row = self.ledger.in_a_row(fingerprint)
+        consecutive_crashes = self.ledger.consecutive_crashes(fingerprint)
         if not self.ledger.clear(fingerprint):
             return
-        log_event("request_proved_sound", fingerprint=fingerprint, deaths_in_a_row=deaths_in_a_row)
-        self._tell(RequestProvedSound(fingerprint=fingerprint))
-        self._announce(fingerprint, was_seen=True)
+        log_event(
+            "request_proved_sound", fingerprint=fingerprint, deaths_in_a_row=consecutive_crashes
+        )
+        self._broadcast(RequestProvedSound(fingerprint=fingerprint))
+        self._notify_listeners(fingerprint, is_local=True)
 
     def note_alive(self, worker: Worker) -> None:
-        """Note that a worker has answered a run.
+        """Record that a worker answered a run.
 
-        One that was taken for ended may live, or may have started again since. Its answer may also
-        have been on its way when it ended.
+        If it was recorded as crashed, it may be alive or may have restarted; the answer may also
+        have been sent before the crash.
         """
-        if self.ledger.last_learnt_of(worker.start) is None:
+        if self.ledger.last_learned_at(worker.start) is None:
             return
         if worker.started_at_ms:
-            self._ask_for_report(worker)
+            self._request_report(worker)
         else:
-            self._withdraw_and_tell(worker.start)
+            self._withdraw_and_broadcast(worker.start)
 
-    def _ask_for_report(self, worker: Worker) -> None:
-        """Ask a worker which start it is, unless it was asked lately."""
+    def _request_report(self, worker: Worker) -> None:
+        """Request a report from a worker, unless one was requested recently."""
         now = self._clock.monotonic()
-        self._asked_at = {
-            start: at for start, at in self._asked_at.items() if now - at < REPORT_PAUSE_SECONDS
+        self._report_requested_at = {
+            start: at
+            for start, at in self._report_requested_at.items()
+            if now - at < REPORT_REQUEST_INTERVAL_SECONDS
         }
-        if worker.start not in self._asked_at:
-            self._asked_at[worker.start] = now
-            self._task_owner.spawn(self._ask(worker), "worker-start-question")
+        if worker.start not in self._report_requested_at:
+            self._report_requested_at[worker.start] = now
+            self._task_owner.spawn(self._fetch_status(worker), "worker-start-question")
 
-    async def _ask(self, worker: Worker) -> None:
+    async def _fetch_status(self, worker: Worker) -> None:
         asked_at = self._clock.monotonic()
         try:
             status = await self._client.status(worker)
@@ -331,61 +332,61 @@
             worker.worker_id, status, self._clock.monotonic(), asked_at=asked_at
         )
 
-    def _note_report(self, start: WorkerStart, asked_at: float) -> None:
-        """Note that a start of a worker lives; the deaths of others of its starts stay.
+    def _on_report(self, start: WorkerStart, asked_at: float) -> None:
+        """Withdraw the crashes of a worker start that is alive; those of its other starts stay.
 
-        A report that was asked for before a death was learnt of may have left before it.
+        A report requested before this node learned of the crash may have been sent before it.
         """
-        learnt_at = self.ledger.last_learnt_of(start)
-        if learnt_at is not None and learnt_at <= asked_at:
-            self._withdraw_and_tell(start)
+        learned_at = self.ledger.last_learned_at(start)
+        if learned_at is not None and learned_at <= asked_at:
+            self._withdraw_and_broadcast(start)
 
-    def _withdraw_and_tell(self, start: WorkerStart) -> None:
+    def _withdraw_and_broadcast(self, start: WorkerStart) -> None:
         if self._withdraw(start):
-            self._tell(
+            self._broadcast(
                 WorkerProvedAlive(worker_id=start.worker_id, started_at_ms=start.started_at_ms)
             )
 
     def _withdraw(self, start: WorkerStart) -> bool:
-        blamed = self.ledger.withdraw(start)
-        if blamed:
+        affected = self.ledger.withdraw(start)
+        if affected:
             log_event(
                 "worker_proved_alive",
                 worker=start.worker_id,
                 started_at_ms=start.started_at_ms,
-                requests=",".join(blamed),
+                requests=",".join(affected),
             )
-        for fingerprint in blamed:
-            self._announce(fingerprint, was_seen=True)
-        return bool(blamed)
+        for fingerprint in affected:
+            self._notify_listeners(fingerprint, is_local=True)
+        return bool(affected)
 
     # Other nodes
 
     def take(self, notice: QuarantineNotice) -> None:
-        """Take what another node tells."""
+        """Process a notice from another node."""
         match notice:
-            case RequestSuspected(fingerprint=fingerprint, deaths=told):
+            case RequestSuspected(fingerprint=fingerprint, deaths=reports):
                 now = self._clock.monotonic()
-                self.take_deaths(fingerprint, tuple(death.heard(now) for death in told))
+                self.add_crashes(fingerprint, tuple(report.to_crash(now) for report in reports))
             case RequestProvedSound(fingerprint=fingerprint):
-                self.take_cleared(fingerprint)
+                self.clear(fingerprint)
             case WorkerProvedAlive():
                 self._withdraw(notice.start)
 
-    def take_deaths(self, fingerprint: Fingerprint, deaths: tuple[WorkerDeath, ...]) -> None:
-        """Take deaths that another node has seen."""
-        if self.ledger.note_deaths(fingerprint, deaths):
-            self._announce(fingerprint, was_seen=False)
+    def add_crashes(self, fingerprint: Fingerprint, crashes: tuple[WorkerCrash, ...]) -> None:
+        """Record crashes seen by another node."""
+        if self.ledger.add_crashes(fingerprint, crashes):
+            self._notify_listeners(fingerprint, is_local=False)
 
-    def take_cleared(self, fingerprint: Fingerprint) -> None:
-        """Take that another node has seen an answer to a request."""
+    def clear(self, fingerprint: Fingerprint) -> None:
+        """Clear a request that another node has seen answered."""
         self._suspicions.pop(fingerprint, None)
         if self.ledger.clear(fingerprint):
-            self._announce(fingerprint, was_seen=False)
+            self._notify_listeners(fingerprint, is_local=False)
 
-    def _announce(self, fingerprint: Fingerprint, *, was_seen: bool) -> None:
+    def _notify_listeners(self, fingerprint: Fingerprint, *, is_local: bool) -> None:
         for listener in self._listeners:
-            listener(fingerprint, was_seen)
+            listener(fingerprint, is_local)
 
 
 def _kind(worker: Worker) -> WorkerKind:
--- a/drumbay/quarantine/stored.py
+++ b/drumbay/quarantine/stored.py
@@ -1,9 +1,9 @@
-"""The quarantine's copy in the key-value service, for nodes that start later.
+"""Copy of the quarantine in the key-value service, for nodes that start later.
 
-Below ``PREFIX``, each request under which workers have ended twice in a row has a key of its own,
-written by the node that saw the last death; the others write it only if it is still missing after
-some seconds. The key goes when the request is cleared, and a key that goes clears it at every node.
-While the service is away, writes wait, and nodes know from each other.
+Each request with at least two consecutive crashes has a key below ``PREFIX``. The node that saw the
+last crash writes it; other nodes write it only if it is still missing after a delay. The key is
+deleted when the request is cleared, and its deletion clears the request at every node. While the
+service is unavailable, writes are retried, and nodes rely on broadcasts.
 """
 
 import asyncio
@@ -20,31 +20,30 @@
 from drumbay.kv.mirror import PrefixFeed
 from drumbay.observability.logs import log_event
 from drumbay.quarantine.fingerprint import Fingerprint
-from drumbay.quarantine.ledger import DEATHS_UNTIL_TRIAL, MOST_REQUESTS
-from drumbay.quarantine.records import WorkerDeath, WorkerKind
+from drumbay.quarantine.ledger import DEATHS_UNTIL_TRIAL, MAX_REQUESTS
+from drumbay.quarantine.records import WorkerCrash, WorkerKind
 from drumbay.quarantine.service import Quarantine
 from drumbay.workers.records import WorkerStart
 
 PREFIX = "drumbay/quarantine/"
 
-SHORTEST_TURN_SECONDS = 2.0
-LONGEST_TURN_SECONDS = 6.0
-"""A node that was only told of a death writes it in this time if nobody has: the one that saw it
-may have ended. Spread, so that one of many nodes writes and the others see it."""
+MIN_WRITE_DELAY_SECONDS = 2.0
+MAX_WRITE_DELAY_SECONDS = 6.0
+"""Delay after which a node writes a crash seen by another node, in case that node failed. Random,
+so that usually only one node writes."""
 
-FIRST_RETRY_SECONDS = 0.5
-LONGEST_RETRY_SECONDS = 4.0
-"""Each try is a priced call, and other nodes know meanwhile."""
+INITIAL_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 4.0
+"""Exponential backoff between writes that fail."""
 
-IDLE_SECONDS = 60.0
-"""How often requests of long ago are looked for."""
+EXPIRY_CHECK_INTERVAL_SECONDS = 60.0
+"""Interval at which old requests are dropped."""
 
 
-class StoredDeath(msgspec.Struct, frozen=True, kw_only=True):
-    """A death as the store keeps it; times are seconds since the Unix epoch.
+class StoredCrash(msgspec.Struct, frozen=True, kw_only=True):
+    """A crash as stored; times are seconds since the Unix epoch.
 
-    ``started_at_ms`` is the start of the worker that ended, by its own account; 0 where the
-    worker does not tell it, or the entry lacks it.
+    ``started_at_ms`` is the start time reported by the worker; 0 if unknown.
     """
 
     worker_id: BackendId
@@ -55,16 +54,16 @@
 
     @property
     def start(self) -> WorkerStart:
-        """Return which start of which worker ended."""
+        """Return the worker start that crashed."""
         return WorkerStart(worker_id=self.worker_id, started_at_ms=self.started_at_ms)
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(tuple[StoredDeath, ...])
+_decoder = msgspec.msgpack.Decoder(tuple[StoredCrash, ...])
 
 
 class StoredQuarantine:
-    """Writes what this node's quarantine knows, and feeds it with what others have written."""
+    """Stores the quarantine of this node, and loads what other nodes have stored."""
 
     def __init__(
         self,
@@ -73,7 +72,7 @@
         quarantine: Quarantine,
         generator: random.Random,
     ) -> None:
-        """Create a copy that nobody has read yet; ``generator`` draws delays."""
+        """Create a copy that is not loaded yet; ``generator`` draws delays."""
         self._clock = clock
         self._store = store
         self._quarantine = quarantine
@@ -82,77 +81,77 @@
         self._due: dict[Fingerprint, float] = {}
         self._changed = asyncio.Event()
         self._backoff = Backoff(
-            generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=LONGEST_RETRY_SECONDS
+            generator, first_seconds=INITIAL_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS
         )
-        quarantine.add_listener(self._note_change)
+        quarantine.add_listener(self._on_change)
 
     # Reading
 
     @property
     def feed(self) -> PrefixFeed:
-        """Return the feed of what all nodes have written."""
+        """Return the feed of the entries written by all nodes."""
         return PrefixFeed(
             prefix=PREFIX,
-            on_snapshot=self._take_snapshot,
-            on_event=self._take_event,
+            on_snapshot=self._on_snapshot,
+            on_event=self._on_event,
             tells_age=False,
         )
 
-    def _take_snapshot(self, items: tuple[KeyValue, ...], unseen_seconds: float) -> None:
+    def _on_snapshot(self, items: tuple[KeyValue, ...], unseen_seconds: float) -> None:
         del unseen_seconds
         before = set(self._stored)
         self._stored.clear()
         for item in items:
-            self._take_item(item)
+            self._load_item(item)
         for fingerprint in before - set(self._stored):
-            self._quarantine.take_cleared(fingerprint)
+            self._quarantine.clear(fingerprint)
 
-    def _take_event(self, event: WatchEvent) -> None:
+    def _on_event(self, event: WatchEvent) -> None:
         if event.item is not None:
-            self._take_item(event.item)
+            self._load_item(event.item)
             return
         fingerprint = Fingerprint(event.key.removeprefix(PREFIX))
         self._stored.pop(fingerprint, None)
-        self._quarantine.take_cleared(fingerprint)
+        self._quarantine.clear(fingerprint)
 
-    def _take_item(self, item: KeyValue) -> None:
+    def _load_item(self, item: KeyValue) -> None:
         fingerprint = Fingerprint(item.key.removeprefix(PREFIX))
         try:
             stored = _decoder.decode(item.value)
         except msgspec.DecodeError as error:
             log_event("quarantine_not_understood", level="WARNING", key=item.key, detail=str(error))
             return
-        self._stored[fingerprint] = frozenset(death.start for death in stored)
-        self._quarantine.take_deaths(fingerprint, tuple(map(self._read, stored)))
+        self._stored[fingerprint] = frozenset(crash.start for crash in stored)
+        self._quarantine.add_crashes(fingerprint, tuple(map(self._to_crash, stored)))
 
-    def _read(self, stored: StoredDeath) -> WorkerDeath:
-        """Return a death in this node's time; never one of the future, whatever the clocks say."""
+    def _to_crash(self, stored: StoredCrash) -> WorkerCrash:
+        """Convert to monotonic time; despite clock differences, never to a time in the future."""
         age_seconds = max(0.0, self._clock.wall() - stored.ended_at)
         now = self._clock.monotonic()
         ended_at = now - age_seconds
-        return WorkerDeath(
+        return WorkerCrash(
             worker_id=stored.worker_id,
             kind=stored.kind,
             began_at=ended_at - (stored.ended_at - stored.began_at),
             ended_at=ended_at,
             started_at_ms=stored.started_at_ms,
-            learnt_at=now,
+            learned_at=now,
         )
 
     # Writing
 
-    def _note_change(self, fingerprint: Fingerprint, was_seen: bool) -> None:
+    def _on_change(self, fingerprint: Fingerprint, is_local: bool) -> None:
         now = self._clock.monotonic()
-        turn_seconds = self._generator.uniform(SHORTEST_TURN_SECONDS, LONGEST_TURN_SECONDS)
-        self._due[fingerprint] = now if was_seen else now + turn_seconds
+        delay_seconds = self._generator.uniform(MIN_WRITE_DELAY_SECONDS, MAX_WRITE_DELAY_SECONDS)
+        self._due[fingerprint] = now if is_local else now + delay_seconds
         self._changed.set()
 
     async def run(self) -> None:
-        """Write what is due until cancelled."""
+        """Write changes when they are due, until cancelled."""
         while True:
             now = self._clock.monotonic()
             for fingerprint in self._quarantine.ledger.expire(now):
-                self._note_change(fingerprint, was_seen=False)
+                self._on_change(fingerprint, is_local=False)
             try:
                 for fingerprint in [f for f, at in self._due.items() if at <= now]:
                     await self._write_due(fingerprint)
@@ -166,13 +165,13 @@
     async def _wait_until_due(self) -> None:
         self._changed.clear()
         now = self._clock.monotonic()
-        seconds = min(self._due.values(), default=now + IDLE_SECONDS) - now
+        seconds = min(self._due.values(), default=now + EXPIRY_CHECK_INTERVAL_SECONDS) - now
         if seconds > 0:
             with suppress(DeadlineExceededError):
                 await self._clock.wait_for(self._changed.wait(), seconds)
 
     async def _write_due(self, fingerprint: Fingerprint) -> None:
-        # A change that comes during the write is due again after it.
+        # A change during the write schedules another write.
         due_at = self._due.pop(fingerprint)
         try:
             await self._write(fingerprint)
@@ -181,32 +180,32 @@
             raise
 
     async def _write(self, fingerprint: Fingerprint) -> None:
-        """Bring the key of one request up to what this node knows.
+        """Update the key of one request.
 
         Raises:
-            KeyValueError: The store did not take it.
+            KeyValueError: The write failed.
         """
         ledger = self._quarantine.ledger
         key = f"{PREFIX}{fingerprint}"
-        deaths = ledger.deaths(fingerprint)
-        if not deaths:
+        crashes = ledger.crashes(fingerprint)
+        if not crashes:
             if fingerprint in self._stored:
                 await self._store.transact((), (Delete(key=key),))
             return
-        if ledger.in_a_row(fingerprint) < DEATHS_UNTIL_TRIAL:
+        if ledger.consecutive_crashes(fingerprint) < DEATHS_UNTIL_TRIAL:
             return
-        is_known = {death.start for death in deaths} <= self._stored.get(fingerprint, set())
-        has_room = fingerprint in self._stored or len(self._stored) < MOST_REQUESTS
-        if not is_known and has_room:
-            value = _encoder.encode(tuple(map(self._to_store, deaths)))
+        is_stored = {crash.start for crash in crashes} <= self._stored.get(fingerprint, set())
+        has_space = fingerprint in self._stored or len(self._stored) < MAX_REQUESTS
+        if not is_stored and has_space:
+            value = _encoder.encode(tuple(map(self._to_stored, crashes)))
             await self._store.transact((), (Put(key=key, value=value),))
 
-    def _to_store(self, death: WorkerDeath) -> StoredDeath:
+    def _to_stored(self, crash: WorkerCrash) -> StoredCrash:
         offset = self._clock.wall() - self._clock.monotonic()
-        return StoredDeath(
-            worker_id=death.worker_id,
-            kind=death.kind,
-            began_at=death.began_at + offset,
-            ended_at=death.ended_at + offset,
-            started_at_ms=death.started_at_ms,
+        return StoredCrash(
+            worker_id=crash.worker_id,
+            kind=crash.kind,
+            began_at=crash.began_at + offset,
+            ended_at=crash.ended_at + offset,
+            started_at_ms=crash.started_at_ms,
         )
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,18 +1,7 @@
-"""Regression: a request that crashed its workers was sent to more of them, again and again.
+"""Regression: a request that crashed its workers was sent to further workers, at every node.
 
-Symptom: a request under which three workers had ended was sent to workers four times more; eleven
-ended in all, and with three workers the service was away for every caller each time.
-
-Sequence, seen in the record of a day: a try runs on a worker, which ends 50 ms later; the node
-sends it to the next worker within 5 ms, and to the next. All three are back after 3.1 s under other
-ids at the same addresses. The request comes again 3.9 s later at another node, which knows nothing
-of it, and so on. Meanwhile other callers get 503 at every node.
-
-Cause: what a request did to its workers was forgotten with its answer, and told to no other node.
-Within one try the limit of runs did not hold either: a kept connection that ended under a worker's
-end was taken for one that had been closed before, and the send for one that never reached a worker
-(``request_not_served error=answer_lost sent=4 refusals=2`` on three workers, where two runs are
-allowed), beside ``request_not_served error=no_worker sent=3 refusals=3`` of other callers.
+Guards against forgetting, or not sharing between nodes, which workers crashed under a request, and
+against more runs of one try than its route allows.
 """
 
 import asyncio
@@ -28,40 +17,40 @@
 from drumbay.forwarding.routes import RequestKind, Route, ServiceShare
 from drumbay.identifiers import BackendId
 from drumbay.quarantine.fingerprint import Fingerprint
-from drumbay.quarantine.records import RequestSuspected, ToldDeath, WorkerKind
-from drumbay.quarantine.service import MOST_SUSPICIONS, SUSPICION_SECONDS
-from drumbay.quarantine.stored import LONGEST_TURN_SECONDS, PREFIX
+from drumbay.quarantine.records import CrashReport, RequestSuspected, WorkerKind
+from drumbay.quarantine.service import MAX_SUSPICIONS, SUSPICION_TIMEOUT_SECONDS
+from drumbay.quarantine.stored import MAX_WRITE_DELAY_SECONDS, PREFIX
 from drumbay.standins.worker_pool import EmulatedWorkerPool
 from tests.serving_world import ServingWorld, WorldNode, batch_spec, play, read_all
 
 LOOKUPS = "lookups"
 CRASHING_BODY = b"crashes its worker"
-COMES_AGAIN_SECONDS = 3.9
-PLAYED_SECONDS = 60.0
-CONTACT_SECONDS = 3.0
-"""Within this time after the third crash every node must know of it."""
+RETRY_INTERVAL_SECONDS = 3.9
+SIMULATED_SECONDS = 60.0
+PROPAGATION_SECONDS = 3.0
+"""Every node must know of the third crash within this time."""
 
-FEWEST_CRASHES = 3
-MOST_LATER_TRIES = 3
-REGISTERED_SECONDS = 3.0
-DISTURBED_AT_SECONDS = 15.0
-"""By then three workers have ended under the request."""
+MIN_CRASHES = 3
+MAX_LATER_TRIES = 3
+REGISTRATION_SECONDS = 3.0
+FAULT_AT_SECONDS = 15.0
+"""Three workers have crashed under the request by then."""
 
-RETURNED_SECONDS = 4.0
-"""Workers that ended are back."""
+WORKER_RECOVERY_SECONDS = 4.0
+"""Crashed workers are available again after this time."""
 
 STEP_SECONDS = 7.5
-TEXT_SECONDS = 8.0
-"""A text of 160 events takes 8 s; one whose worker ended after half a second has so long from the
-return of that worker on, and could not be made after another one."""
+GENERATION_SECONDS = 8.0
+"""Generation of 160 events takes 8 s. One interrupted after half a second has this time left once
+its worker is back, which is too short for two consecutive generations."""
 
-STOP_SECONDS = 3.5
-"""A stop turns clients away for 2.5 s; with work that may still end it takes up to 7 s."""
+MAX_SHUTDOWN_SECONDS = 3.5
+"""A shutdown refuses clients for 2.5 s; with unfinished work it takes up to 7 s."""
 
 RESTART_INTERVAL_SECONDS = 6.0
 OTHERS_INTERVAL_SECONDS = 0.1
-OTHERS_SERVED_SHARE = 0.95
-"""Without a quarantine 0.22 of the other callers' lookups are served in this test's 60 s."""
+MIN_SERVED_FRACTION = 0.95
+"""Fraction of the other callers' lookups that must be served."""
 
 
 def route(kind: RequestKind, attempts: int = 2, service: str = LOOKUPS) -> Route:
@@ -97,23 +86,25 @@
 
 
 async def start_nodes(world: ServingWorld) -> None:
-    """Start every node, and wait until they know each other."""
+    """Start every node, and wait until they have discovered each other."""
     for node in world.nodes:
         node.lead()
-    await asyncio.sleep(REGISTERED_SECONDS)
+    await asyncio.sleep(REGISTRATION_SECONDS)
 
 
 async def restart(world: ServingWorld, index: int, boot: int) -> None:
-    """End a node's process without notice and start another one."""
+    """Kill the process of a node and start a new one."""
     await world.nodes[index].kill()
     world.nodes[index] = WorldNode(world, index + 1, boot)
     world.nodes[index].lead()
 
 
-async def try_in_turn(world: ServingWorld, kind: RequestKind, attempts: int = 2) -> list[str]:
-    """Send the request that crashes its workers, as its caller does, and return its try ids."""
+async def send_crashing_requests(
+    world: ServingWorld, kind: RequestKind, attempts: int = 2
+) -> list[str]:
+    """Repeatedly send the request that crashes its workers; return the request ids of its tries."""
     tries: list[str] = []
-    while world.clock.monotonic() < PLAYED_SECONDS:
+    while world.clock.monotonic() < SIMULATED_SECONDS:
         for _ in range(2):
             number = len(tries)
             name = f"crashing-{number}"
@@ -125,14 +116,14 @@
                 if kind is RequestKind.AT_MOST_ONCE and error.retry_after_seconds is None:
                     break
             await asyncio.sleep(0.05)
-        await asyncio.sleep(COMES_AGAIN_SECONDS)
+        await asyncio.sleep(RETRY_INTERVAL_SECONDS)
     return tries
 
 
-async def share_served_to_others(world: ServingWorld) -> float:
-    """Send sound requests to every node in turn; return the share that was served."""
+async def served_fraction_of_others(world: ServingWorld) -> float:
+    """Send harmless requests to each node in turn; return the fraction that was served."""
     served = sent = 0
-    while world.clock.monotonic() < PLAYED_SECONDS:
+    while world.clock.monotonic() < SIMULATED_SECONDS:
         forwarder = world.nodes[sent % len(world.nodes)].node.forwarder
         name = f"sound-{sent}"
         sent += 1
@@ -145,22 +136,22 @@
     return served / sent
 
 
-def tries_after_the_third(workers: EmulatedWorkerPool, request_ids: set[str]) -> int:
-    """Return how many tries reached a worker later than the third crash may be news.
+def count_late_tries(workers: EmulatedWorkerPool, request_ids: set[str]) -> int:
+    """Return how many tries reached a worker after every node should know of the third crash.
 
-    Tries of an item or a reward request share an id; each run of theirs counts.
+    Tries of an item or a reward request share an id, so each of their runs counts.
     """
     runs = [run for run in workers.runs if run.request_id in request_ids]
     ended = {crash.start: crash.at for crash in workers.crashes}
     times = sorted({ended[run.start] for run in runs if run.start in ended})
-    if len(times) < FEWEST_CRASHES:
+    if len(times) < MIN_CRASHES:
         return 0
-    late = [run for run in runs if run.started_at > times[FEWEST_CRASHES - 1] + CONTACT_SECONDS]
+    late = [run for run in runs if run.started_at > times[MIN_CRASHES - 1] + PROPAGATION_SECONDS]
     return len({run.request_id for run in late}) if len(request_ids) > 1 else len(late)
 
 
-def told(number: int, began_seconds_ago: float, ended_seconds_ago: float) -> ToldDeath:
-    return ToldDeath(
+def crash_report(number: int, began_seconds_ago: float, ended_seconds_ago: float) -> CrashReport:
+    return CrashReport(
         worker_id=BackendId(f"w{number}"),
         kind=WorkerKind(service=LOOKUPS, release=""),
         began_seconds_ago=began_seconds_ago,
@@ -170,77 +161,81 @@
 
 class CrashingRequestsTest(unittest.TestCase):
     def assert_held_back(self, world: ServingWorld, request_ids: set[str]) -> None:
-        self.assertGreaterEqual(len(world.workers.crashes), FEWEST_CRASHES)
-        self.assertLessEqual(tries_after_the_third(world.workers, request_ids), MOST_LATER_TRIES)
+        self.assertGreaterEqual(len(world.workers.crashes), MIN_CRASHES)
+        self.assertLessEqual(count_late_tries(world.workers, request_ids), MAX_LATER_TRIES)
 
-    async def play_requests(
+    async def run_requests(
         self,
         world: ServingWorld,
         kind: RequestKind,
-        disturb: Callable[[ServingWorld], Awaitable[None]] | None = None,
+        inject_faults: Callable[[ServingWorld], Awaitable[None]] | None = None,
     ) -> None:
         add_lookup_workers(world)
         await start_nodes(world)
         world.workers.crashing_bodies.add(CRASHING_BODY)
-        disturbance = asyncio.ensure_future(disturb(world)) if disturb is not None else None
-        tries, share = await asyncio.gather(try_in_turn(world, kind), share_served_to_others(world))
-        if disturbance is not None:
-            await disturbance
+        fault_task = (
+            asyncio.ensure_future(inject_faults(world)) if inject_faults is not None else None
+        )
+        tries, share = await asyncio.gather(
+            send_crashing_requests(world, kind), served_fraction_of_others(world)
+        )
+        if fault_task is not None:
+            await fault_task
         self.assert_held_back(world, set(tries))
-        self.assertGreaterEqual(share, OTHERS_SERVED_SHARE)
+        self.assertGreaterEqual(share, MIN_SERVED_FRACTION)
 
-    async def play_restarts_in_turn(self, world: ServingWorld) -> None:
-        async def disturb(world: ServingWorld) -> None:
-            await asyncio.sleep(DISTURBED_AT_SECONDS)
+    async def run_rolling_restart(self, world: ServingWorld) -> None:
+        async def inject_faults(world: ServingWorld) -> None:
+            await asyncio.sleep(FAULT_AT_SECONDS)
             for index in range(len(world.nodes)):
                 await restart(world, index, 1)
                 await asyncio.sleep(RESTART_INTERVAL_SECONDS)
 
-        await self.play_requests(world, RequestKind.IDEMPOTENT, disturb)
+        await self.run_requests(world, RequestKind.IDEMPOTENT, inject_faults)
 
-    async def play_restart_of_all(self, world: ServingWorld) -> None:
-        async def disturb(world: ServingWorld) -> None:
-            await asyncio.sleep(DISTURBED_AT_SECONDS)
+    async def run_restart_of_all_nodes(self, world: ServingWorld) -> None:
+        async def inject_faults(world: ServingWorld) -> None:
+            await asyncio.sleep(FAULT_AT_SECONDS)
             for index in range(len(world.nodes)):
                 await restart(world, index, 1)
 
-        await self.play_requests(world, RequestKind.IDEMPOTENT, disturb)
+        await self.run_requests(world, RequestKind.IDEMPOTENT, inject_faults)
 
-    async def play_outage_of_the_store(self, world: ServingWorld) -> None:
-        async def disturb(world: ServingWorld) -> None:
+    async def run_store_outage(self, world: ServingWorld) -> None:
+        async def inject_faults(world: ServingWorld) -> None:
             for node in world.nodes:
                 node.store.reachable = False
-            await asyncio.sleep(PLAYED_SECONDS / 2)
+            await asyncio.sleep(SIMULATED_SECONDS / 2)
             for node in world.nodes:
                 node.store.reachable = True
 
-        await self.play_requests(world, RequestKind.IDEMPOTENT, disturb)
+        await self.run_requests(world, RequestKind.IDEMPOTENT, inject_faults)
 
-    async def play_cut_between_nodes(self, world: ServingWorld) -> None:
-        async def disturb(world: ServingWorld) -> None:
+    async def run_partition_between_nodes(self, world: ServingWorld) -> None:
+        async def inject_faults(world: ServingWorld) -> None:
             world.peers.cut.update(world.peers.nodes)
 
-        await self.play_requests(world, RequestKind.IDEMPOTENT, disturb)
+        await self.run_requests(world, RequestKind.IDEMPOTENT, inject_faults)
 
-    async def play_lookups(self, world: ServingWorld) -> None:
-        await self.play_requests(world, RequestKind.IDEMPOTENT)
+    async def run_lookups(self, world: ServingWorld) -> None:
+        await self.run_requests(world, RequestKind.IDEMPOTENT)
 
-    async def play_late_discovery(self, world: ServingWorld) -> None:
-        """Workers that are back answer before discovery tells that they started again."""
+    async def run_late_discovery(self, world: ServingWorld) -> None:
+        """Restarted workers answer before their restart is discovered."""
         world.workers.discovery_seconds = 1.5
-        await self.play_requests(world, RequestKind.IDEMPOTENT)
+        await self.run_requests(world, RequestKind.IDEMPOTENT)
 
-    async def play_hedged_lookups(self, world: ServingWorld) -> None:
-        """A worker ends only after the lookup was sent to a second one as well."""
+    async def run_hedged_lookups(self, world: ServingWorld) -> None:
+        """The worker crashes only after the lookup was hedged to a second one."""
         world.workers.crash_seconds = 0.2
-        await self.play_requests(world, RequestKind.IDEMPOTENT)
+        await self.run_requests(world, RequestKind.IDEMPOTENT)
         first_tries = [run for run in world.workers.runs if run.request_id == "crashing-0"]
         self.assertEqual(len(first_tries), 2)
 
-    async def play_bookings(self, world: ServingWorld) -> None:
-        await self.play_requests(world, RequestKind.AT_MOST_ONCE)
+    async def run_bookings(self, world: ServingWorld) -> None:
+        await self.run_requests(world, RequestKind.AT_MOST_ONCE)
 
-    async def play_item(self, world: ServingWorld) -> None:
+    async def run_item(self, world: ServingWorld) -> None:
         spec = batch_spec()
         crashing = msgspec.structs.replace(spec.items[0], body=CRASHING_BODY)
         spec = msgspec.structs.replace(spec, items=(crashing, *spec.items[1:]))
@@ -248,7 +243,7 @@
         await self.run_batch(world, msgspec.structs.replace(spec, queue_limit_seconds=600.0))
         self.assert_held_back(world, {crashing.item_id})
 
-    async def play_reward(self, world: ServingWorld) -> None:
+    async def run_reward(self, world: ServingWorld) -> None:
         spec = batch_spec(scored=True)
         first = spec.items[0]
         assert first.reward_request is not None
@@ -260,30 +255,34 @@
         self.assert_held_back(world, {crashing.request_id})
 
     async def run_batch(self, world: ServingWorld, spec: BatchSpec) -> None:
-        """Run a batch job; all of its items but the first are listed in time."""
+        """Run a batch job; assert that all items except the first complete in time."""
         batches = world.nodes[0].batches
         await batches.submit(spec)
         await asyncio.sleep(20.0)
         page = await batches.read(spec.batch_id, 0, 0.0)
         listed = {result.item_id for result in page.results}
         self.assertEqual(listed, {item.item_id for item in spec.items[1:]})
-        await asyncio.sleep(PLAYED_SECONDS - 20.0)
+        await asyncio.sleep(SIMULATED_SECONDS - 20.0)
 
     def test_a_node_that_believes_less_leaves_what_others_have_stored(self) -> None:
-        """Two deaths in a row can look side by side to a node that was told of them late."""
+        """Consecutive crashes can look concurrent to a node that learns of them late."""
 
         async def scenario(world: ServingWorld) -> None:
             await start_nodes(world)
             quarantines = [node.node.quarantine for node in world.nodes]
             fingerprint = request("r", CRASHING_BODY).fingerprint
-            in_a_row = tuple(told(number, 9.0 - number, 8.9 - number) for number in range(2))
-            side_by_side = tuple(told(number, 9.0, 8.0) for number in range(2))
-            quarantines[1].take(RequestSuspected(fingerprint=fingerprint, deaths=side_by_side))
-            quarantines[0].take(RequestSuspected(fingerprint=fingerprint, deaths=in_a_row))
-            await asyncio.sleep(2 * LONGEST_TURN_SECONDS)
+            consecutive_crashes = tuple(
+                crash_report(number, 9.0 - number, 8.9 - number) for number in range(2)
+            )
+            concurrent = tuple(crash_report(number, 9.0, 8.0) for number in range(2))
+            quarantines[1].take(RequestSuspected(fingerprint=fingerprint, deaths=concurrent))
+            quarantines[0].take(
+                RequestSuspected(fingerprint=fingerprint, deaths=consecutive_crashes)
+            )
+            await asyncio.sleep(2 * MAX_WRITE_DELAY_SECONDS)
             stored = world.model.range_prefix(PREFIX)
             self.assertEqual([item.key for item in stored.items], [f"{PREFIX}{fingerprint}"])
-            self.assertEqual(quarantines[0].ledger.in_a_row(fingerprint), 2)
+            self.assertEqual(quarantines[0].ledger.consecutive_crashes(fingerprint), 2)
             quarantines[1].note_answer(fingerprint)
             await asyncio.sleep(1.0)
             self.assertEqual(world.model.range_prefix(PREFIX).items, ())
@@ -291,37 +290,37 @@
 
         play(scenario, node_count=2)
 
-    def test_a_request_that_crashes_its_workers_stops_reaching_them(self) -> None:
+    def test_request_that_crashes_its_workers_stops_reaching_them(self) -> None:
         kinds: dict[str, Callable[[ServingWorld], Awaitable[None]]] = {
-            "lookups": self.play_lookups,
-            "lookups, nodes restarted in turn": self.play_restarts_in_turn,
-            "lookups, all nodes restarted at once": self.play_restart_of_all,
-            "lookups, the store away": self.play_outage_of_the_store,
-            "lookups, nodes cut off from each other": self.play_cut_between_nodes,
-            "lookups, hedged": self.play_hedged_lookups,
-            "bookings": self.play_bookings,
-            "item": self.play_item,
-            "reward": self.play_reward,
+            "lookups": self.run_lookups,
+            "lookups, nodes restarted in turn": self.run_rolling_restart,
+            "lookups, all nodes restarted at once": self.run_restart_of_all_nodes,
+            "lookups, the store away": self.run_store_outage,
+            "lookups, nodes cut off from each other": self.run_partition_between_nodes,
+            "lookups, hedged": self.run_hedged_lookups,
+            "bookings": self.run_bookings,
+            "item": self.run_item,
+            "reward": self.run_reward,
         }
         for name, scenario in kinds.items():
             with self.subTest(kind=name):
                 play(scenario, node_count=3, worker_count=6, scorer_count=3)
 
-    def test_one_that_ends_workers_which_start_again_under_their_ids_stops_reaching_them(
+    def test_request_that_crashes_restarting_workers_stops_reaching_them(
         self,
     ) -> None:
-        """An answer of the next start to another request says nothing of the one that ended."""
+        """An answer of a restarted worker must not withdraw the crash of its previous start."""
         kinds: dict[str, Callable[[ServingWorld], Awaitable[None]]] = {
-            "lookups": self.play_lookups,
-            "lookups, nodes restarted in turn": self.play_restarts_in_turn,
-            "lookups, all nodes restarted at once": self.play_restart_of_all,
-            "lookups, the store away": self.play_outage_of_the_store,
-            "lookups, nodes cut off from each other": self.play_cut_between_nodes,
-            "lookups, hedged": self.play_hedged_lookups,
-            "lookups, discovery late": self.play_late_discovery,
-            "bookings": self.play_bookings,
-            "item": self.play_item,
-            "reward": self.play_reward,
+            "lookups": self.run_lookups,
+            "lookups, nodes restarted in turn": self.run_rolling_restart,
+            "lookups, all nodes restarted at once": self.run_restart_of_all_nodes,
+            "lookups, the store away": self.run_store_outage,
+            "lookups, nodes cut off from each other": self.run_partition_between_nodes,
+            "lookups, hedged": self.run_hedged_lookups,
+            "lookups, discovery late": self.run_late_discovery,
+            "bookings": self.run_bookings,
+            "item": self.run_item,
+            "reward": self.run_reward,
         }
         for name, scenario in kinds.items():
             for worker_count in (2, 6) if name == "item" else (6,):
@@ -336,9 +335,9 @@
 
 
 class SoundRequestsTest(unittest.TestCase):
-    """Requests that end no worker are served, whatever befalls their runs."""
+    """Requests that crash no worker are served despite failures of their runs."""
 
-    def test_one_whose_connections_were_reset_is_served_when_they_work_again(self) -> None:
+    def test_request_with_lost_answers_is_served_after_recovery(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             add_lookup_workers(world)
             await start_nodes(world)
@@ -361,7 +360,7 @@
 
         play(scenario, node_count=2)
 
-    def test_one_under_which_a_worker_ended_by_chance_is_served_by_another(self) -> None:
+    def test_request_on_a_crashed_worker_is_served_by_another(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             add_lookup_workers(world)
             await start_nodes(world)
@@ -371,7 +370,7 @@
                 forwarder.forward(route(RequestKind.AT_MOST_ONCE), request("c", CRASHING_BODY))
             )
             await asyncio.sleep(0.03)
-            # One of them is on the worker that is about to end.
+            # One of them runs on the worker that is about to crash.
             sound = [
                 forwarder.forward(route(RequestKind.IDEMPOTENT), request(f"s{n}", b"sound"))
                 for n in range(6)
@@ -383,7 +382,7 @@
 
         play(scenario, node_count=2)
 
-    def test_one_that_many_callers_send_outlives_the_end_of_all_workers_at_once(self) -> None:
+    def test_common_request_survives_simultaneous_crash_of_all_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             add_lookup_workers(world, count=6)
             await start_nodes(world)
@@ -399,7 +398,7 @@
             await asyncio.gather(*calls, *map(world.workers.end, ended), return_exceptions=True)
             self.assertEqual(len(world.workers.crashes), 6)
             self.assertFalse(world.nodes[0].node.quarantine.is_idle)
-            await asyncio.sleep(RETURNED_SECONDS)
+            await asyncio.sleep(WORKER_RECOVERY_SECONDS)
             for number in range(20):
                 node = world.nodes[number % 2].node
                 await node.forwarder.forward(
@@ -408,8 +407,8 @@
 
         play(scenario, node_count=2)
 
-    def test_items_that_ask_for_the_same_go_on_side_by_side_after_a_worker_ended(self) -> None:
-        """A group samples one prompt many times: its items have one path and one body."""
+    def test_identical_items_continue_concurrently_after_a_crash(self) -> None:
+        """The items of a group sample the same prompt, so they share a path and a body."""
 
         async def scenario(world: ServingWorld) -> None:
             await start_nodes(world)
@@ -421,12 +420,12 @@
             await batches.submit(spec)
             await asyncio.sleep(0.5)
             await world.workers.end(world.workers["worker-1"])
-            results = await read_all(batches, spec.batch_id, TEXT_SECONDS)
+            results = await read_all(batches, spec.batch_id, GENERATION_SECONDS)
             self.assertEqual(len(results), 12)
 
         play(scenario, node_count=2, worker_count=6)
 
-    def test_items_beside_one_that_ends_its_workers_are_listed_in_time(self) -> None:
+    def test_items_beside_a_crashing_one_complete_in_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await start_nodes(world)
             spec = batch_spec(groups=6)
@@ -443,7 +442,7 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    def test_it_waits_for_no_item_that_is_held_back(self) -> None:
+    def test_planned_stop_does_not_wait_for_held_items(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await start_nodes(world)
             spec = batch_spec()
@@ -457,13 +456,13 @@
             self.assertEqual(len(page.results), len(spec.items) - 1)
             begun_at = world.clock.monotonic()
             await node.node.stop()
-            self.assertLess(world.clock.monotonic() - begun_at, STOP_SECONDS)
+            self.assertLess(world.clock.monotonic() - begun_at, MAX_SHUTDOWN_SECONDS)
 
         play(scenario, node_count=2, worker_count=6)
 
 
 class ItemQuarantineTest(unittest.TestCase):
-    def test_a_run_that_ends_after_the_next_one_began_ends_only_itself(self) -> None:
+    def test_late_end_of_a_run_does_not_end_the_next_run(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             spec = batch_spec()
             item = spec.items[0]
@@ -474,56 +473,56 @@
             items.begin(item, second, 1.0)
             items.end(item, first)
             items.note_silent(item.item_id)
-            self.assertEqual(quarantine.suspicions, 1)
+            self.assertEqual(quarantine.suspected_requests, 1)
             items.end(item, second)
             items.note_silent(item.item_id)
-            self.assertEqual(quarantine.suspicions, 1)
+            self.assertEqual(quarantine.suspected_requests, 1)
 
         play(scenario, node_count=1)
 
 
 class QuarantineTest(unittest.TestCase):
-    def test_runs_that_ended_nobody_are_forgotten_and_bounded(self) -> None:
+    def test_suspicions_expire_and_are_bounded(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             add_lookup_workers(world)
             quarantine = world.nodes[0].node.quarantine
             worker = world.workers["lookup-1"].worker
-            for number in range(2 * MOST_SUSPICIONS):
+            for number in range(2 * MAX_SUSPICIONS):
                 quarantine.note_unanswered(Fingerprint(f"f{number}"), "r", worker, 0.0)
                 quarantine.note_unanswered(Fingerprint("often"), "r", worker, 0.0)
-            self.assertEqual(quarantine.suspicions, MOST_SUSPICIONS)
-            await asyncio.sleep(SUSPICION_SECONDS + 1.0)
+            self.assertEqual(quarantine.suspected_requests, MAX_SUSPICIONS)
+            await asyncio.sleep(SUSPICION_TIMEOUT_SECONDS + 1.0)
             quarantine.note_unanswered(Fingerprint("later"), "r", worker, 0.0)
-            self.assertEqual(quarantine.suspicions, 1)
+            self.assertEqual(quarantine.suspected_requests, 1)
             self.assertTrue(quarantine.knows(Fingerprint("later")))
 
         play(scenario, node_count=1)
 
-    def test_a_worker_that_went_dark_counts_once_another_has_its_address(self) -> None:
+    def test_unreachable_worker_counts_as_crashed_once_replaced(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             add_lookup_workers(world)
             await start_nodes(world)
             node = world.nodes[0].node
-            dark = world.workers["lookup-1"]
-            dark.faults.dark = True
-            node.quarantine.note_unanswered(Fingerprint("f"), "r", dark.worker, 0.0)
+            unreachable_worker = world.workers["lookup-1"]
+            unreachable_worker.faults.dark = True
+            node.quarantine.note_unanswered(Fingerprint("f"), "r", unreachable_worker.worker, 0.0)
             self.assertEqual(node.quarantine.verdict(Fingerprint("f"), LOOKUPS).deaths_in_a_row, 0)
-            await world.workers.end(dark)
+            await world.workers.end(unreachable_worker)
             self.assertEqual(node.quarantine.verdict(Fingerprint("f"), LOOKUPS).deaths_in_a_row, 1)
 
         play(scenario, node_count=2)
 
-    def test_a_worker_that_was_cut_off_takes_its_death_back(self) -> None:
+    def test_worker_reachable_again_withdraws_its_crash(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             add_lookup_workers(world)
             await start_nodes(world)
             quarantines = [node.node.quarantine for node in world.nodes]
             worker = world.workers["lookup-1"].worker
             fingerprint = Fingerprint("f")
-            death = told(1, 2.0, 1.0)
-            death = msgspec.structs.replace(death, worker_id=worker.worker_id)
+            crash = crash_report(1, 2.0, 1.0)
+            crash = msgspec.structs.replace(crash, worker_id=worker.worker_id)
             for quarantine in quarantines:
-                quarantine.take(RequestSuspected(fingerprint=fingerprint, deaths=(death,)))
+                quarantine.take(RequestSuspected(fingerprint=fingerprint, deaths=(crash,)))
             self.assertTrue(all(fingerprint in each.ledger for each in quarantines))
             forwarder = world.nodes[0].node.forwarder
             for number in range(9):
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -1,8 +1,7 @@
-"""Workers that start again under their ids: what is forgotten, and which deaths stay.
+"""Workers that restart under their ids: state of the previous start is dropped, crashes are kept.
 
-A worker that has started again holds and knows nothing of before. Taken for the start before, it
-kept that start's loads, paces, pauses and runs, and each of its answers took back the deaths under
-requests that had ended it.
+Guards against applying loads, latencies, pauses and runs of the previous start to a restarted
+worker, and against its answers withdrawing crashes of the previous start.
 """
 
 import asyncio
@@ -19,14 +18,14 @@
 from drumbay.peers.messages import LoadingNotice
 from drumbay.quarantine.fingerprint import Fingerprint
 from drumbay.quarantine.records import (
+    CrashReport,
     QuarantineNotice,
     RequestSuspected,
-    ToldDeath,
     WorkerKind,
     WorkerProvedAlive,
 )
-from drumbay.quarantine.service import REPORT_PAUSE_SECONDS, Quarantine
-from drumbay.quarantine.stored import PREFIX, StoredDeath, StoredQuarantine
+from drumbay.quarantine.service import REPORT_REQUEST_INTERVAL_SECONDS, Quarantine
+from drumbay.quarantine.stored import PREFIX, StoredCrash, StoredQuarantine
 from drumbay.simulation.outside_clock import OutsideClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.kv_model import KeyValueModel
@@ -79,8 +78,8 @@
         assert record is not None
         return record
 
-    def load_with_everything(self) -> WorkerRecord:
-        """Let all be known of the first start that can be."""
+    def record_with_full_state(self) -> WorkerRecord:
+        """Set every field of the record for the first start."""
         record = self.record()
         record.in_flight = 3
         record.expected_tokens = 100
@@ -93,7 +92,7 @@
         self.directory.observe_failure(WORKER, 1.0)
         return record
 
-    def assert_new(self, version: int, *, is_start_reported: bool = False) -> None:
+    def assert_reset(self, version: int, *, is_start_reported: bool = False) -> None:
         expected = WorkerRecord(
             worker=worker(SECOND_MS, version),
             versions={MODEL: WeightVersion(version)},
@@ -109,40 +108,40 @@
         self.assertTrue(self.record().is_available(1.0))
         self.assertEqual(self.restarted, [WORKER])
 
-    def test_a_later_start_in_discovery_replaces_the_whole_record(self) -> None:
-        self.load_with_everything()
+    def test_later_start_in_discovery_replaces_the_record(self) -> None:
+        self.record_with_full_state()
         self.directory.put(worker(SECOND_MS, version=2))
-        self.assert_new(version=2)
+        self.assert_reset(version=2)
 
-    def test_a_snapshot_tells_of_a_later_start_too(self) -> None:
-        self.load_with_everything()
+    def test_later_start_in_a_snapshot_replaces_the_record(self) -> None:
+        self.record_with_full_state()
         self.directory.replace_all([worker(SECOND_MS, version=2)])
-        self.assert_new(version=2)
+        self.assert_reset(version=2)
 
-    def test_a_report_tells_of_it_before_discovery_does(self) -> None:
-        self.load_with_everything()
+    def test_later_start_in_a_report_replaces_the_record(self) -> None:
+        self.record_with_full_state()
         self.directory.take_status(WORKER, status(SECOND_MS, version=2), 1.0, asked_at=0.9)
-        self.assert_new(version=2, is_start_reported=True)
+        self.assert_reset(version=2, is_start_reported=True)
         self.directory.put(worker(FIRST_MS, version=3))
-        self.assert_new(version=2, is_start_reported=True)
+        self.assert_reset(version=2, is_start_reported=True)
         self.directory.put(worker(SECOND_MS, version=2))
-        self.assert_new(version=2)
+        self.assert_reset(version=2)
 
-    def test_an_earlier_start_than_a_report_told_is_passed_over(self) -> None:
+    def test_start_earlier_than_the_reported_one_is_ignored(self) -> None:
         self.directory.take_status(WORKER, status(SECOND_MS, version=2), 1.0, asked_at=0.9)
         self.directory.put(msgspec.structs.replace(worker(), state=WorkerState.DRAINING))
         self.directory.take_status(WORKER, status(FIRST_MS, version=8), 1.0, asked_at=0.9)
-        self.assert_new(version=2, is_start_reported=True)
+        self.assert_reset(version=2, is_start_reported=True)
 
-    def test_of_two_entries_the_newer_one_holds_whatever_start_it_tells(self) -> None:
-        """Another writer's entry, or a clock that was set back, must not hide a drain."""
+    def test_newer_entry_wins_regardless_of_its_start_time(self) -> None:
+        """An entry of another writer, or a clock set back, must not hide a drain."""
         draining = msgspec.structs.replace(worker(FIRST_MS, version=2), state=WorkerState.DRAINING)
         for reports in (False, True):
             with self.subTest(reports=reports):
                 self.directory.put(worker(SECOND_MS, version=9))
                 if reports:
-                    told = status(SECOND_MS, version=9)
-                    self.directory.take_status(WORKER, told, 1.0, asked_at=0.9)
+                    reported = status(SECOND_MS, version=9)
+                    self.directory.take_status(WORKER, reported, 1.0, asked_at=0.9)
                 self.directory.put(draining)
                 self.assertEqual(self.record().worker, draining)
                 self.assertEqual(self.record().versions[MODEL], 2)
@@ -151,7 +150,7 @@
         self.directory.put(draining)
         self.assertEqual(self.record().worker, draining)
 
-    def test_a_restart_that_a_report_tells_brings_no_lapsed_entry_back(self) -> None:
+    def test_reported_restart_does_not_restore_a_lapsed_entry(self) -> None:
         self.directory.replace_all([], missing_until=5.0)
         self.directory.take_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
         self.assertEqual(self.directory.drop_missing(5.0), (WORKER,))
@@ -161,23 +160,23 @@
         self.directory.put(worker(SECOND_MS + 1))
         self.assertEqual(self.directory.drop_missing(5.0), ())
 
-    def test_a_report_names_the_start_of_one_whose_entry_does_not(self) -> None:
+    def test_report_supplies_a_start_time_missing_from_the_entry(self) -> None:
         self.directory.remove(WORKER)
         self.directory.put(worker(0, version=3))
-        record = self.load_with_everything()
+        record = self.record_with_full_state()
         self.directory.take_status(WORKER, status(FIRST_MS, version=4), 1.0, asked_at=0.9)
         self.assertIs(self.record(), record)
         self.assertEqual(record.worker, worker(FIRST_MS, version=3))
         self.assertEqual(record.versions[MODEL], 4)
         self.assertEqual(record.in_flight, 3)
         self.assertEqual(self.restarted, [])
-        # Runs that began before knew no start; they ran there.
+        # Runs that began without a known start belong to this record.
         self.assertIs(self.directory.get(WORKER, 0), record)
         self.assertFalse(self.directory.has_restarted(worker(0)))
         self.directory.take_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
         self.assertEqual(self.restarted, [WORKER])
 
-    def test_only_another_start_that_is_known_is_a_restart(self) -> None:
+    def test_only_a_different_known_start_is_a_restart(self) -> None:
         self.assertFalse(self.directory.has_restarted(worker()))
         self.assertTrue(self.directory.has_restarted(worker(SECOND_MS)))
         self.directory.remove(WORKER)
@@ -185,8 +184,8 @@
         self.directory.put(worker(0))
         self.assertFalse(self.directory.has_restarted(worker()))
 
-    def test_the_same_start_keeps_what_is_known(self) -> None:
-        record = self.load_with_everything()
+    def test_same_start_keeps_the_record(self) -> None:
+        record = self.record_with_full_state()
         for same in (worker(version=1), worker(0, version=1)):
             self.directory.put(same)
             self.assertIs(self.record(), record)
@@ -195,8 +194,8 @@
             self.assertEqual(record.in_flight, 3)
         self.assertEqual(self.restarted, [])
 
-    def test_runs_of_the_start_before_say_nothing_of_the_next(self) -> None:
-        before = self.load_with_everything()
+    def test_runs_of_the_previous_start_do_not_affect_the_next(self) -> None:
+        before = self.record_with_full_state()
         self.directory.put(worker(SECOND_MS, version=2))
         before.in_flight -= 3
         self.directory.observe_failure(WORKER, 1.0, FIRST_MS)
@@ -210,24 +209,24 @@
         self.directory.note_loading(WORKER, MODEL, WeightVersion(9), 50.0, FIRST_MS)
         load = WorkerLoad(running=4, waiting=2, slots=4)
         self.directory.observe_load(WORKER, load, 1.0, FIRST_MS)
-        self.assert_new(version=2)
+        self.assert_reset(version=2)
 
-    def test_one_start_is_replaced_by_the_next_and_not_by_itself(self) -> None:
+    def test_start_is_replaced_only_by_a_different_start(self) -> None:
         self.assertFalse(self.directory.is_replaced(worker()))
         self.directory.put(worker(SECOND_MS))
         self.assertTrue(self.directory.is_replaced(worker()))
         self.assertFalse(self.directory.is_replaced(worker(SECOND_MS)))
         self.assertFalse(self.directory.is_replaced(worker(0)))
 
-    def test_one_that_lapsed_and_is_back_with_the_same_start_is_taken_as_it_tells(self) -> None:
+    def test_lapsed_worker_returns_with_its_new_entry(self) -> None:
         self.directory.remove(WORKER)
         self.directory.put(worker(version=2))
         self.assertEqual(self.record().versions[MODEL], 2)
         self.assertEqual(self.restarted, [])
 
 
-class Told:
-    """A quarantine over one worker of an emulated pool, and what it tells other nodes."""
+class QuarantineFixture:
+    """A quarantine with one emulated worker; collects its notices to other nodes."""
 
     def __init__(self, *, tells_starts: bool = True) -> None:
         self.clock = OutsideClock()
@@ -246,240 +245,244 @@
             self.notices.append,
         )
 
-    def take_death(
+    def receive_crash(
         self, *, ended_seconds_ago: float = 0.0, started_at_ms: int | None = None
     ) -> None:
-        """Hear that the worker has ended, by a run that began half a second ago."""
+        """Receive a crash of the worker under a run that began half a second ago."""
         if started_at_ms is None:
             started_at_ms = self.first.worker.started_at_ms
-        death = ToldDeath(
+        crash = CrashReport(
             worker_id=WORKER,
             kind=WorkerKind(service=SERVICE, release=""),
             began_seconds_ago=0.5,
             ended_seconds_ago=ended_seconds_ago,
             started_at_ms=started_at_ms,
         )
-        self.quarantine.take(RequestSuspected(fingerprint=REQUEST, deaths=(death,)))
+        self.quarantine.take(RequestSuspected(fingerprint=REQUEST, deaths=(crash,)))
 
     @property
-    def deaths(self) -> int:
-        return len(self.quarantine.ledger.deaths(REQUEST))
+    def crash_count(self) -> int:
+        return len(self.quarantine.ledger.crashes(REQUEST))
 
 
-class DeathsOfStartsTest(unittest.TestCase):
-    def test_an_answer_before_discovery_tells_takes_back_no_death(self) -> None:
+class CrashesByStartTest(unittest.TestCase):
+    def test_answer_of_an_undiscovered_restart_withdraws_no_crash(self) -> None:
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
-            told.take_death()
-            known = told.first.worker
-            await told.pool.end(told.first)
-            told.quarantine.note_alive(known)
-            self.assertEqual(told.deaths, 1)
+            fixture.receive_crash()
+            known = fixture.first.worker
+            await fixture.pool.end(fixture.first)
+            fixture.quarantine.note_alive(known)
+            self.assertEqual(fixture.crash_count, 1)
             await asyncio.sleep(0.1)
-            self.assertEqual(told.deaths, 1)
-            record = told.directory.get(WORKER)
+            self.assertEqual(fixture.crash_count, 1)
+            record = fixture.directory.get(WORKER)
             assert record is not None
             self.assertGreater(record.worker.started_at_ms, known.started_at_ms)
-            self.assertTrue(told.directory.is_replaced(known))
-            told.quarantine.note_alive(record.worker)
-            self.assertEqual(told.deaths, 1)
-            self.assertEqual(told.notices, [])
+            self.assertTrue(fixture.directory.is_replaced(known))
+            fixture.quarantine.note_alive(record.worker)
+            self.assertEqual(fixture.crash_count, 1)
+            self.assertEqual(fixture.notices, [])
 
         run_simulation(scenario)
 
-    def test_an_answer_that_is_read_after_the_death_takes_it_not_back(self) -> None:
-        """It was sent before the worker ended; reports are refused by a worker that is away."""
+    def test_answer_sent_before_the_crash_does_not_withdraw_it(self) -> None:
+        """A crashed worker refuses report requests, so the crash stays."""
 
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
-            ending = asyncio.ensure_future(told.pool.end(told.first))
+            ending = asyncio.ensure_future(fixture.pool.end(fixture.first))
             await asyncio.sleep(0.1)
-            told.take_death()
-            told.quarantine.note_alive(told.first.worker)
+            fixture.receive_crash()
+            fixture.quarantine.note_alive(fixture.first.worker)
             await asyncio.sleep(0.1)
-            self.assertEqual(told.deaths, 1)
+            self.assertEqual(fixture.crash_count, 1)
             await ending
-            self.assertEqual(told.deaths, 1)
-            self.assertEqual(told.notices, [])
+            self.assertEqual(fixture.crash_count, 1)
+            self.assertEqual(fixture.notices, [])
 
         run_simulation(scenario)
 
-    def test_a_report_that_was_asked_for_before_a_death_was_learnt_of_says_nothing(self) -> None:
+    def test_report_requested_before_the_crash_was_known_is_ignored(self) -> None:
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
-            report = await told.pool.status(told.first.worker)
-            asked_at = told.clock.monotonic()
+            report = await fixture.pool.status(fixture.first.worker)
+            asked_at = fixture.clock.monotonic()
             await asyncio.sleep(0.1)
-            told.take_death()
+            fixture.receive_crash()
             await asyncio.sleep(0.1)
-            now = told.clock.monotonic()
-            told.directory.take_status(WORKER, report, now, asked_at=asked_at)
-            self.assertEqual(told.deaths, 1)
-            # The death is told once more, as an older one than it seemed.
-            told.take_death(ended_seconds_ago=0.4)
-            told.directory.take_status(WORKER, report, now, asked_at=now - 0.05)
-            self.assertEqual(told.deaths, 0)
+            now = fixture.clock.monotonic()
+            fixture.directory.take_status(WORKER, report, now, asked_at=asked_at)
+            self.assertEqual(fixture.crash_count, 1)
+            # The crash is reported again, with an earlier time.
+            fixture.receive_crash(ended_seconds_ago=0.4)
+            fixture.directory.take_status(WORKER, report, now, asked_at=now - 0.05)
+            self.assertEqual(fixture.crash_count, 0)
 
         run_simulation(scenario)
 
-    def test_the_time_of_a_stored_death_is_when_it_was_read(self) -> None:
-        """Clocks differ: the death may seem older than the question for the report."""
+    def test_stored_crash_counts_as_learned_when_loaded(self) -> None:
+        """With different clocks, the crash may look older than the report request."""
 
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
-            store = MemoryKeyValueStore(KeyValueModel(told.clock), told.clock)
-            stored = StoredQuarantine(told.clock, store, told.quarantine, random.Random(1))
-            death = StoredDeath(
+            store = MemoryKeyValueStore(KeyValueModel(fixture.clock), fixture.clock)
+            stored = StoredQuarantine(fixture.clock, store, fixture.quarantine, random.Random(1))
+            crash = StoredCrash(
                 worker_id=WORKER,
                 kind=WorkerKind(service=SERVICE, release=""),
-                began_at=told.clock.wall() - 50.0,
-                ended_at=told.clock.wall() - 40.0,
-                started_at_ms=told.first.worker.started_at_ms,
+                began_at=fixture.clock.wall() - 50.0,
+                ended_at=fixture.clock.wall() - 40.0,
+                started_at_ms=fixture.first.worker.started_at_ms,
             )
-            report = await told.pool.status(told.first.worker)
-            asked_at = told.clock.monotonic()
+            report = await fixture.pool.status(fixture.first.worker)
+            asked_at = fixture.clock.monotonic()
             await asyncio.sleep(0.1)
             item = KeyValue(
                 key=f"{PREFIX}{REQUEST}",
-                value=msgspec.msgpack.encode((death,)),
+                value=msgspec.msgpack.encode((crash,)),
                 create_revision=Revision(1),
                 mod_revision=Revision(1),
                 version=1,
             )
             stored.feed.on_snapshot((item,), 0.0)
-            told.directory.take_status(WORKER, report, told.clock.monotonic(), asked_at=asked_at)
-            self.assertEqual(told.deaths, 1)
+            fixture.directory.take_status(
+                WORKER, report, fixture.clock.monotonic(), asked_at=asked_at
+            )
+            self.assertEqual(fixture.crash_count, 1)
 
         run_simulation(scenario)
 
-    def test_a_start_that_lives_takes_deaths_without_a_start_back_too(self) -> None:
-        """A node that knows no starts told of them: any start of the worker may have been meant."""
+    def test_live_start_withdraws_crashes_without_a_start(self) -> None:
+        """A crash without a start may refer to any start of the worker."""
 
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
-            told.take_death(started_at_ms=0)
-            told.quarantine.note_alive(told.first.worker)
+            fixture.receive_crash(started_at_ms=0)
+            fixture.quarantine.note_alive(fixture.first.worker)
             await asyncio.sleep(0.1)
-            self.assertEqual(told.deaths, 0)
-            told.take_death(started_at_ms=0)
-            start = told.first.worker.start
-            told.quarantine.take(
+            self.assertEqual(fixture.crash_count, 0)
+            fixture.receive_crash(started_at_ms=0)
+            start = fixture.first.worker.start
+            fixture.quarantine.take(
                 WorkerProvedAlive(worker_id=WORKER, started_at_ms=start.started_at_ms)
             )
-            self.assertEqual(told.deaths, 0)
+            self.assertEqual(fixture.crash_count, 0)
 
         run_simulation(scenario)
 
-    def test_one_that_lives_tells_the_other_nodes(self) -> None:
+    def test_withdrawal_is_broadcast(self) -> None:
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
-            told.take_death()
-            told.quarantine.note_alive(told.first.worker)
+            fixture.receive_crash()
+            fixture.quarantine.note_alive(fixture.first.worker)
             await asyncio.sleep(0.1)
-            self.assertEqual(told.deaths, 0)
-            started_at_ms = told.first.worker.started_at_ms
+            self.assertEqual(fixture.crash_count, 0)
+            started_at_ms = fixture.first.worker.started_at_ms
             alive = WorkerProvedAlive(worker_id=WORKER, started_at_ms=started_at_ms)
-            self.assertEqual(told.notices, [alive])
+            self.assertEqual(fixture.notices, [alive])
 
         run_simulation(scenario)
 
-    def test_one_that_lives_proves_it_by_its_report(self) -> None:
+    def test_report_of_a_live_worker_withdraws_its_crash(self) -> None:
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
-            told.take_death()
-            told.quarantine.note_alive(told.first.worker)
-            self.assertEqual(told.deaths, 1)
+            fixture.receive_crash()
+            fixture.quarantine.note_alive(fixture.first.worker)
+            self.assertEqual(fixture.crash_count, 1)
             await asyncio.sleep(0.1)
-            self.assertEqual(told.deaths, 0)
+            self.assertEqual(fixture.crash_count, 0)
 
         run_simulation(scenario)
 
-    def test_one_that_gives_no_report_is_asked_once_a_second(self) -> None:
+    def test_report_requests_are_rate_limited(self) -> None:
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
-            told.take_death()
+            fixture.receive_crash()
             asked = 0
-            told.first.faults.full = True
-            answer = told.pool.status
+            fixture.first.faults.full = True
+            answer = fixture.pool.status
 
             async def count(worker: Worker, *, fresh_connection: bool = False) -> WorkerStatus:
                 nonlocal asked
                 asked += 1
                 return await answer(worker, fresh_connection=fresh_connection)
 
-            told.pool.status = count  # type: ignore[method-assign]
+            fixture.pool.status = count  # type: ignore[method-assign]
             for _ in range(21):
-                told.quarantine.note_alive(told.first.worker)
-                await asyncio.sleep(REPORT_PAUSE_SECONDS / 10)
+                fixture.quarantine.note_alive(fixture.first.worker)
+                await asyncio.sleep(REPORT_REQUEST_INTERVAL_SECONDS / 10)
             self.assertEqual(asked, 3)
-            self.assertEqual(told.deaths, 1)
+            self.assertEqual(fixture.crash_count, 1)
 
         run_simulation(scenario)
 
-    def test_where_no_start_is_told_any_answer_proves_it(self) -> None:
+    def test_any_answer_withdraws_a_crash_without_reported_starts(self) -> None:
         async def scenario() -> None:
-            told = Told(tells_starts=False)
+            fixture = QuarantineFixture(tells_starts=False)
             await asyncio.sleep(1.0)
-            told.take_death()
-            told.quarantine.note_alive(told.first.worker)
-            self.assertEqual(told.deaths, 0)
+            fixture.receive_crash()
+            fixture.quarantine.note_alive(fixture.first.worker)
+            self.assertEqual(fixture.crash_count, 0)
 
         run_simulation(scenario)
 
-    def test_a_notice_concerns_one_start(self) -> None:
+    def test_notice_concerns_one_start(self) -> None:
         async def scenario() -> None:
-            told = Told()
-            told.take_death()
-            started_at_ms = told.first.worker.started_at_ms
+            fixture = QuarantineFixture()
+            fixture.receive_crash()
+            started_at_ms = fixture.first.worker.started_at_ms
             for other in (0, started_at_ms + 1):
-                told.quarantine.take(WorkerProvedAlive(worker_id=WORKER, started_at_ms=other))
-                self.assertEqual(told.deaths, 1)
-            told.quarantine.take(WorkerProvedAlive(worker_id=WORKER, started_at_ms=started_at_ms))
-            self.assertEqual(told.deaths, 0)
+                fixture.quarantine.take(WorkerProvedAlive(worker_id=WORKER, started_at_ms=other))
+                self.assertEqual(fixture.crash_count, 1)
+            fixture.quarantine.take(
+                WorkerProvedAlive(worker_id=WORKER, started_at_ms=started_at_ms)
+            )
+            self.assertEqual(fixture.crash_count, 0)
 
         run_simulation(scenario)
 
-    def test_each_start_of_one_worker_may_end(self) -> None:
+    def test_each_start_of_a_worker_may_crash(self) -> None:
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             for _ in range(3):
-                record = told.directory.get(WORKER)
+                record = fixture.directory.get(WORKER)
                 assert record is not None
-                began_at = told.clock.monotonic()
-                told.quarantine.note_unanswered(REQUEST, "r", record.worker, began_at)
-                await told.pool.end(told.pool["w"])
-                told.directory.put(told.pool["w"].worker)
-                told.quarantine.verdict(REQUEST, SERVICE)
-            self.assertEqual(told.quarantine.ledger.in_a_row(REQUEST), 3)
-            self.assertEqual(told.clock.monotonic(), 3 * RESTART_SECONDS)
+                began_at = fixture.clock.monotonic()
+                fixture.quarantine.note_unanswered(REQUEST, "r", record.worker, began_at)
+                await fixture.pool.end(fixture.pool["w"])
+                fixture.directory.put(fixture.pool["w"].worker)
+                fixture.quarantine.verdict(REQUEST, SERVICE)
+            self.assertEqual(fixture.quarantine.ledger.consecutive_crashes(REQUEST), 3)
+            self.assertEqual(fixture.clock.monotonic(), 3 * RESTART_SECONDS)
 
         run_simulation(scenario)
 
-    def test_what_nodes_without_starts_have_stored_still_decodes(self) -> None:
-        class OldDeath(msgspec.Struct, frozen=True, kw_only=True):
+    def test_stored_crash_without_a_start_still_decodes(self) -> None:
+        class OldCrash(msgspec.Struct, frozen=True, kw_only=True):
             worker_id: BackendId
             kind: WorkerKind
             began_at: float
             ended_at: float
 
-        old = OldDeath(
+        old = OldCrash(
             worker_id=WORKER, kind=WorkerKind(service="s", release="r"), began_at=1.0, ended_at=2.0
         )
-        (found,) = msgspec.msgpack.decode(msgspec.msgpack.encode((old,)), type=tuple[StoredDeath])
+        (found,) = msgspec.msgpack.decode(msgspec.msgpack.encode((old,)), type=tuple[StoredCrash])
         self.assertEqual(found.start, worker(0).start)
 
 
 class LoadsTest(unittest.TestCase):
-    def test_a_load_that_a_restart_ended_is_begun_again(self) -> None:
-        """The order that follows carries the expected sequence of the start that takes it."""
+    def test_load_interrupted_by_a_restart_is_ordered_again(self) -> None:
+        """The next order carries the expected sequence of the new start."""
 
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
@@ -501,8 +504,8 @@
 
         play(scenario, node_count=2, worker_count=1, workers_keep_ids=True)
 
-    def test_a_load_ends_also_if_its_worker_is_dropped_meanwhile(self) -> None:
-        """Back with a later start, it is new to the directory: nobody is told of a restart."""
+    def test_load_ends_when_its_worker_is_dropped(self) -> None:
+        """The returning worker is new to the directory, so no restart is reported."""
 
         async def scenario(world: ServingWorld) -> None:
             node = world.nodes[0]
@@ -519,7 +522,7 @@
 
         play(scenario, node_count=1, worker_count=1, workers_keep_ids=True)
 
-    def test_one_that_leaves_while_it_is_asked_gets_no_order(self) -> None:
+    def test_worker_removed_during_its_status_call_gets_no_order(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             node = world.nodes[0]
             ask = world.workers.status
@@ -538,7 +541,7 @@
 
         play(scenario, node_count=1, worker_count=1)
 
-    def test_the_end_of_a_load_ends_no_later_one(self) -> None:
+    def test_end_of_a_load_does_not_end_a_later_one(self) -> None:
         planner = VersionPlanner(LoadPolicy())
         first = planner.note_started(WORKER)
         planner.note_restarted(WORKER)
@@ -548,7 +551,7 @@
         self.assertTrue(planner.note_ended(WORKER, second))
         self.assertFalse(planner.note_ended(WORKER, second))
 
-    def test_the_planner_forgets_what_was_under_way(self) -> None:
+    def test_planner_drops_loads_in_progress_on_restart(self) -> None:
         directory = WorkerDirectory()
         directory.put(worker())
         planner = VersionPlanner(LoadPolicy())
@@ -559,7 +562,7 @@
         planner.note_restarted(WORKER)
         self.assertEqual(len(planner.plan(named, records, 0.1)), 1)
 
-    def test_a_notice_of_a_load_concerns_the_start_that_took_the_order(self) -> None:
+    def test_loading_notice_concerns_one_start(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             node = world.nodes[0].node
             entry = world.workers["worker-1"].worker
@@ -574,52 +577,52 @@
             record = node.directory.get(entry.worker_id)
             assert record is not None
             for started_at_ms, loads in ((entry.started_at_ms - 1, 0), (entry.started_at_ms, 1)):
-                told = msgspec.structs.replace(notice, started_at_ms=started_at_ms)
-                node._take_notices((told,))
+                changed = msgspec.structs.replace(notice, started_at_ms=started_at_ms)
+                node._take_notices((changed,))
                 self.assertEqual(len(record.loads), loads)
 
         play(scenario, node_count=1, worker_count=1, workers_keep_ids=True)
 
 
 class SilenceCheckTest(unittest.TestCase):
-    def test_one_whose_entry_has_gone_may_have_lost_its_connections(self) -> None:
+    def test_connections_are_renewed_for_a_removed_worker(self) -> None:
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             renewed: list[None] = []
             check = SilenceCheck(
-                told.clock,
-                told.directory,
-                told.pool,
+                fixture.clock,
+                fixture.directory,
+                fixture.pool,
                 TaskOwner(),
                 lambda: renewed.append(None),
             )
             for _ in range(FEWEST_SILENT_RUNS):
                 check.suspect(WORKER)
-            told.directory.remove(WORKER)
+            fixture.directory.remove(WORKER)
             await asyncio.sleep(CHECK_SECONDS / 2)
             self.assertEqual(renewed, [None])
 
         run_simulation(scenario)
 
-    def test_one_that_has_started_again_has_not_lost_its_connections(self) -> None:
+    def test_connections_are_kept_for_a_restarted_worker(self) -> None:
         async def scenario() -> None:
-            told = Told()
+            fixture = QuarantineFixture()
             renewed: list[None] = []
             check = SilenceCheck(
-                told.clock,
-                told.directory,
-                told.pool,
+                fixture.clock,
+                fixture.directory,
+                fixture.pool,
                 TaskOwner(),
                 lambda: renewed.append(None),
             )
-            await told.pool.end(told.first)
+            await fixture.pool.end(fixture.first)
             for _ in range(FEWEST_SILENT_RUNS):
                 check.suspect(WORKER)
             await asyncio.sleep(CHECK_SECONDS / 2)
-            record = told.directory.get(WORKER)
+            record = fixture.directory.get(WORKER)
             assert record is not None
-            self.assertGreater(record.worker.started_at_ms, told.first.worker.started_at_ms)
-            self.assertTrue(record.is_available(told.clock.monotonic()))
+            self.assertGreater(record.worker.started_at_ms, fixture.first.worker.started_at_ms)
+            self.assertTrue(record.is_available(fixture.clock.monotonic()))
             self.assertEqual(renewed, [])
 
         run_simulation(scenario)
