--- a/drumbay/scaling/__init__.py
+++ b/drumbay/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many workers a service is to have in each zone, ordered from the platform by the leader."""
+"""Autoscaling: the leader orders worker counts per service and zone from the platform."""
--- a/drumbay/scaling/collector.py
+++ b/drumbay/scaling/collector.py
@@ -1,4 +1,4 @@
-"""Asks the nodes that own open batch jobs what these hold and want."""
+"""Collects the slot demand of open batch jobs from the nodes that own them."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -12,23 +12,23 @@
 from drumbay.peers.messages import CollectPlaces, PlacesReply
 from drumbay.peers.transport import PeerClient, PeerUnavailableError
 
-ANSWER_SECONDS = 0.4
-"""A node answers from memory; one that takes longer is busy or cut off. The others count now."""
+REPLY_TIMEOUT_SECONDS = 0.4
+"""Timeout of a call to an owner, which answers from memory."""
 
 REPLY_LIFETIME_SECONDS = 3.0
-"""A node that falls silent counts with what it told for so long: its jobs outlive a short cut, and
-after that another node has taken them up and tells the same."""
+"""The last reply of an unreachable node is used for this time. After that, another node has taken
+over its batch jobs and reports them."""
 
 
-class _Told(msgspec.Struct, frozen=True, kw_only=True):
-    """What a node told, and when."""
+class _OwnerReply(msgspec.Struct, frozen=True, kw_only=True):
+    """The last reply of a node."""
 
-    at: float
+    received_at: float
     jobs: tuple[JobPlaces, ...]
 
 
 class PlacesCollector:
-    """Knows what the open batch jobs of all nodes hold and want."""
+    """Collects the slot demand of the open batch jobs of all nodes."""
 
     def __init__(
         self,
@@ -38,13 +38,13 @@
         own_places: Callable[[], tuple[JobPlaces, ...]],
         open_owners: Callable[[], Iterable[NetworkAddress]],
     ) -> None:
-        """Create a collector that has heard nobody.
+        """Create a collector without replies.
 
         Args:
-            clock: Time.
+            clock: Clock.
             peers: Calls to other nodes.
-            own_address: This node.
-            own_places: Returns what this node's batch jobs hold and want.
+            own_address: Address of this node.
+            own_places: Returns the slot demand of this node's batch jobs.
             open_owners: Returns the nodes that own open batch jobs.
         """
         self._clock = clock
@@ -52,31 +52,31 @@
         self._own_address = own_address
         self._own_places = own_places
         self._open_owners = open_owners
-        self._told: dict[NetworkAddress, _Told] = {}
+        self._replies: dict[NetworkAddress, _OwnerReply] = {}
 
     async def collect(self) -> tuple[JobPlaces, ...]:
-        """Ask every owner, and return what all told lately, each batch job once."""
+        """Query every owner; return the recently reported batch jobs, each once."""
         owners = set(self._open_owners()) - {self._own_address}
         await asyncio.gather(*(self._ask(owner) for owner in owners))
         since = self._clock.monotonic() - REPLY_LIFETIME_SECONDS
-        self._told = {
-            owner: told
-            for owner, told in self._told.items()
-            if owner in owners and told.at >= since
+        self._replies = {
+            owner: reply
+            for owner, reply in self._replies.items()
+            if owner in owners and reply.received_at >= since
         }
-        # The newest word on a batch job that has moved from node to node counts.
-        in_order = sorted(self._told.values(), key=lambda told: told.at)
-        by_id = {job.batch_id: job for told in in_order for job in told.jobs}
+        # For a batch job that moved between nodes, the newest report wins.
+        oldest_first = sorted(self._replies.values(), key=lambda reply: reply.received_at)
+        by_id = {job.batch_id: job for reply in oldest_first for job in reply.jobs}
         by_id.update((job.batch_id, job) for job in self._own_places())
         return tuple(by_id[batch_id] for batch_id in sorted(by_id))
 
     async def _ask(self, owner: NetworkAddress) -> None:
         try:
-            reply = await self._peers.call(owner, CollectPlaces(), ANSWER_SECONDS)
+            response = await self._peers.call(owner, CollectPlaces(), REPLY_TIMEOUT_SECONDS)
         except PeerUnavailableError as error:
             log_event("places_not_told", level="WARNING", owner=str(owner), detail=str(error))
             return
-        if not isinstance(reply, PlacesReply):
+        if not isinstance(response, PlacesReply):
             log_event("places_not_told", level="WARNING", owner=str(owner), detail="another reply")
             return
-        self._told[owner] = _Told(at=self._clock.monotonic(), jobs=reply.jobs)
+        self._replies[owner] = _OwnerReply(received_at=self._clock.monotonic(), jobs=response.jobs)
--- a/drumbay/scaling/demand.py
+++ b/drumbay/scaling/demand.py
@@ -1,9 +1,9 @@
-"""How many workers the open batch jobs of a service need: a pure estimate.
+"""Estimates how many workers the open batch jobs of a service need.
 
-The load: trainers hand in hundreds of items at once, every few seconds, so that the places wanted
-swing between none and a peak. Enough is not the peak but what lets the last item of a peak begin
-after an acceptable wait. With N items, P places and runs of S seconds, the last one waits about
-(N / P - 1) * S; a wait of W seconds therefore takes N * S / (S + W) places.
+Trainers submit hundreds of items at once, every few seconds, so demand alternates between zero and
+a peak. The estimate is sized so that the last item of a peak starts after an acceptable wait. With
+N items, P slots and runs of S seconds, the last item waits about (N / P - 1) * S; a wait of
+W seconds therefore takes N * S / (S + W) slots.
 """
 
 import math
@@ -16,184 +16,187 @@
 from drumbay.batches.records import BatchId
 
 ACCEPTABLE_WAIT_SECONDS = 1.0
-"""A trainer waits for the last item of its step. A wait of a second is small beside the time that
-the longest items run."""
+"""Acceptable wait of the last item of a peak."""
 
-TARGET_OCCUPANCY = 0.85
-"""Share of the places that can be counted on: the others load weights, or their workers pause."""
+TARGET_UTILIZATION = 0.85
+"""Fraction of the slots that are usable; others load weights or belong to paused workers."""
 
-SHORT_SHARE = 0.1
-"""Fewer waiting items than this share of the places get one within tenths of a second."""
+MIN_WAITING_FRACTION = 0.1
+"""Up to this fraction of the slots, waiting items get a slot almost immediately."""
 
-BUSY_SHARE = 0.5
-"""Items that wait while fewer places than this share are held wait for something else than room,
-as for weights."""
+MIN_BUSY_FRACTION = 0.5
+"""If a smaller fraction of the slots is busy, items wait for other reasons, such as weights."""
 
-RECENT_SECONDS = 10.0
-"""Steps come every few seconds: two of them show how high demand goes."""
+RECENT_WINDOW_SECONDS = 10.0
+"""Window for scaling up; covers about two steps of a trainer."""
 
-CALM_SECONDS = 60.0
-"""Demand must have been low for so long, several steps and a pause of a trainer, before workers are
-given back: too few cost every step its time, too many cost their price only."""
+SCALE_DOWN_WINDOW_SECONDS = 60.0
+"""Demand must be low for this time before scaling down; covers several steps and a pause."""
 
 DEFAULT_RUN_SECONDS = 1.0
-"""Taken for the length of a run until some have ended."""
+"""Assumed run duration until some runs have completed."""
 
-LONGEST_RUN_SECONDS = 5.0
-"""Beyond this, workers stand still rather than run: more of them would stand still too."""
+MAX_RUN_SECONDS = 5.0
+"""Upper bound; longer runs indicate stalled workers, which scaling up would not help."""
 
 DEFAULT_RUN_WEIGHT = 20
-"""The default counts as so many runs: at the start of a step places are held while no run has
-ended, which alone would tell of endless runs."""
+"""Weight of the default, in runs. Without it, the start of a step, when no run has completed yet,
+would look like endless runs."""
 
-LONGEST_SAMPLE_SECONDS = 3.0
-"""What happened in a longer gap between two samples is not known."""
+MAX_SAMPLE_INTERVAL_SECONDS = 3.0
+"""Intervals longer than this are not used to measure runs."""
 
 
-class PlacesSample(msgspec.Struct, frozen=True, kw_only=True):
-    """What was there and wanted at one moment.
+class DemandSample(msgspec.Struct, frozen=True, kw_only=True):
+    """Workers and demand at one point in time.
 
     Attributes:
         at: Monotonic time.
-        workers: Ready workers of the service.
-        places: Their places.
+        workers: Number of ready workers of the service.
+        slots: Number of their slots.
         jobs: The open batch jobs of the service.
     """
 
     at: float
     workers: int
-    places: int
+    slots: int
     jobs: tuple[JobPlaces, ...]
 
 
-class WorkerNeed(msgspec.Struct, frozen=True, kw_only=True):
-    """What demand asks for.
+class WorkerEstimate(msgspec.Struct, frozen=True, kw_only=True):
+    """Estimated number of workers needed.
 
     Attributes:
-        workers: Enough for the lack that has lasted; 0 if there is no such lack.
-        calm_workers: Enough for all demand of a long time; ``None`` if it was not seen for so long.
-        wanted: Places wanted now, those that are held included.
-        waiting: Items without a place now.
-        run_seconds: Mean time for which an item holds a place.
+        workers: Workers needed for a sustained shortage; 0 without a shortage.
+        long_term_workers: Workers needed for the peak demand of the scale-down window; ``None``
+            if that window is not covered yet.
+        demanded_slots: Slots demanded now, including busy ones.
+        waiting_items: Items waiting for a slot now.
+        run_seconds: Mean time for which an item occupies a slot.
     """
 
     workers: int
-    calm_workers: int | None
-    wanted: int = 0
-    waiting: int = 0
+    long_term_workers: int | None
+    demanded_slots: int = 0
+    waiting_items: int = 0
     run_seconds: float
 
 
-class _Moment(msgspec.Struct, frozen=True, kw_only=True):
-    """One sample, and what went on since the one before.
+class _DemandPoint(msgspec.Struct, frozen=True, kw_only=True):
+    """One evaluated sample.
 
     Attributes:
         at: Monotonic time.
-        busy: Places that were held.
-        ended_runs: Runs that have ended since the sample before.
-        seconds: Time since the sample before; 0 if it is too long ago.
-        is_short: Whether items waited for room.
-        enough: Workers that would have made the longest wait acceptable.
+        busy_slots: Slots occupied by runs.
+        completed_runs: Runs completed since the previous sample.
+        interval_seconds: Time since the previous sample; 0 if it is too long ago.
+        is_saturated: Whether items waited for slots.
+        required_workers: Workers needed for an acceptable wait.
     """
 
     at: float
-    busy: int
-    ended_runs: int
-    seconds: float
-    is_short: bool = False
-    enough: int = 0
+    busy_slots: int
+    completed_runs: int
+    interval_seconds: float
+    is_saturated: bool = False
+    required_workers: int = 0
 
 
 class DemandHistory:
-    """The demand for the workers of one service, lately."""
+    """Recent demand for the workers of one service."""
 
     def __init__(self) -> None:
-        """Know nothing."""
-        self._moments: list[_Moment] = []
+        """Create an empty history."""
+        self._points: list[_DemandPoint] = []
         self._jobs: dict[BatchId, JobPlaces] = {}
         self._run_seconds = DEFAULT_RUN_SECONDS
 
-    def observe(self, sample: PlacesSample) -> None:
-        """Take a sample."""
+    def observe(self, sample: DemandSample) -> None:
+        """Add a sample."""
         jobs = {job.batch_id: job for job in sample.jobs}
-        gap_seconds = sample.at - self._moments[-1].at if self._moments else 0.0
-        is_known = gap_seconds <= LONGEST_SAMPLE_SECONDS
+        interval_seconds = sample.at - self._points[-1].at if self._points else 0.0
+        is_continuous = interval_seconds <= MAX_SAMPLE_INTERVAL_SECONDS
         running = sum(sum(job.running.values()) for job in sample.jobs)
-        moment = _Moment(
+        point = _DemandPoint(
             at=sample.at,
-            # Runs beyond the places wait in the queues of the workers.
-            busy=min(running, sample.places),
-            ended_runs=_ended_runs(self._jobs, jobs) if is_known else 0,
-            seconds=gap_seconds if is_known else 0.0,
+            # Runs beyond the slots are queued at the workers.
+            busy_slots=min(running, sample.slots),
+            completed_runs=_completed_runs(self._jobs, jobs) if is_continuous else 0,
+            interval_seconds=interval_seconds if is_continuous else 0.0,
         )
         self._jobs = jobs
-        self._measure_runs(moment)
-        self._moments.append(
+        self._update_run_seconds(point)
+        self._points.append(
             msgspec.structs.replace(
-                moment,
-                is_short=_is_short(sample, moment.busy),
-                enough=self._enough_workers(sample, moment.busy),
+                point,
+                is_saturated=_is_saturated(sample, point.busy_slots),
+                required_workers=self._required_workers(sample, point.busy_slots),
             )
         )
-        while len(self._moments) > 1 and self._moments[1].at <= sample.at - CALM_SECONDS:
-            self._moments.pop(0)
-
-    def _measure_runs(self, newest: _Moment) -> None:
-        recent = [moment for moment in self._moments if moment.at > newest.at - RECENT_SECONDS]
-        ended_runs = DEFAULT_RUN_WEIGHT
-        held_seconds = DEFAULT_RUN_WEIGHT * DEFAULT_RUN_SECONDS
-        for moment in (*recent, newest):
-            ended_runs += moment.ended_runs
-            held_seconds += moment.busy * moment.seconds
-        self._run_seconds = min(LONGEST_RUN_SECONDS, held_seconds / ended_runs)
-
-    def _enough_workers(self, sample: PlacesSample, busy: int) -> int:
-        """Return how many workers would have made the longest wait acceptable."""
-        if not sample.places:
+        while len(self._points) > 1 and self._points[1].at <= sample.at - SCALE_DOWN_WINDOW_SECONDS:
+            self._points.pop(0)
+
+    def _update_run_seconds(self, newest: _DemandPoint) -> None:
+        recent = [point for point in self._points if point.at > newest.at - RECENT_WINDOW_SECONDS]
+        completed_runs = DEFAULT_RUN_WEIGHT
+        busy_seconds = DEFAULT_RUN_WEIGHT * DEFAULT_RUN_SECONDS
+        for point in (*recent, newest):
+            completed_runs += point.completed_runs
+            busy_seconds += point.busy_slots * point.interval_seconds
+        self._run_seconds = min(MAX_RUN_SECONDS, busy_seconds / completed_runs)
+
+    def _required_workers(self, sample: DemandSample, busy_slots: int) -> int:
+        """Return the number of workers needed for an acceptable wait."""
+        if not sample.slots:
             return 0
-        share = self._run_seconds / (self._run_seconds + ACCEPTABLE_WAIT_SECONDS)
-        places = max(busy, _wanted(sample) * share) / TARGET_OCCUPANCY
-        return math.ceil(places * sample.workers / sample.places)
-
-    def need(self) -> WorkerNeed:
-        """Return what demand asks for by now."""
-        if not self._moments:
-            return WorkerNeed(workers=0, calm_workers=None, run_seconds=self._run_seconds)
-        last_at = self._moments[-1].at
-        recent = [moment for moment in self._moments if moment.at > last_at - RECENT_SECONDS]
-        # A lack that only one sample saw may be over.
-        lasting = [
-            max(one.enough, next_one.enough)
-            for one, next_one in pairwise(recent)
-            if one.is_short and next_one.is_short
+        slot_fraction = self._run_seconds / (self._run_seconds + ACCEPTABLE_WAIT_SECONDS)
+        slots = max(busy_slots, _demanded_slots(sample) * slot_fraction) / TARGET_UTILIZATION
+        return math.ceil(slots * sample.workers / sample.slots)
+
+    def estimate(self) -> WorkerEstimate:
+        """Return the current estimate."""
+        if not self._points:
+            return WorkerEstimate(workers=0, long_term_workers=None, run_seconds=self._run_seconds)
+        last_at = self._points[-1].at
+        recent = [point for point in self._points if point.at > last_at - RECENT_WINDOW_SECONDS]
+        # A shortage in a single sample may be over already.
+        sustained = [
+            max(current.required_workers, following.required_workers)
+            for current, following in pairwise(recent)
+            if current.is_saturated and following.is_saturated
         ]
-        is_long = last_at - self._moments[0].at >= CALM_SECONDS
-        return WorkerNeed(
-            workers=max(lasting, default=0),
-            calm_workers=max(moment.enough for moment in self._moments) if is_long else None,
-            wanted=sum(job.wanted for job in self._jobs.values()),
-            waiting=sum(job.waiting for job in self._jobs.values()),
+        covers_window = last_at - self._points[0].at >= SCALE_DOWN_WINDOW_SECONDS
+        return WorkerEstimate(
+            workers=max(sustained, default=0),
+            long_term_workers=max(point.required_workers for point in self._points)
+            if covers_window
+            else None,
+            demanded_slots=sum(job.wanted for job in self._jobs.values()),
+            waiting_items=sum(job.waiting for job in self._jobs.values()),
             run_seconds=self._run_seconds,
         )
 
 
-def _wanted(sample: PlacesSample) -> int:
+def _demanded_slots(sample: DemandSample) -> int:
     return sum(job.wanted for job in sample.jobs)
 
 
-def _is_short(sample: PlacesSample, busy: int) -> bool:
-    """Return whether items wait for room, rather than for something else."""
+def _is_saturated(sample: DemandSample, busy_slots: int) -> bool:
+    """Return whether items wait for slots rather than for something else."""
     waiting = sum(job.waiting for job in sample.jobs)
-    return waiting > SHORT_SHARE * sample.places and busy >= BUSY_SHARE * sample.places
+    return (
+        waiting > MIN_WAITING_FRACTION * sample.slots
+        and busy_slots >= MIN_BUSY_FRACTION * sample.slots
+    )
 
 
-def _ended_runs(before: Mapping[BatchId, JobPlaces], now: Mapping[BatchId, JobPlaces]) -> int:
-    """Return about how many runs have ended between two samples."""
-    return sum(_ended_runs_of(job, now.get(job.batch_id)) for job in before.values())
+def _completed_runs(previous: Mapping[BatchId, JobPlaces], now: Mapping[BatchId, JobPlaces]) -> int:
+    """Estimate how many runs completed between two samples."""
+    return sum(_completed_runs_of(job, now.get(job.batch_id)) for job in previous.values())
 
 
-def _ended_runs_of(before: JobPlaces, now: JobPlaces | None) -> int:
+def _completed_runs_of(previous: JobPlaces, now: JobPlaces | None) -> int:
     if now is None:
-        # Items of a batch job that has ended are dropped without a run.
-        return sum(before.running.values())
-    return max(0, before.wanted - now.wanted)
+        # Waiting items of a batch job that ended are dropped without a run.
+        return sum(previous.running.values())
+    return max(0, previous.wanted - now.wanted)
--- a/drumbay/scaling/keeper.py
+++ b/drumbay/scaling/keeper.py
@@ -1,4 +1,4 @@
-"""Orders worker counts from the platform while this node leads."""
+"""Scales the workers of services by orders to the platform while this node is the leader."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -14,33 +14,32 @@
 from drumbay.observability.serving_metrics import ServingMetrics
 from drumbay.ownership.leader import LeaderElection
 from drumbay.scaling.collector import PlacesCollector
-from drumbay.scaling.demand import DemandHistory, PlacesSample, WorkerNeed
+from drumbay.scaling.demand import DemandHistory, DemandSample, WorkerEstimate
 from drumbay.scaling.planner import WorkerCountPlanner
 from drumbay.scaling.records import ServiceScaling, ServiceZone, ZoneWorkers
 from drumbay.workers.directory import WorkerDirectory
 from drumbay.workers.records import Worker, WorkerState
 
-TICK_SECONDS = 0.5
-COLLECT_SECONDS = 1.0
-"""Demand that lasts shows within two samples, and a new worker serves seconds later. Asking more
-often would gain little of that, and costs each owner a call."""
+RECONCILE_INTERVAL_SECONDS = 0.5
+COLLECT_INTERVAL_SECONDS = 1.0
+"""Interval between two samples of the demand, each of which costs one call per owner."""
 
 STANDING_KEY = "drumbay/scaling/standing"
 
 
-class _Standing(msgspec.Struct, frozen=True, kw_only=True):
-    """How many workers have stood in each zone, and how many demand has asked for."""
+class _StoredCounts(msgspec.Struct, frozen=True, kw_only=True):
+    """Stored baselines (``places``) and demand targets (``raised``) per zone."""
 
     places: tuple[ZoneWorkers, ...]
     raised: tuple[ZoneWorkers, ...] = ()
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(_Standing)
+_decoder = msgspec.msgpack.Decoder(_StoredCounts)
 
 
 class WorkerCountKeeper:
-    """Keeps the number of workers that the planner wants."""
+    """Orders the worker counts decided by the planner."""
 
     def __init__(
         self,
@@ -54,18 +53,18 @@
         holder: str,
         metrics: ServingMetrics,
     ) -> None:
-        """Create a keeper that does not lead.
+        """Create a keeper that is not leading.
 
         Args:
-            clock: Time.
+            clock: Clock.
             store: The key-value service.
-            routes: The configuration in force, which bounds the counts.
+            routes: The current configuration, which bounds the counts.
             directory: The workers.
-            leader: Says whether this node holds the duty.
-            duties: The platform.
-            collector: Knows what the open batch jobs hold and want; ``None`` to keep what stands.
-            holder: This machine, as the platform knows it.
-            metrics: Counts orders and workers.
+            leader: Leader election of the duty.
+            duties: Platform API that takes the orders.
+            collector: Collects demand; ``None`` to keep the baseline counts only.
+            holder: Name of this machine at the platform.
+            metrics: Metrics of orders and workers.
         """
         self._clock = clock
         self._store = store
@@ -79,13 +78,13 @@
         self._planner = WorkerCountPlanner()
         self._demand: dict[str, DemandHistory] = {}
         self._collected_at = float("-inf")
-        self._stored = _Standing(places=())
+        self._stored = _StoredCounts(places=())
         self._fence: Fence | None = None
 
     async def run(self) -> None:
-        """Order until cancelled."""
+        """Reconcile periodically until cancelled."""
         while True:
-            await self._clock.sleep(TICK_SECONDS)
+            await self._clock.sleep(RECONCILE_INTERVAL_SECONDS)
             fence = self._leader.duty_fence(self._clock.monotonic())
             current = self._routes.current
             if fence is None or current is None or not self._directory.loaded:
@@ -93,27 +92,27 @@
                 self._demand.clear()
                 continue
             try:
-                await self._keep(fence, current.scaling)
+                await self._reconcile(fence, current.scaling)
             except KeyValueError as error:
                 log_event("worker_counts_not_kept", level="WARNING", error=error.code)
                 self._fence = None
 
-    async def _keep(self, fence: Fence, scalings: tuple[ServiceScaling, ...]) -> None:
+    async def _reconcile(self, fence: Fence, scalings: tuple[ServiceScaling, ...]) -> None:
         if not scalings:
             return
         if self._fence != fence:
-            await self._take_up()
+            await self._load_counts()
             self._fence = fence
         await self._collect(scalings)
         for scaling in scalings:
-            if not await self._keep_service(scaling, fence):
+            if not await self._scale_service(scaling, fence):
                 return
-        await self._store_standing(fence)
+        await self._store_counts(fence)
 
     async def _collect(self, scalings: tuple[ServiceScaling, ...]) -> None:
-        """Take a sample of the demand for each service, once a second."""
+        """Sample the demand for each service, if a sample is due."""
         now = self._clock.monotonic()
-        if self._collector is None or now - self._collected_at < COLLECT_SECONDS:
+        if self._collector is None or now - self._collected_at < COLLECT_INTERVAL_SECONDS:
             return
         self._collected_at = now
         jobs = await self._collector.collect()
@@ -121,53 +120,53 @@
             history = self._demand.setdefault(scaling.service, DemandHistory())
             ready = self._ready_workers(scaling.service)
             history.observe(
-                PlacesSample(
+                DemandSample(
                     at=now,
                     workers=len(ready),
-                    places=sum(worker.slots for worker in ready),
+                    slots=sum(worker.slots for worker in ready),
                     jobs=tuple(job for job in jobs if job.service == scaling.service),
                 )
             )
 
-    async def _keep_service(self, scaling: ServiceScaling, fence: Fence) -> bool:
-        """Order what a service needs; return whether this node may give more orders."""
-        there = self._workers_of(scaling)
+    async def _scale_service(self, scaling: ServiceScaling, fence: Fence) -> bool:
+        """Order the workers of a service; return whether this node may send more orders."""
+        workers = self._workers_by_zone(scaling)
         history = self._demand.setdefault(scaling.service, DemandHistory())
-        need = history.need()
-        orders = self._planner.plan(scaling, there, self._clock.monotonic(), need)
+        estimate = history.estimate()
+        orders = self._planner.plan(scaling, workers, self._clock.monotonic(), estimate)
         self._metrics.set_workers(
             scaling.service,
-            ready=sum(zone.ready for zone in there),
-            needed=need.workers,
-            ordered=self._planner.wanted_of(scaling),
-            waiting_items=need.waiting,
+            ready=sum(zone.ready for zone in workers),
+            needed=estimate.workers,
+            ordered=self._planner.total_target(scaling),
+            waiting_items=estimate.waiting_items,
         )
-        # A successor must not take workers that were ordered here for those that stood.
-        if orders and not await self._store_standing(fence):
+        # Stored first, so that a successor does not take ordered workers for the baseline.
+        if orders and not await self._store_counts(fence):
             return False
         for order in orders:
-            if not await self._order(order, need, fence):
+            if not await self._order(order, estimate, fence):
                 return False
         return True
 
-    async def _order(self, order: WorkerCount, need: WorkerNeed, fence: Fence) -> bool:
-        """Give one order; return whether this node may give more."""
+    async def _order(self, order: WorkerCount, estimate: WorkerEstimate, fence: Fence) -> bool:
+        """Send one order; return whether this node may send more."""
         if self._leader.duty_fence(self._clock.monotonic()) != fence:
             return False
         token = DutyToken(holder=self._holder, fence=fence)
         outcome = await self._duties.set_worker_count(token, order)
-        self._planner.note_outcome(order, outcome, self._clock.monotonic())
+        self._planner.record_outcome(order, outcome, self._clock.monotonic())
         self._metrics.count_duty("worker_count", outcome)
         log_event(
             "worker_count_ordered",
             service=order.service,
             zone=order.zone,
             workers=order.workers,
-            needed=need.workers,
+            needed=estimate.workers,
             ready=len(self._ready_workers(order.service)),
-            wanted_places=need.wanted,
-            waiting_items=need.waiting,
-            run_seconds=round(need.run_seconds, 3),
+            wanted_places=estimate.demanded_slots,
+            waiting_items=estimate.waiting_items,
+            run_seconds=round(estimate.run_seconds, 3),
             demand_age_seconds=round(self._clock.monotonic() - self._collected_at, 3),
             fence=fence,
             outcome=outcome,
@@ -176,8 +175,8 @@
             self._leader.step_down("fenced")
         return outcome is not DutyOutcome.FENCED
 
-    def _workers_of(self, scaling: ServiceScaling) -> tuple[ZoneWorkers, ...]:
-        """Return the workers in each zone where the service may have some."""
+    def _workers_by_zone(self, scaling: ServiceScaling) -> tuple[ZoneWorkers, ...]:
+        """Return the ready workers in each zone of the service."""
         ready: Counter[str] = Counter(dict.fromkeys(scaling.zone_prices, 0))
         ready.update(worker.zone for worker in self._ready_workers(scaling.service))
         return tuple(
@@ -189,38 +188,41 @@
         records = self._directory.of_service(service)
         return [r.worker for r in records if r.worker.state is WorkerState.READY]
 
-    async def _take_up(self) -> None:
-        """Go on from what the leader before knew."""
+    async def _load_counts(self) -> None:
+        """Restore the counts stored by the previous leader."""
         found = await self._store.range_prefix(STANDING_KEY)
         records = [_decoder.decode(item.value) for item in found.items]
-        self._stored = records[0] if records else _Standing(places=())
+        self._stored = records[0] if records else _StoredCounts(places=())
         self._planner = WorkerCountPlanner()
         self._planner.restore(_counts(self._stored.places), _counts(self._stored.raised))
 
-    async def _store_standing(self, fence: Fence) -> bool:
-        """Write down what stands and was asked for, when it has changed.
+    async def _store_counts(self, fence: Fence) -> bool:
+        """Store the baselines and demand targets if they have changed.
 
         Returns:
-            Whether the store has it; not if another node leads by now.
+            Whether the store is up to date; False if another node is the leader.
         """
-        standing = _Standing(
-            places=_zone_workers(self._planner.standing),
-            raised=_zone_workers(self._planner.raised),
+        counts = _StoredCounts(
+            places=_zone_workers(self._planner.baselines),
+            raised=_zone_workers(self._planner.demand_targets),
         )
-        if standing == self._stored:
+        if counts == self._stored:
             return True
-        put = Put(key=STANDING_KEY, value=_encoder.encode(standing))
+        put = Put(key=STANDING_KEY, value=_encoder.encode(counts))
         result = await self._store.transact((self._leader.guard(fence),), (put,))
         if not result.succeeded:
             log_event("worker_counts_not_kept", level="WARNING", error="fence_lost")
             self._fence = None
             return False
-        self._stored = standing
+        self._stored = counts
         return True
 
 
 def _zone_workers(counts: Mapping[ServiceZone, int]) -> tuple[ZoneWorkers, ...]:
-    return tuple(ZoneWorkers(place=place, ready=count) for place, count in sorted(counts.items()))
+    return tuple(
+        ZoneWorkers(place=service_zone, ready=count)
+        for service_zone, count in sorted(counts.items())
+    )
 
 
 def _counts(zones: Iterable[ZoneWorkers]) -> dict[ServiceZone, int]:
--- a/drumbay/scaling/planner.py
+++ b/drumbay/scaling/planner.py
@@ -1,8 +1,8 @@
-"""Pure decisions: which worker counts to order now.
+"""Decides which worker counts to order.
 
-The load: batch jobs want more places than the workers have for as long as trainers run, workers
-crash and come back meanwhile, and a zone's workers may all go. Counts rise in one large step, since
-a new worker serves only seconds later, and fall one worker at a time after a long calm.
+Scales up in one large step, since new workers take seconds to boot, and down by one worker at a
+time after a long time of low demand. Orders are repeated when workers stay missing, as after the
+loss of a zone, but not for workers that restart by themselves.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,112 +10,116 @@
 import msgspec
 
 from drumbay.duties.interface import DutyOutcome, WorkerCount
-from drumbay.scaling.demand import WorkerNeed
+from drumbay.scaling.demand import WorkerEstimate
 from drumbay.scaling.records import ServiceScaling, ServiceZone, ZoneWorkers
-from drumbay.scaling.spread import DEFAULT_PRICE, ZoneRoom, add_workers, remove_worker
+from drumbay.scaling.spread import DEFAULT_PRICE, ZoneBounds, add_workers, remove_worker
 
-STANDING_SECONDS = 8.0
-"""A count that was never lower for so long stands: longer than workers take to register one after
-the other, and to be replaced."""
+BASELINE_WINDOW_SECONDS = 8.0
+"""The lowest count in this window becomes the baseline. Longer than workers take to register or to
+be replaced."""
 
-REPLACE_MARGIN_SECONDS = 4.0
-"""A worker that crashed or is being replaced is back within seconds by itself. Only a number that
-stays too low for this long beyond a boot is ordered again."""
+REPLACEMENT_MARGIN_SECONDS = 4.0
+"""Time beyond the boot time for missing workers to recover by themselves, before their count is
+ordered again."""
 
-RETRY_SECONDS = 1.0
-"""Pause after an order that the platform did not accept."""
+RETRY_DELAY_SECONDS = 1.0
+"""Delay after an order that the platform did not accept."""
 
-RAISE_SHARE = 0.1
-"""More workers are ordered once this share more is needed: less is within the error of the need,
-and each order is a call to the platform."""
+SCALE_UP_THRESHOLD = 0.1
+"""Scale up if at least this fraction more is needed; less is within the error of the estimate."""
 
-GIVE_BACK_SHARE = 0.2
-"""Workers are given back while more than this share beyond the need is there: a worker that drains
-breaks off runs, which a need that rises again soon would not repay."""
+SCALE_DOWN_THRESHOLD = 0.2
+"""Scale down if more than this fraction is in excess, since draining a worker interrupts runs."""
 
-GIVE_BACK_SECONDS = 10.0
-"""Workers are given back one at a time, so that a step between two of them shows a lack."""
+SCALE_DOWN_INTERVAL_SECONDS = 10.0
+"""Interval between removals, so that a shortage shows before the next one."""
 
 
-class _Seen(msgspec.Struct, frozen=True):
-    """A number of ready workers, since a monotonic time."""
+class _ReadySample(msgspec.Struct, frozen=True):
+    """The number of ready workers since a monotonic time."""
 
     at: float
     ready: int
 
 
-class _Place(msgspec.Struct, kw_only=True):
-    """What is known of one service in one zone.
+class _ZoneState(msgspec.Struct, kw_only=True):
+    """State of one service in one zone.
 
     Attributes:
-        standing: How many workers have stood there by themselves; ``None`` before that is known.
-        raised: How many demand has asked for; 0 if it never asked for more than stand.
-        ordered: The count ordered last; ``None`` if none was, or it may not have arrived.
-        ordered_at: When that was.
-        unanswered: A count that the platform may have set, or may still set; it is repeated until
-            the platform has accepted it, and nothing else is ordered meanwhile.
-        ready: Ready workers now.
-        is_lowered: Whether a worker is to be given back and the platform has not accepted it yet.
-        seen: Ready workers lately, with the times at which the number changed.
-        short_since: Since when fewer than wanted are ready; starts anew with each order.
-        away_since: The same, whatever is ordered again.
-        not_before: When an order may be given again.
+        baseline: Number of workers provided without an order; ``None`` if not known yet.
+        demand_target: Number of workers required by demand; 0 if demand never exceeded the
+            baseline.
+        ordered: The last ordered count; ``None`` if there is none, or if it may be lost.
+        ordered_at: Time of that order.
+        unconfirmed: Count of an unanswered order. It is repeated until the platform accepts it;
+            nothing else is ordered meanwhile.
+        ready: Number of ready workers.
+        is_scaling_down: Whether a removal is not accepted by the platform yet.
+        samples: Recent changes of the number of ready workers.
+        below_target_since: Start of the current shortage; reset by each order.
+        missing_since: Start of the current shortage, not reset by orders.
+        not_before: Earliest time of the next order.
     """
 
-    standing: int | None = None
-    raised: int = 0
+    baseline: int | None = None
+    demand_target: int = 0
     ordered: int | None = None
     ordered_at: float = float("-inf")
-    unanswered: int | None = None
-    is_lowered: bool = False
+    unconfirmed: int | None = None
+    is_scaling_down: bool = False
     ready: int = 0
-    seen: list[_Seen] = msgspec.field(default_factory=list)
-    short_since: float | None = None
-    away_since: float | None = None
+    samples: list[_ReadySample] = msgspec.field(default_factory=list)
+    below_target_since: float | None = None
+    missing_since: float | None = None
     not_before: float = float("-inf")
 
 
 class WorkerCountPlanner:
-    """Orders the counts that demand asks for, and orders again when workers stay away.
+    """Plans orders by demand, and repeats orders when workers stay missing.
 
-    Counts do not fall below what stood at first. Only a lack of places raises them: workers beyond
-    that cost their price and make no step whole sooner.
+    Counts never fall below the baseline, and rise above it only if slots are short.
     """
 
     def __init__(self) -> None:
-        """Know nothing of any zone."""
-        self._places: dict[ServiceZone, _Place] = {}
+        """Create a planner without known zones."""
+        self._zones: dict[ServiceZone, _ZoneState] = {}
         self._changed_at: dict[str, float] = {}
 
     @property
-    def standing(self) -> dict[ServiceZone, int]:
-        """Return how many workers have stood in each zone, as far as known."""
+    def baselines(self) -> dict[ServiceZone, int]:
+        """Return the known baselines by zone."""
         return {
-            place: known.standing
-            for place, known in self._places.items()
-            if known.standing is not None
+            service_zone: state.baseline
+            for service_zone, state in self._zones.items()
+            if state.baseline is not None
         }
 
     @property
-    def raised(self) -> dict[ServiceZone, int]:
-        """Return how many workers demand has asked for, where it has."""
-        return {place: known.raised for place, known in self._places.items() if known.raised}
+    def demand_targets(self) -> dict[ServiceZone, int]:
+        """Return the demand targets by zone, where set."""
+        return {
+            service_zone: state.demand_target
+            for service_zone, state in self._zones.items()
+            if state.demand_target
+        }
 
     def restore(
-        self, standing: Mapping[ServiceZone, int], raised: Mapping[ServiceZone, int] | None = None
+        self,
+        baselines: Mapping[ServiceZone, int],
+        demand_targets: Mapping[ServiceZone, int] | None = None,
     ) -> None:
-        """Take what a planner before this one knew."""
-        for place, count in standing.items():
-            self._places.setdefault(place, _Place()).standing = count
-        for place, count in (raised or {}).items():
-            self._places.setdefault(place, _Place()).raised = count
-
-    def wanted_of(self, scaling: ServiceScaling) -> int:
-        """Return how many workers a service is to have in all zones."""
+        """Restore the state of a previous planner."""
+        for service_zone, count in baselines.items():
+            self._zones.setdefault(service_zone, _ZoneState()).baseline = count
+        for service_zone, count in (demand_targets or {}).items():
+            self._zones.setdefault(service_zone, _ZoneState()).demand_target = count
+
+    def total_target(self, scaling: ServiceScaling) -> int:
+        """Return the target number of workers of a service in all zones."""
         return sum(
-            _wanted(scaling, known)
-            for place, known in self._places.items()
-            if place.service == scaling.service and known.standing is not None
+            _target(scaling, state)
+            for service_zone, state in self._zones.items()
+            if service_zone.service == scaling.service and state.baseline is not None
         )
 
     def plan(
@@ -123,156 +127,170 @@
         scaling: ServiceScaling,
         workers: Iterable[ZoneWorkers],
         now: float,
-        need: WorkerNeed | None = None,
+        estimate: WorkerEstimate | None = None,
     ) -> tuple[WorkerCount, ...]:
         """Return the counts to order now.
 
         Args:
-            scaling: What operators allow.
-            workers: What there is.
+            scaling: Configured bounds.
+            workers: Ready workers by zone.
             now: Monotonic time.
-            need: What batch jobs ask for, if known.
+            estimate: Workers needed by batch jobs, if known.
         """
-        zones: dict[ServiceZone, _Place] = {}
+        zones: dict[ServiceZone, _ZoneState] = {}
         for zone in workers:
-            known = self._places.setdefault(zone.place, _Place())
-            _observe(known, zone.ready, now)
-            if known.standing is not None:
-                zones[zone.place] = known
-        if need is not None:
-            self._follow_need(scaling, zones, need, now)
+            state = self._zones.setdefault(zone.place, _ZoneState())
+            _record_ready(state, zone.ready, now)
+            if state.baseline is not None:
+                zones[zone.place] = state
+        if estimate is not None:
+            self._adjust_targets(scaling, zones, estimate, now)
         return tuple(
-            _order(place, known, _wanted(scaling, known), now)
-            for place, known in zones.items()
-            if _is_due(scaling, known, now)
+            _create_order(service_zone, state, _target(scaling, state), now)
+            for service_zone, state in zones.items()
+            if _is_order_due(scaling, state, now)
         )
 
-    def _follow_need(
+    def _adjust_targets(
         self,
         scaling: ServiceScaling,
-        zones: Mapping[ServiceZone, _Place],
-        need: WorkerNeed,
+        zones: Mapping[ServiceZone, _ZoneState],
+        estimate: WorkerEstimate,
         now: float,
     ) -> None:
-        """Change what the zones are to have."""
-        # A zone in which the service never ran may not be able to run it.
-        rooms = {
-            place: _room(scaling, place, known, now)
-            for place, known in zones.items()
-            if known.standing
+        """Adjust the demand targets of the zones."""
+        # Zones in which the service never ran may be unable to run it.
+        bounds = {
+            service_zone: _zone_bounds(scaling, service_zone, state, now)
+            for service_zone, state in zones.items()
+            if state.baseline
         }
-        total = sum(room.workers for room in rooms.values())
-        if need.workers >= total * (1 + RAISE_SHARE):
-            counts = add_workers(rooms, need.workers)
-        elif self._may_give_back(scaling.service, total, need, now):
-            counts = remove_worker(rooms)
+        total = sum(zone_bounds.workers for zone_bounds in bounds.values())
+        if estimate.workers >= total * (1 + SCALE_UP_THRESHOLD):
+            counts = add_workers(bounds, estimate.workers)
+        elif self._may_scale_down(scaling.service, total, estimate, now):
+            counts = remove_worker(bounds)
         else:
             return
-        for place, room in rooms.items():
-            if counts[place] != room.workers:
+        for service_zone, zone_bounds in bounds.items():
+            if counts[service_zone] != zone_bounds.workers:
                 self._changed_at[scaling.service] = now
-                zones[place].raised = counts[place]
-                zones[place].is_lowered = counts[place] < room.workers
-                zones[place].away_since = None
+                zones[service_zone].demand_target = counts[service_zone]
+                zones[service_zone].is_scaling_down = counts[service_zone] < zone_bounds.workers
+                zones[service_zone].missing_since = None
 
-    def _may_give_back(self, service: str, total: int, need: WorkerNeed, now: float) -> bool:
+    def _may_scale_down(
+        self, service: str, total: int, estimate: WorkerEstimate, now: float
+    ) -> bool:
         since = self._changed_at.get(service, float("-inf"))
         return (
-            need.calm_workers is not None
-            and total > need.calm_workers * (1 + GIVE_BACK_SHARE)
-            and now - since >= GIVE_BACK_SECONDS
+            estimate.long_term_workers is not None
+            and total > estimate.long_term_workers * (1 + SCALE_DOWN_THRESHOLD)
+            and now - since >= SCALE_DOWN_INTERVAL_SECONDS
         )
 
-    def note_outcome(self, order: WorkerCount, outcome: DutyOutcome, now: float) -> None:
-        """Order again later what the platform did not accept, or may not have."""
-        known = self._places.get(ServiceZone(order.service, order.zone))
-        if known is None:
+    def record_outcome(self, order: WorkerCount, outcome: DutyOutcome, now: float) -> None:
+        """Record the outcome of an order; schedule its repetition unless it was accepted."""
+        state = self._zones.get(ServiceZone(order.service, order.zone))
+        if state is None:
             return
-        known.unanswered = None
+        state.unconfirmed = None
         if outcome is DutyOutcome.ACCEPTED:
-            known.is_lowered = False
+            state.is_scaling_down = False
             return
-        # An order that may have been carried out is repeated unchanged, so that it does no harm.
+        # An order that may have been executed is repeated unchanged, which is idempotent.
         if outcome is DutyOutcome.UNANSWERED:
-            known.unanswered = order.workers
-        known.ordered = None
-        known.ordered_at = float("-inf")
-        known.short_since = float("-inf")
-        known.not_before = now + RETRY_SECONDS
-
-
-def _wanted(scaling: ServiceScaling, known: _Place) -> int:
-    if known.unanswered is not None:
-        return known.unanswered
-    return min(scaling.maximum, max(known.standing or 0, known.raised))
-
-
-def _room(scaling: ServiceScaling, place: ServiceZone, known: _Place, now: float) -> ZoneRoom:
-    """Return what a zone may have; one whose workers stay away counts with those that it has."""
-    wanted = _wanted(scaling, known)
-    is_away = known.away_since is not None and now - known.away_since >= _patience(scaling)
-    is_fixed = is_away or known.unanswered is not None
-    workers = min(known.ready, wanted) if is_away else wanted
-    return ZoneRoom(
+            state.unconfirmed = order.workers
+        state.ordered = None
+        state.ordered_at = float("-inf")
+        state.below_target_since = float("-inf")
+        state.not_before = now + RETRY_DELAY_SECONDS
+
+
+def _target(scaling: ServiceScaling, state: _ZoneState) -> int:
+    if state.unconfirmed is not None:
+        return state.unconfirmed
+    return min(scaling.maximum, max(state.baseline or 0, state.demand_target))
+
+
+def _zone_bounds(
+    scaling: ServiceScaling, service_zone: ServiceZone, state: _ZoneState, now: float
+) -> ZoneBounds:
+    """Return the bounds of a zone; a zone with missing workers is fixed at its ready ones."""
+    target = _target(scaling, state)
+    is_missing = (
+        state.missing_since is not None
+        and now - state.missing_since >= _replacement_timeout(scaling)
+    )
+    is_fixed = is_missing or state.unconfirmed is not None
+    workers = min(state.ready, target) if is_missing else target
+    return ZoneBounds(
         workers=workers,
-        fewest=workers if is_fixed else min(scaling.maximum, known.standing or 0),
-        most=workers if is_fixed else scaling.maximum,
-        price=scaling.zone_prices.get(place.zone, DEFAULT_PRICE),
+        min_workers=workers if is_fixed else min(scaling.maximum, state.baseline or 0),
+        max_workers=workers if is_fixed else scaling.maximum,
+        price=scaling.zone_prices.get(service_zone.zone, DEFAULT_PRICE),
     )
 
 
-def _order(place: ServiceZone, known: _Place, wanted: int, now: float) -> WorkerCount:
-    known.ordered = wanted
-    known.ordered_at = now
-    known.short_since = None
-    return WorkerCount(service=place.service, zone=place.zone, workers=wanted)
+def _create_order(
+    service_zone: ServiceZone, state: _ZoneState, target: int, now: float
+) -> WorkerCount:
+    state.ordered = target
+    state.ordered_at = now
+    state.below_target_since = None
+    return WorkerCount(service=service_zone.service, zone=service_zone.zone, workers=target)
 
 
-def _observe(known: _Place, ready: int, now: float) -> None:
-    """Take a count; the fewest of a while count as standing if that is more than before.
+def _record_ready(state: _ZoneState, ready: int, now: float) -> None:
+    """Record the number of ready workers; update the baseline with the lowest recent number.
 
-    Workers register one after the other, and while some are replaced, old and new ones are
-    ready together: neither the first count nor the largest one tells how many there are to be.
-    Workers that demand has asked for do not stand.
+    The first number is too low while workers register one by one, and the largest is too high
+    while old and new workers overlap. Workers ordered by demand do not count.
     """
-    known.ready = ready
-    if not known.seen or known.seen[-1].ready != ready:
-        known.seen.append(_Seen(at=now, ready=ready))
-    since = now - STANDING_SECONDS
-    while len(known.seen) > 1 and known.seen[1].at <= since:
-        known.seen.pop(0)
-    if known.seen[0].at <= since:
-        fewest = min(seen.ready for seen in known.seen)
-        if fewest > known.raised and not known.is_lowered:
-            known.standing = max(known.standing or 0, fewest)
-
-
-def _is_due(scaling: ServiceScaling, known: _Place, now: float) -> bool:
-    """Return whether the wanted count of a zone is to be ordered now."""
-    if known.unanswered is not None and known.ready >= known.unanswered and not known.is_lowered:
-        known.unanswered = None
-    wanted = _wanted(scaling, known)
-    _observe_lack(known, wanted, now)
-    if now < known.not_before:
+    state.ready = ready
+    if not state.samples or state.samples[-1].ready != ready:
+        state.samples.append(_ReadySample(at=now, ready=ready))
+    since = now - BASELINE_WINDOW_SECONDS
+    while len(state.samples) > 1 and state.samples[1].at <= since:
+        state.samples.pop(0)
+    if state.samples[0].at <= since:
+        lowest = min(sample.ready for sample in state.samples)
+        if lowest > state.demand_target and not state.is_scaling_down:
+            state.baseline = max(state.baseline or 0, lowest)
+
+
+def _is_order_due(scaling: ServiceScaling, state: _ZoneState, now: float) -> bool:
+    """Return whether the target of a zone must be ordered now."""
+    if (
+        state.unconfirmed is not None
+        and state.ready >= state.unconfirmed
+        and not state.is_scaling_down
+    ):
+        state.unconfirmed = None
+    target = _target(scaling, state)
+    _update_shortage(state, target, now)
+    if now < state.not_before:
         return False
-    if known.is_lowered:
+    if state.is_scaling_down:
         return True
-    if known.short_since is None:
+    if state.below_target_since is None:
         return False
-    is_new = wanted > (known.ordered or known.standing or 0)
-    return is_new or now - max(known.short_since, known.ordered_at) >= _patience(scaling)
+    is_new = target > (state.ordered or state.baseline or 0)
+    return is_new or now - max(state.below_target_since, state.ordered_at) >= _replacement_timeout(
+        scaling
+    )
 
 
-def _observe_lack(known: _Place, wanted: int, now: float) -> None:
-    if known.ready >= wanted:
-        known.short_since = None
-        known.away_since = None
+def _update_shortage(state: _ZoneState, target: int, now: float) -> None:
+    if state.ready >= target:
+        state.below_target_since = None
+        state.missing_since = None
         return
-    if known.short_since is None:
-        known.short_since = now
-    if known.away_since is None:
-        known.away_since = now
+    if state.below_target_since is None:
+        state.below_target_since = now
+    if state.missing_since is None:
+        state.missing_since = now
 
 
-def _patience(scaling: ServiceScaling) -> float:
-    return scaling.boot_seconds + REPLACE_MARGIN_SECONDS
+def _replacement_timeout(scaling: ServiceScaling) -> float:
+    return scaling.boot_seconds + REPLACEMENT_MARGIN_SECONDS
--- a/drumbay/scaling/records.py
+++ b/drumbay/scaling/records.py
@@ -1,4 +1,4 @@
-"""What operators allow, and what there is."""
+"""Configured scaling bounds and worker counts per zone."""
 
 from collections.abc import Mapping
 
@@ -10,10 +10,10 @@
 
     Attributes:
         service: The service.
-        minimum: Fewest workers of a zone.
-        maximum: Most workers of a zone.
-        boot_seconds: A worker that was ordered begins to serve after this time.
-        zone_prices: Relative price of a worker's second by zone.
+        minimum: Minimum number of workers in a zone.
+        maximum: Maximum number of workers in a zone.
+        boot_seconds: Time until an ordered worker serves requests.
+        zone_prices: Relative price of worker time by zone.
     """
 
     service: str
@@ -24,14 +24,19 @@
 
 
 class ServiceZone(msgspec.Struct, frozen=True, order=True):
-    """The workers of a service in one zone: what one order is about."""
+    """One service in one zone, the unit of an order."""
 
     service: str
     zone: str
 
 
 class ZoneWorkers(msgspec.Struct, frozen=True, kw_only=True):
-    """How many workers there take requests, as discovery tells."""
+    """Number of ready workers of a service in a zone, as reported by discovery.
+
+    Attributes:
+        place: The service and zone.
+        ready: Number of ready workers.
+    """
 
     place: ServiceZone
     ready: int
--- a/drumbay/scaling/spread.py
+++ b/drumbay/scaling/spread.py
@@ -1,8 +1,7 @@
-"""In which zones more or fewer workers are to be: a pure decision.
+"""Spreads workers over zones by price.
 
-The load: demand asks for more workers than stand, in several zones with different prices, any of
-which may be lost. Workers go where the zone's cost is lowest so far: each zone then has about as
-many as its price allows for the same money, so cheap zones have more of them, and none has all.
+Workers are added where the total cost of the zone stays lowest. Cheap zones thus get more workers,
+but no zone gets all of them, since any zone may be lost.
 """
 
 from collections.abc import Mapping
@@ -12,42 +11,55 @@
 from drumbay.scaling.records import ServiceZone
 
 DEFAULT_PRICE = 1.0
-"""Price of a zone for which operators name none."""
+"""Price of a zone without a configured price."""
 
 
-class ZoneRoom(msgspec.Struct, frozen=True, kw_only=True):
-    """What a zone may have.
+class ZoneBounds(msgspec.Struct, frozen=True, kw_only=True):
+    """Worker count of a zone, and its bounds.
 
     Attributes:
-        workers: How many it is to have so far.
-        fewest: It keeps at least so many.
-        most: It gets at most so many.
-        price: Of a worker's second.
+        workers: Current target.
+        min_workers: Minimum number of workers.
+        max_workers: Maximum number of workers.
+        price: Relative price of worker time.
     """
 
     workers: int
-    fewest: int
-    most: int
+    min_workers: int
+    max_workers: int
     price: float
 
 
-def add_workers(zones: Mapping[ServiceZone, ZoneRoom], total: int) -> dict[ServiceZone, int]:
-    """Return the count of each zone once all have ``total`` workers, as far as there is room."""
-    counts = {place: zone.workers for place, zone in zones.items()}
+def add_workers(zones: Mapping[ServiceZone, ZoneBounds], total: int) -> dict[ServiceZone, int]:
+    """Return the count of each zone with ``total`` workers in all, as far as the bounds allow."""
+    counts = {service_zone: zone.workers for service_zone, zone in zones.items()}
     for _ in range(total - sum(counts.values())):
-        open_zones = [place for place in sorted(counts) if counts[place] < zones[place].most]
-        if not open_zones:
+        available_zones = [
+            service_zone
+            for service_zone in sorted(counts)
+            if counts[service_zone] < zones[service_zone].max_workers
+        ]
+        if not available_zones:
             break
-        cheapest = min(open_zones, key=lambda place: (counts[place] + 1) * zones[place].price)
+        cheapest = min(
+            available_zones,
+            key=lambda service_zone: (counts[service_zone] + 1) * zones[service_zone].price,
+        )
         counts[cheapest] += 1
     return counts
 
 
-def remove_worker(zones: Mapping[ServiceZone, ZoneRoom]) -> dict[ServiceZone, int]:
-    """Return the counts without one worker of the zone that costs most, if any has one to spare."""
-    counts = {place: zone.workers for place, zone in zones.items()}
-    spare = [place for place in sorted(counts) if counts[place] > zones[place].fewest]
-    if spare:
-        dearest = max(spare, key=lambda place: counts[place] * zones[place].price)
-        counts[dearest] -= 1
+def remove_worker(zones: Mapping[ServiceZone, ZoneBounds]) -> dict[ServiceZone, int]:
+    """Return the counts with one worker removed from the most expensive zone that allows it."""
+    counts = {service_zone: zone.workers for service_zone, zone in zones.items()}
+    reducible = [
+        service_zone
+        for service_zone in sorted(counts)
+        if counts[service_zone] > zones[service_zone].min_workers
+    ]
+    if reducible:
+        most_expensive = max(
+            reducible, key=lambda service_zone: counts[service_zone] * zones[service_zone].price
+        )
+        counts[most_expensive] -= 1
     return counts
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""Worker counts: what is ordered, when it is ordered again, and by whom."""
+"""Worker counts: orders, repeated orders and leader changes."""
 
 import asyncio
 import json
@@ -9,9 +9,9 @@
 from drumbay.duties.interface import DutyOutcome, WorkerCount
 from drumbay.forwarding.routes import RequestLimits, RoutingConfiguration
 from drumbay.scaling.planner import (
-    REPLACE_MARGIN_SECONDS,
-    RETRY_SECONDS,
-    STANDING_SECONDS,
+    BASELINE_WINDOW_SECONDS,
+    REPLACEMENT_MARGIN_SECONDS,
+    RETRY_DELAY_SECONDS,
     WorkerCountPlanner,
 )
 from drumbay.scaling.records import ServiceScaling, ServiceZone, ZoneWorkers
@@ -25,7 +25,7 @@
     boot_seconds=4.0,
     zone_prices={"near": 1.0, "far": 0.8},
 )
-PATIENCE_SECONDS = SCALING.boot_seconds + REPLACE_MARGIN_SECONDS
+REPLACEMENT_SECONDS = SCALING.boot_seconds + REPLACEMENT_MARGIN_SECONDS
 
 
 class PlannerTest(unittest.TestCase):
@@ -34,11 +34,11 @@
         self.planner.restore({NEAR: 3, FAR: 2})
 
     def plan(self, now: float, *, near: int = 3, far: int = 2) -> list[tuple[str, int]]:
-        there = (ZoneWorkers(place=NEAR, ready=near), ZoneWorkers(place=FAR, ready=far))
-        orders = self.planner.plan(SCALING, there, now)
+        workers = (ZoneWorkers(place=NEAR, ready=near), ZoneWorkers(place=FAR, ready=far))
+        orders = self.planner.plan(SCALING, workers, now)
         return [(order.zone, order.workers) for order in orders]
 
-    def test_what_stands_is_not_ordered(self) -> None:
+    def test_baseline_is_not_ordered(self) -> None:
         self.assertEqual([self.plan(float(now)) for now in range(60)], [[]] * 60)
 
     def test_workers_that_register_one_after_the_other_are_all_counted(self) -> None:
@@ -47,51 +47,51 @@
             self.assertEqual(self.plan(float(now), near=near, far=far), [])
         for now in range(4, 30):
             self.assertEqual(self.plan(float(now)), [])
-        self.assertEqual(self.planner.standing, {NEAR: 3, FAR: 2})
+        self.assertEqual(self.planner.baselines, {NEAR: 3, FAR: 2})
 
-    def test_workers_that_are_being_replaced_do_not_count_twice(self) -> None:
+    def test_replaced_workers_are_not_counted_twice(self) -> None:
         for now in range(60):
-            near = 5 if 20 <= now < 20 + STANDING_SECONDS - 1 else 3
+            near = 5 if 20 <= now < 20 + BASELINE_WINDOW_SECONDS - 1 else 3
             self.assertEqual(self.plan(float(now), near=near), [])
-        self.assertEqual(self.planner.standing[NEAR], 3)
+        self.assertEqual(self.planner.baselines[NEAR], 3)
 
-    def test_no_order_asks_for_fewer_workers_than_there_are(self) -> None:
+    def test_no_order_is_below_the_current_count(self) -> None:
         self.planner.restore({NEAR: 1, FAR: 0})
         self.assertEqual([self.plan(float(now)) for now in range(60)], [[]] * 60)
 
-    def test_workers_that_stay_away_are_ordered_again(self) -> None:
+    def test_missing_workers_are_ordered_again(self) -> None:
         self.assertEqual(self.plan(0.0), [])
         self.assertEqual(self.plan(10.0, near=2), [])
-        self.assertEqual(self.plan(10.0 + PATIENCE_SECONDS - 0.1, near=2), [])
-        self.assertEqual(self.plan(10.0 + PATIENCE_SECONDS, near=2), [("near", 3)])
-        self.assertEqual(self.plan(11.0 + PATIENCE_SECONDS, near=2), [])
+        self.assertEqual(self.plan(10.0 + REPLACEMENT_SECONDS - 0.1, near=2), [])
+        self.assertEqual(self.plan(10.0 + REPLACEMENT_SECONDS, near=2), [("near", 3)])
+        self.assertEqual(self.plan(11.0 + REPLACEMENT_SECONDS, near=2), [])
 
-    def test_a_worker_that_comes_back_by_itself_is_not_ordered(self) -> None:
+    def test_worker_that_recovers_is_not_ordered(self) -> None:
         self.plan(0.0)
         self.plan(10.0, near=2)
         self.plan(14.0)
         self.assertEqual(self.plan(15.0, near=2), [])
-        self.assertEqual(self.plan(14.0 + PATIENCE_SECONDS, near=2), [])
+        self.assertEqual(self.plan(14.0 + REPLACEMENT_SECONDS, near=2), [])
 
-    def test_a_count_that_was_not_accepted_is_ordered_again(self) -> None:
+    def test_unaccepted_count_is_ordered_again(self) -> None:
         self.plan(0.0)
         self.plan(10.0, near=2)
-        now = 10.0 + PATIENCE_SECONDS
+        now = 10.0 + REPLACEMENT_SECONDS
         self.assertEqual(self.plan(now, near=2), [("near", 3)])
         order = WorkerCount(service=SERVICE, zone="near", workers=3)
-        self.planner.note_outcome(order, DutyOutcome.UNANSWERED, now)
-        self.assertEqual(self.plan(now + RETRY_SECONDS / 2, near=2), [])
-        self.assertEqual(self.plan(now + RETRY_SECONDS, near=2), [("near", 3)])
+        self.planner.record_outcome(order, DutyOutcome.UNANSWERED, now)
+        self.assertEqual(self.plan(now + RETRY_DELAY_SECONDS / 2, near=2), [])
+        self.assertEqual(self.plan(now + RETRY_DELAY_SECONDS, near=2), [("near", 3)])
 
-    def test_counts_keep_to_what_operators_allow(self) -> None:
+    def test_counts_stay_within_the_configured_bounds(self) -> None:
         self.planner.restore({NEAR: 7})
         self.assertEqual(self.plan(0.0), [])
-        now = PATIENCE_SECONDS
+        now = REPLACEMENT_SECONDS
         self.assertEqual(self.plan(now), [("near", 5)])
 
 
 class KeeperTest(unittest.TestCase):
-    def test_a_successor_orders_what_stood_at_first(self) -> None:
+    def test_successor_orders_the_baseline(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             limits = ServiceScaling(
                 service=SERVICE,
@@ -119,7 +119,7 @@
 
         play(scenario, node_count=3, worker_count=3, orders_workers=True)
 
-    def test_nothing_is_ordered_where_it_is_no_duty(self) -> None:
+    def test_nothing_is_ordered_without_the_duty(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
                 node.lead()
