--- a/drumbay/admission/gate.py
+++ b/drumbay/admission/gate.py
@@ -49,7 +49,7 @@
 
 
 class AdmissionTicket:
-    """Admission of one request; it must be closed when the request has its final answer."""
+    """Admission of one request; it must be closed when the request has its final response."""
 
     def __init__(
         self, gate: "_ServiceGate", request: AdmissionRequest, *, is_enabled: bool
--- a/drumbay/admission/limit.py
+++ b/drumbay/admission/limit.py
@@ -27,7 +27,7 @@
 
 RECENT_LATENCY_WEIGHT = 0.2
 BASELINE_LATENCY_WEIGHT = 0.005
-"""Weights of the newest answer in the two moving averages of the latency. The baseline changes
+"""Weights of the newest response in the two moving averages of the latency. The baseline changes
 slowly, so that a few seconds of high latency do not become the norm."""
 
 
@@ -93,8 +93,8 @@
         self._consecutive_refusals += 1
         self._backoff_until = now + min(backoff_seconds, MAX_BACKOFF_SECONDS)
 
-    def record_answer(self, latency_seconds: float) -> None:
-        """Record the latency of an answer."""
+    def record_response(self, latency_seconds: float) -> None:
+        """Record the latency of a response."""
         self._consecutive_refusals = 0
         self._recent_latency_seconds = _moving_average(
             self._recent_latency_seconds, latency_seconds, RECENT_LATENCY_WEIGHT
--- a/drumbay/admission/records.py
+++ b/drumbay/admission/records.py
@@ -17,7 +17,7 @@
         flow: Unit of fair sharing: the tenant, or the caller where there are no tenants.
         rank: Smaller ranks go first; 0 is the first.
         arrived_at: Monotonic time of arrival.
-        deadline: Monotonic time by which the caller needs the answer.
+        deadline: Monotonic time by which the caller needs the response.
         is_reward: Whether it is a reward request of a batch job.
         batch_started_at: Of reward requests, those of the oldest batch job go first.
         batch_priority: Of reward requests of equally old batch jobs, smaller values go first.
--- a/drumbay/admission/service.py
+++ b/drumbay/admission/service.py
@@ -52,8 +52,8 @@
         self._limit = ConcurrencyLimit()
         self._queue = AdmissionQueue()
         self._in_flight = 0
-        self._answer_times: deque[float] = deque()
-        self._last_answer_at = -math.inf
+        self._completion_times: deque[float] = deque()
+        self._last_response_at = -math.inf
         self._waiting_since: float | None = None
 
     @property
@@ -93,13 +93,13 @@
     def complete(self, latency_seconds: float, now: float) -> None:
         """Record the end of a request that a worker answered."""
         self._in_flight -= 1
-        self._limit.record_answer(latency_seconds)
-        self._answer_times.append(now)
-        self._last_answer_at = now
-        self._drop_old_answers(now)
+        self._limit.record_response(latency_seconds)
+        self._completion_times.append(now)
+        self._last_response_at = now
+        self._drop_old_completions(now)
 
     def release(self) -> None:
-        """Record the end of a request without an answer, or whose caller disconnected."""
+        """Record the end of a request without a response, or whose caller disconnected."""
         self._in_flight -= 1
 
     def cancel(self, request: AdmissionRequest, now: float) -> None:
@@ -154,7 +154,7 @@
     def _wait_deadline(self, request: AdmissionRequest, now: float) -> float:
         """Return the time until which a request may be queued."""
         responsive_since = min(request.arrived_at, now - RESPONSIVE_WINDOW_SECONDS)
-        is_responsive = self._last_answer_at >= responsive_since
+        is_responsive = self._last_response_at >= responsive_since
         wait_fraction = MAX_WAIT_FRACTION if is_responsive else MAX_WAIT_FRACTION_UNRESPONSIVE
         return request.arrived_at + wait_fraction * (request.deadline - request.arrived_at)
 
@@ -189,17 +189,17 @@
     def _service_rate(self, now: float, capacity: ServiceCapacity) -> float | None:
         since = self._waiting_since
         if since is not None and now - since >= RATE_WINDOW_SECONDS:
-            self._drop_old_answers(now)
-            return max(1, len(self._answer_times)) / RATE_WINDOW_SECONDS
+            self._drop_old_completions(now)
+            return max(1, len(self._completion_times)) / RATE_WINDOW_SECONDS
         latency_seconds = self._limit.recent_latency_seconds
         if not latency_seconds:
             return None
         # Little's law. More requests than the limit may be in flight right after a decrease.
         return max(self._limit.current(capacity), self._in_flight) / latency_seconds
 
-    def _drop_old_answers(self, now: float) -> None:
-        while self._answer_times and now - self._answer_times[0] > RATE_WINDOW_SECONDS:
-            self._answer_times.popleft()
+    def _drop_old_completions(self, now: float) -> None:
+        while self._completion_times and now - self._completion_times[0] > RATE_WINDOW_SECONDS:
+            self._completion_times.popleft()
 
     def _update_waiting_since(self, now: float) -> None:
         if not len(self._queue):
--- a/drumbay/limits/deadline.py
+++ b/drumbay/limits/deadline.py
@@ -21,7 +21,7 @@
 
 
 class Deadline(msgspec.Struct, frozen=True, kw_only=True):
-    """Time on this process's monotonic clock by which an answer is needed."""
+    """Time on this process's monotonic clock by which a response is needed."""
 
     expires_at: float
 
--- a/drumbay/limits/held_bytes.py
+++ b/drumbay/limits/held_bytes.py
@@ -1,7 +1,7 @@
-"""Bounds the memory that a node uses for request bodies and answers of its callers.
+"""Bounds the memory that a node uses for request bodies and responses of its callers.
 
-Guards against running out of memory when many callers send large bodies or read large answers
-slowly. Only accounts and decides; the caller refuses requests and drops answers.
+Guards against running out of memory when many callers send large bodies or read large responses
+slowly. Only accounts and decides; the caller refuses requests and drops responses.
 """
 
 from enum import StrEnum
@@ -32,7 +32,7 @@
 """A connection without progress for this time is dropped; longer than short network partitions."""
 
 EXPECTED_SIZE_DECAY = 0.95
-"""Decay of the expected size with each smaller answer."""
+"""Decay of the expected size with each smaller response."""
 
 MAX_TRACKED_ROUTES = 256
 """Limit on the tracked routes; the least recently updated route is evicted."""
@@ -47,7 +47,7 @@
 
 
 class ShedReason(StrEnum):
-    """Why a request was refused, or its answer dropped."""
+    """Why a request was refused, or its response dropped."""
 
     NO_ROOM = "no_room"
     NOT_READ = "not_read"
@@ -103,7 +103,7 @@
         return True
 
     def take(self, kind: HeldKind, amount_bytes: int) -> None:
-        """Reserve bytes regardless of the bound, as for an answer that is ready to be sent."""
+        """Reserve bytes regardless of the bound, as for a response that is ready to be sent."""
         self._held[kind] += amount_bytes
 
     def release(self, kind: HeldKind, amount_bytes: int) -> None:
@@ -111,7 +111,7 @@
         self._held[kind] -= amount_bytes
 
     def gives_up(self, kind: HeldKind, stalled_seconds: float, *, leaving: bool) -> bool:
-        """Return whether to drop an unread answer or an incomplete body that is stalled.
+        """Return whether to drop an unread response or an incomplete body that is stalled.
 
         Args:
             kind: The kind of the request.
@@ -150,9 +150,9 @@
 
 
 class ExpectedAnswerSizes:
-    """Estimates the answer size of each route from recent answers.
+    """Estimates the response size of each route from recent responses.
 
-    Memory for an answer is reserved when its request is accepted, before the size is known.
+    Memory for a response is reserved when its request is accepted, before the size is known.
     """
 
     def __init__(self) -> None:
@@ -164,7 +164,7 @@
         return int(self._sizes.get(route_name, 0.0))
 
     def observe(self, route_name: str, size_bytes: int) -> None:
-        """Record the size of an answer."""
+        """Record the size of a response."""
         decayed_bytes = self._sizes.pop(route_name, 0.0) * EXPECTED_SIZE_DECAY
         self._sizes[route_name] = max(float(size_bytes), decayed_bytes)
         if len(self._sizes) > MAX_TRACKED_ROUTES:
--- a/drumbay/quarantine/ledger.py
+++ b/drumbay/quarantine/ledger.py
@@ -2,7 +2,7 @@
 
 A request is held once workers have crashed under three consecutive runs of it, each of which began
 after the previous crash. Concurrent runs count as one, since a common cause, such as a power loss,
-may have ended all their workers. One answer from any worker clears the request.
+may have ended all their workers. One response from any worker clears the request.
 """
 
 from collections.abc import Iterable
@@ -61,7 +61,7 @@
 class QuarantineLedger:
     """Crashes of workers by request.
 
-    A crash belongs to one start of a worker: a worker that restarts under its id may crash again.
+    A crash belongs to one incarnation of a worker, which may restart under its id and crash again.
     """
 
     def __init__(self) -> None:
@@ -94,16 +94,18 @@
         return count
 
     def crashed_workers(self) -> frozenset[WorkerStart]:
-        """Return every worker start that crashed under a request."""
-        return frozenset(start for crashes in self._crashes.values() for start in crashes)
+        """Return every worker incarnation that crashed under a request."""
+        return frozenset(
+            incarnation for crashes in self._crashes.values() for incarnation in crashes
+        )
 
-    def last_learned_at(self, start: WorkerStart) -> float | None:
-        """Return when this node last learned of a crash that this start can withdraw."""
-        starts = _starts_cleared_by(start)
+    def last_learned_at(self, incarnation: WorkerStart) -> float | None:
+        """Return when this node last learned of a crash that this incarnation can withdraw."""
+        incarnations = _incarnations_cleared_by(incarnation)
         learned_times = [
             crashes[each].learned_at
             for crashes in self._crashes.values()
-            for each in starts
+            for each in incarnations
             if each in crashes
         ]
         return max(learned_times, default=None)
@@ -121,19 +123,21 @@
         known = self._crashes.get(fingerprint, {})
         reported = tuple(crashes)
         for crash in reported:
-            previous = known.get(crash.start)
+            previous = known.get(crash.incarnation)
             if previous is not None and crash.ended_at < previous.ended_at:
-                known[crash.start] = msgspec.structs.replace(crash, learned_at=previous.learned_at)
-        new = tuple(crash for crash in reported if crash.start not in known)
+                known[crash.incarnation] = msgspec.structs.replace(
+                    crash, learned_at=previous.learned_at
+                )
+        new = tuple(crash for crash in reported if crash.incarnation not in known)
         if not new:
             return ()
         if fingerprint not in self._crashes and len(self._crashes) >= MAX_REQUESTS:
             self._evict()
         entry = self._crashes.setdefault(fingerprint, {})
         for crash in new:
-            entry[crash.start] = crash
-        for start in list(entry)[: max(0, len(entry) - MAX_CRASHES_PER_REQUEST)]:
-            del entry[start]
+            entry[crash.incarnation] = crash
+        for incarnation in list(entry)[: max(0, len(entry) - MAX_CRASHES_PER_REQUEST)]:
+            del entry[incarnation]
         return new
 
     def _evict(self) -> None:
@@ -144,14 +148,16 @@
         """Drop a request that was answered; return whether it was recorded."""
         return self._crashes.pop(fingerprint, None) is not None
 
-    def withdraw(self, start: WorkerStart) -> tuple[Fingerprint, ...]:
-        """Drop the crashes of a worker start that is alive; return the affected requests."""
-        starts = _starts_cleared_by(start)
+    def withdraw(self, incarnation: WorkerStart) -> tuple[Fingerprint, ...]:
+        """Drop the crashes of an incarnation that is alive; return the affected requests."""
+        incarnations = _incarnations_cleared_by(incarnation)
         affected = tuple(
-            f for f, crashes in self._crashes.items() if any(each in crashes for each in starts)
+            f
+            for f, crashes in self._crashes.items()
+            if any(each in crashes for each in incarnations)
         )
         for fingerprint in affected:
-            for each in starts:
+            for each in incarnations:
                 self._crashes[fingerprint].pop(each, None)
             if not self._crashes[fingerprint]:
                 del self._crashes[fingerprint]
@@ -231,10 +237,12 @@
         return self._last_crash_at(fingerprint) + seconds
 
 
-def _starts_cleared_by(start: WorkerStart) -> tuple[WorkerStart, ...]:
-    """Return the starts whose crashes a live start withdraws, including the unknown start."""
-    unknown_start = WorkerStart(worker_id=start.worker_id)
-    return (start,) if start == unknown_start else (start, unknown_start)
+def _incarnations_cleared_by(incarnation: WorkerStart) -> tuple[WorkerStart, ...]:
+    """Return the incarnations whose crashes a live one withdraws, including the unknown one."""
+    unknown_incarnation = WorkerStart(worker_id=incarnation.worker_id)
+    return (
+        (incarnation,) if incarnation == unknown_incarnation else (incarnation, unknown_incarnation)
+    )
 
 
 def _risks_too_many_workers(crash_count: int, availability: WorkerAvailability) -> bool:
--- a/drumbay/quarantine/records.py
+++ b/drumbay/quarantine/records.py
@@ -23,8 +23,8 @@
         worker_id: The worker.
         kind: Service and release of the worker.
         began_at: When the run began.
-        ended_at: When the run ended without an answer.
-        started_at_ms: Identifies the start of the worker; 0 if unknown.
+        ended_at: When the run ended without a response.
+        started_at_ms: Identifies the incarnation of the worker; 0 if unknown.
         learned_at: When this node learned of the crash.
     """
 
@@ -36,8 +36,8 @@
     learned_at: float = float("-inf")
 
     @property
-    def start(self) -> WorkerStart:
-        """Return the worker start that crashed."""
+    def incarnation(self) -> WorkerStart:
+        """Return the worker incarnation that crashed."""
         return WorkerStart(worker_id=self.worker_id, started_at_ms=self.started_at_ms)
 
 
@@ -87,14 +87,14 @@
 
 
 class WorkerProvedAlive(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Notice: a worker start that was reported as crashed is alive."""
+    """Notice: a worker incarnation that was reported as crashed is alive."""
 
     worker_id: BackendId
     started_at_ms: int = 0
 
     @property
-    def start(self) -> WorkerStart:
-        """Return the worker start that is alive."""
+    def incarnation(self) -> WorkerStart:
+        """Return the worker incarnation that is alive."""
         return WorkerStart(worker_id=self.worker_id, started_at_ms=self.started_at_ms)
 
 
--- a/drumbay/quarantine/service.py
+++ b/drumbay/quarantine/service.py
@@ -1,13 +1,13 @@
 """Quarantine of requests that crash their workers, at one node.
 
-A run without an answer may be due to a network fault, so its worker is checked over a new
+A run without a response may be due to a network fault, so its worker is checked over a new
 connection. The worker crashed if the connection is refused, or if it was replaced at its address
 or restarted by the time of the next run. Crashes are broadcast to all nodes and stored for nodes
 that start later.
 
 A crash is withdrawn when its worker turns out to be alive. If workers report their start times, an
-answer is not sufficient: it may come from a restarted worker, or may have been sent before the
-crash. The worker is then asked for a status report, which identifies its start. Only a report
+response is not sufficient: it may come from a restarted worker, or may have been sent before the
+crash. The worker is then asked for a status report, which identifies its incarnation. Only a report
 requested after this node learned of the crash counts.
 """
 
@@ -41,7 +41,7 @@
 from drumbay.workers.records import Listening, Worker, WorkerError, WorkerStart
 
 SUSPICION_TIMEOUT_SECONDS = 30.0
-"""Time after a run without an answer in which a replaced worker counts as crashed by it."""
+"""Time after a run without a response in which a replaced worker counts as crashed by it."""
 
 REPORT_REQUEST_INTERVAL_SECONDS = 1.0
 """Minimum interval between two report requests to the same worker."""
@@ -52,7 +52,7 @@
 
 
 class _UnansweredRun(msgspec.Struct, frozen=True, kw_only=True):
-    """A run without an answer, whose worker may have crashed. Times are monotonic seconds."""
+    """A run without a response, whose worker may have crashed. Times are monotonic seconds."""
 
     request_id: str
     worker: Worker
@@ -202,7 +202,7 @@
     def note_broken(
         self, fingerprint: Fingerprint, request_id: str, worker: Worker, began_at: float
     ) -> None:
-        """Check whether the worker of a run that failed without an answer has crashed."""
+        """Check whether the worker of a run that failed without a response has crashed."""
         run = _UnansweredRun(
             request_id=request_id,
             worker=worker,
@@ -227,7 +227,7 @@
     def note_unanswered(
         self, fingerprint: Fingerprint, request_id: str, worker: Worker, began_at: float
     ) -> None:
-        """Record a run that was abandoned without an answer; its worker may have crashed."""
+        """Record a run that was abandoned without a response; its worker may have crashed."""
         now = self._clock.monotonic()
         run = _UnansweredRun(request_id=request_id, worker=worker, began_at=began_at, failed_at=now)
         self._add_suspicion(fingerprint, run)
@@ -285,7 +285,7 @@
     # Answers
 
     def note_answer(self, fingerprint: Fingerprint) -> None:
-        """Clear a request that a worker answered, with any answer."""
+        """Clear a request that a worker answered, with any response."""
         self._suspicions.pop(fingerprint, None)
         consecutive_crashes = self.ledger.consecutive_crashes(fingerprint)
         if not self.ledger.clear(fingerprint):
@@ -299,7 +299,7 @@
     def note_alive(self, worker: Worker) -> None:
         """Record that a worker answered a run.
 
-        If it was recorded as crashed, it may be alive or may have restarted; the answer may also
+        If it was recorded as crashed, it may be alive or may have restarted; the response may also
         have been sent before the crash.
         """
         if self.ledger.last_learned_at(worker.start) is None:
@@ -313,8 +313,8 @@
         """Request a report from a worker, unless one was requested recently."""
         now = self._clock.monotonic()
         self._report_requested_at = {
-            start: at
-            for start, at in self._report_requested_at.items()
+            incarnation: at
+            for incarnation, at in self._report_requested_at.items()
             if now - at < REPORT_REQUEST_INTERVAL_SECONDS
         }
         if worker.start not in self._report_requested_at:
@@ -332,28 +332,30 @@
             worker.worker_id, status, self._clock.monotonic(), asked_at=asked_at
         )
 
-    def _on_report(self, start: WorkerStart, asked_at: float) -> None:
-        """Withdraw the crashes of a worker start that is alive; those of its other starts stay.
+    def _on_report(self, incarnation: WorkerStart, asked_at: float) -> None:
+        """Withdraw the crashes of an incarnation that is alive; those of other incarnations stay.
 
         A report requested before this node learned of the crash may have been sent before it.
         """
-        learned_at = self.ledger.last_learned_at(start)
+        learned_at = self.ledger.last_learned_at(incarnation)
         if learned_at is not None and learned_at <= asked_at:
-            self._withdraw_and_broadcast(start)
+            self._withdraw_and_broadcast(incarnation)
 
-    def _withdraw_and_broadcast(self, start: WorkerStart) -> None:
-        if self._withdraw(start):
+    def _withdraw_and_broadcast(self, incarnation: WorkerStart) -> None:
+        if self._withdraw(incarnation):
             self._broadcast(
-                WorkerProvedAlive(worker_id=start.worker_id, started_at_ms=start.started_at_ms)
+                WorkerProvedAlive(
+                    worker_id=incarnation.worker_id, started_at_ms=incarnation.started_at_ms
+                )
             )
 
-    def _withdraw(self, start: WorkerStart) -> bool:
-        affected = self.ledger.withdraw(start)
+    def _withdraw(self, incarnation: WorkerStart) -> bool:
+        affected = self.ledger.withdraw(incarnation)
         if affected:
             log_event(
                 "worker_proved_alive",
-                worker=start.worker_id,
-                started_at_ms=start.started_at_ms,
+                worker=incarnation.worker_id,
+                started_at_ms=incarnation.started_at_ms,
                 requests=",".join(affected),
             )
         for fingerprint in affected:
@@ -371,7 +373,7 @@
             case RequestProvedSound(fingerprint=fingerprint):
                 self.clear(fingerprint)
             case WorkerProvedAlive():
-                self._withdraw(notice.start)
+                self._withdraw(notice.incarnation)
 
     def add_crashes(self, fingerprint: Fingerprint, crashes: tuple[WorkerCrash, ...]) -> None:
         """Record crashes seen by another node."""
--- a/drumbay/quarantine/stored.py
+++ b/drumbay/quarantine/stored.py
@@ -53,8 +53,8 @@
     started_at_ms: int = 0
 
     @property
-    def start(self) -> WorkerStart:
-        """Return the worker start that crashed."""
+    def incarnation(self) -> WorkerStart:
+        """Return the worker incarnation that crashed."""
         return WorkerStart(worker_id=self.worker_id, started_at_ms=self.started_at_ms)
 
 
@@ -121,7 +121,7 @@
         except msgspec.DecodeError as error:
             log_event("quarantine_not_understood", level="WARNING", key=item.key, detail=str(error))
             return
-        self._stored[fingerprint] = frozenset(crash.start for crash in stored)
+        self._stored[fingerprint] = frozenset(crash.incarnation for crash in stored)
         self._quarantine.add_crashes(fingerprint, tuple(map(self._to_crash, stored)))
 
     def _to_crash(self, stored: StoredCrash) -> WorkerCrash:
@@ -194,7 +194,7 @@
             return
         if ledger.consecutive_crashes(fingerprint) < DEATHS_UNTIL_TRIAL:
             return
-        is_stored = {crash.start for crash in crashes} <= self._stored.get(fingerprint, set())
+        is_stored = {crash.incarnation for crash in crashes} <= self._stored.get(fingerprint, set())
         has_space = fingerprint in self._stored or len(self._stored) < MAX_REQUESTS
         if not is_stored and has_space:
             value = _encoder.encode(tuple(map(self._to_stored, crashes)))
--- a/drumbay/scaling/collector.py
+++ b/drumbay/scaling/collector.py
@@ -35,7 +35,7 @@
         clock: Clock,
         peers: PeerClient,
         own_address: NetworkAddress,
-        own_places: Callable[[], tuple[JobPlaces, ...]],
+        own_slot_usage: Callable[[], tuple[JobPlaces, ...]],
         open_owners: Callable[[], Iterable[NetworkAddress]],
     ) -> None:
         """Create a collector without replies.
@@ -44,13 +44,13 @@
             clock: Clock.
             peers: Calls to other nodes.
             own_address: Address of this node.
-            own_places: Returns the slot demand of this node's batch jobs.
+            own_slot_usage: Returns the slot demand of this node's batch jobs.
             open_owners: Returns the nodes that own open batch jobs.
         """
         self._clock = clock
         self._peers = peers
         self._own_address = own_address
-        self._own_places = own_places
+        self._own_slot_usage = own_slot_usage
         self._open_owners = open_owners
         self._replies: dict[NetworkAddress, _OwnerReply] = {}
 
@@ -67,7 +67,7 @@
         # For a batch job that moved between nodes, the newest report wins.
         oldest_first = sorted(self._replies.values(), key=lambda reply: reply.received_at)
         by_id = {job.batch_id: job for reply in oldest_first for job in reply.jobs}
-        by_id.update((job.batch_id, job) for job in self._own_places())
+        by_id.update((job.batch_id, job) for job in self._own_slot_usage())
         return tuple(by_id[batch_id] for batch_id in sorted(by_id))
 
     async def _ask(self, owner: NetworkAddress) -> None:
--- a/drumbay/scaling/demand.py
+++ b/drumbay/scaling/demand.py
@@ -70,14 +70,14 @@
         workers: Workers needed for a sustained shortage; 0 without a shortage.
         long_term_workers: Workers needed for the peak demand of the scale-down window; ``None``
             if that window is not covered yet.
-        demanded_slots: Slots demanded now, including busy ones.
+        wanted_slots: Slots that the batch jobs could use now, including busy ones.
         waiting_items: Items waiting for a slot now.
         run_seconds: Mean time for which an item occupies a slot.
     """
 
     workers: int
     long_term_workers: int | None
-    demanded_slots: int = 0
+    wanted_slots: int = 0
     waiting_items: int = 0
     run_seconds: float
 
@@ -150,7 +150,7 @@
         if not sample.slots:
             return 0
         slot_fraction = self._run_seconds / (self._run_seconds + ACCEPTABLE_WAIT_SECONDS)
-        slots = max(busy_slots, _demanded_slots(sample) * slot_fraction) / TARGET_UTILIZATION
+        slots = max(busy_slots, _wanted_slots(sample) * slot_fraction) / TARGET_UTILIZATION
         return math.ceil(slots * sample.workers / sample.slots)
 
     def estimate(self) -> WorkerEstimate:
@@ -171,13 +171,13 @@
             long_term_workers=max(point.required_workers for point in self._points)
             if covers_window
             else None,
-            demanded_slots=sum(job.wanted for job in self._jobs.values()),
+            wanted_slots=sum(job.wanted for job in self._jobs.values()),
             waiting_items=sum(job.waiting for job in self._jobs.values()),
             run_seconds=self._run_seconds,
         )
 
 
-def _demanded_slots(sample: DemandSample) -> int:
+def _wanted_slots(sample: DemandSample) -> int:
     return sum(job.wanted for job in sample.jobs)
 
 
--- a/drumbay/scaling/keeper.py
+++ b/drumbay/scaling/keeper.py
@@ -164,7 +164,7 @@
             workers=order.workers,
             needed=estimate.workers,
             ready=len(self._ready_workers(order.service)),
-            wanted_places=estimate.demanded_slots,
+            wanted_places=estimate.wanted_slots,
             waiting_items=estimate.waiting_items,
             run_seconds=round(estimate.run_seconds, 3),
             demand_age_seconds=round(self._clock.monotonic() - self._collected_at, 3),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -248,7 +248,7 @@
         limit = ConcurrencyLimit()
         capacity = msgspec.structs.replace(CAPACITY, max_in_flight=50)
         for _ in range(30):
-            limit.record_answer(1.2)
+            limit.record_response(1.2)
         for number in range(11):
             limit.record_refusal(40, 0.1 * number)
         self.assertEqual(limit.current(capacity), 28)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -309,7 +309,7 @@
     def test_request_that_crashes_restarting_workers_stops_reaching_them(
         self,
     ) -> None:
-        """An answer of a restarted worker must not withdraw the crash of its previous start."""
+        """A response of a restarted worker must not withdraw the crash of its previous start."""
         kinds: dict[str, Callable[[ServingWorld], Awaitable[None]]] = {
             "lookups": self.run_lookups,
             "lookups, nodes restarted in turn": self.run_rolling_restart,
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -37,7 +37,7 @@
     )
 
 
-def start(number: int, started_at_ms: int = 0) -> WorkerStart:
+def incarnation(number: int, started_at_ms: int = 0) -> WorkerStart:
     return WorkerStart(worker_id=BackendId(f"w{number}"), started_at_ms=started_at_ms)
 
 
@@ -144,10 +144,10 @@
     def test_live_worker_withdraws_its_crashes(self) -> None:
         self.add_consecutive_crashes(CRASHES_UNTIL_HELD)
         self.ledger.add_crashes(OTHER, [crash(1, 0.0, 1.05)])
-        self.assertEqual(self.ledger.withdraw(start(1)), (REQUEST, OTHER))
+        self.assertEqual(self.ledger.withdraw(incarnation(1)), (REQUEST, OTHER))
         self.assertEqual(self.ledger.consecutive_crashes(REQUEST), 2)
         self.assertNotIn(OTHER, self.ledger)
-        self.assertEqual(self.ledger.crashed_workers(), {start(0), start(2)})
+        self.assertEqual(self.ledger.crashed_workers(), {incarnation(0), incarnation(2)})
 
     def test_last_worker_is_not_risked(self) -> None:
         self.add_consecutive_crashes(1)
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -1,7 +1,7 @@
-"""Workers that restart under their ids: state of the previous start is dropped, crashes are kept.
+"""Workers that restart under their ids: previous state is dropped, crashes are kept.
 
-Guards against applying loads, latencies, pauses and runs of the previous start to a restarted
-worker, and against its answers withdrawing crashes of the previous start.
+Guards against applying loads, latencies, pauses and runs of the previous incarnation to a restarted
+worker, and against its responses withdrawing crashes of the previous incarnation.
 """
 
 import asyncio
@@ -79,7 +79,7 @@
         return record
 
     def record_with_full_state(self) -> WorkerRecord:
-        """Set every field of the record for the first start."""
+        """Set every field of the record for the first incarnation."""
         record = self.record()
         record.in_flight = 3
         record.expected_tokens = 100
@@ -170,7 +170,7 @@
         self.assertEqual(record.versions[MODEL], 4)
         self.assertEqual(record.in_flight, 3)
         self.assertEqual(self.restarted, [])
-        # Runs that began without a known start belong to this record.
+        # Runs that began without a known incarnation belong to this record.
         self.assertIs(self.directory.get(WORKER, 0), record)
         self.assertFalse(self.directory.has_restarted(worker(0)))
         self.directory.take_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
@@ -358,7 +358,7 @@
         run_simulation(scenario)
 
     def test_live_start_withdraws_crashes_without_a_start(self) -> None:
-        """A crash without a start may refer to any start of the worker."""
+        """A crash without a start time may refer to any incarnation of the worker."""
 
         async def scenario() -> None:
             fixture = QuarantineFixture()
@@ -368,9 +368,9 @@
             await asyncio.sleep(0.1)
             self.assertEqual(fixture.crash_count, 0)
             fixture.receive_crash(started_at_ms=0)
-            start = fixture.first.worker.start
+            incarnation = fixture.first.worker.start
             fixture.quarantine.take(
-                WorkerProvedAlive(worker_id=WORKER, started_at_ms=start.started_at_ms)
+                WorkerProvedAlive(worker_id=WORKER, started_at_ms=incarnation.started_at_ms)
             )
             self.assertEqual(fixture.crash_count, 0)
 
@@ -477,12 +477,12 @@
             worker_id=WORKER, kind=WorkerKind(service="s", release="r"), began_at=1.0, ended_at=2.0
         )
         (found,) = msgspec.msgpack.decode(msgspec.msgpack.encode((old,)), type=tuple[StoredCrash])
-        self.assertEqual(found.start, worker(0).start)
+        self.assertEqual(found.incarnation, worker(0).start)
 
 
 class LoadsTest(unittest.TestCase):
     def test_load_interrupted_by_a_restart_is_ordered_again(self) -> None:
-        """The next order carries the expected sequence of the new start."""
+        """The next order carries the expected sequence of the new incarnation."""
 
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
