--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -8,7 +8,7 @@
     MIN_BOUND_BYTES,
     PROCESS_BASELINE_BYTES,
     STALL_TIMEOUT_SECONDS,
-    ExpectedAnswerSizes,
+    ExpectedResponseSizes,
     HeldBytes,
     HeldKind,
     held_bytes_bound,
@@ -34,58 +34,58 @@
                 found = set()
                 for kind in HeldKind:
                     held = HeldBytes(BOUND_BYTES)
-                    held.take(LOOKUP, held_bytes)
-                    if held.try_take(kind, 100):
+                    held.reserve(LOOKUP, held_bytes)
+                    if held.try_reserve(kind, 100):
                         found.add(kind)
                 self.assertEqual(found, accepted)
 
     def test_a_burst_of_large_requests_stays_within_the_bound(self) -> None:
         held = HeldBytes(BOUND_BYTES)
         kinds = [RESULTS, SUBMISSION, LOOKUP] * 40
-        accepted = [kind for kind in kinds if held.try_take(kind, 60)]
-        self.assertLessEqual(held.use.held_bytes, BOUND_BYTES)
-        self.assertEqual(held.use.held_bytes, 60 * len(accepted))
+        accepted = [kind for kind in kinds if held.try_reserve(kind, 60)]
+        self.assertLessEqual(held.usage.held_bytes, BOUND_BYTES)
+        self.assertEqual(held.usage.held_bytes, 60 * len(accepted))
         self.assertGreater(accepted.count(LOOKUP), accepted.count(SUBMISSION))
         self.assertGreater(accepted.count(SUBMISSION), accepted.count(RESULTS))
         for kind in accepted:
             held.release(kind, 60)
-        self.assertEqual(held.use.held_bytes, 0)
+        self.assertEqual(held.usage.held_bytes, 0)
 
     def test_oversized_request_is_accepted_alone(self) -> None:
         table = [(0, True), (250, True), (251, False), (600, False)]
         for held_bytes, is_accepted in table:
             with self.subTest(held_bytes=held_bytes):
                 held = HeldBytes(BOUND_BYTES)
-                held.take(LOOKUP, held_bytes)
-                self.assertEqual(held.try_take(LOOKUP, 5 * BOUND_BYTES), is_accepted)
-                self.assertEqual(held.try_take(LOOKUP, 5 * BOUND_BYTES), False)
+                held.reserve(LOOKUP, held_bytes)
+                self.assertEqual(held.try_reserve(LOOKUP, 5 * BOUND_BYTES), is_accepted)
+                self.assertEqual(held.try_reserve(LOOKUP, 5 * BOUND_BYTES), False)
 
     def test_growing_body_is_not_limited_by_its_own_bytes(self) -> None:
         held = HeldBytes(BOUND_BYTES)
         for part in range(20):
-            self.assertTrue(held.try_take(SUBMISSION, 100, already_held_bytes=100 * part))
-        self.assertFalse(held.try_take(SUBMISSION, 100))
+            self.assertTrue(held.try_reserve(SUBMISSION, 100, already_held_bytes=100 * part))
+        self.assertFalse(held.try_reserve(SUBMISSION, 100))
 
     def test_every_request_fits_while_little_is_held(self) -> None:
         for kind in HeldKind:
             for amount_bytes in range(50, 3 * BOUND_BYTES, 50):
                 held = HeldBytes(BOUND_BYTES)
-                held.take(LOOKUP, BOUND_BYTES // 4)
-                self.assertTrue(held.try_take(kind, amount_bytes), (kind, amount_bytes))
+                held.reserve(LOOKUP, BOUND_BYTES // 4)
+                self.assertTrue(held.try_reserve(kind, amount_bytes), (kind, amount_bytes))
 
     def test_ready_answer_exceeds_the_bound_and_blocks_others(self) -> None:
         held = HeldBytes(BOUND_BYTES)
-        held.take(LOOKUP, 2 * BOUND_BYTES)
-        self.assertFalse(held.try_take(LOOKUP, 1))
+        held.reserve(LOOKUP, 2 * BOUND_BYTES)
+        self.assertFalse(held.try_reserve(LOOKUP, 1))
         held.release(LOOKUP, 2 * BOUND_BYTES)
-        self.assertTrue(held.try_take(RESULTS, 1))
+        self.assertTrue(held.try_reserve(RESULTS, 1))
 
     def test_without_a_bound_everything_is_accepted_and_counted(self) -> None:
         held = HeldBytes(None)
         for _ in range(100):
-            self.assertTrue(held.try_take(RESULTS, 10**9))
+            self.assertTrue(held.try_reserve(RESULTS, 10**9))
         self.assertEqual(held.held(RESULTS), 10**11)
-        self.assertFalse(held.gives_up(RESULTS, 19.0, leaving=False))
+        self.assertFalse(held.should_drop(RESULTS, 19.0, leaving=False))
 
     def test_stall_timeouts_of_unread_answers(self) -> None:
         table = [
@@ -103,8 +103,8 @@
         for kind, held_bytes, unread_seconds, leaving, dropped in table:
             with self.subTest(kind=kind, held_bytes=held_bytes, unread_seconds=unread_seconds):
                 held = HeldBytes(BOUND_BYTES)
-                held.take(kind, held_bytes)
-                found = held.gives_up(kind, unread_seconds, leaving=leaving)
+                held.reserve(kind, held_bytes)
+                found = held.should_drop(kind, unread_seconds, leaving=leaving)
                 self.assertEqual(found, dropped)
 
     def test_bound_follows_the_memory_of_the_process(self) -> None:
@@ -115,7 +115,7 @@
 
 class ExpectedAnswerSizesTest(unittest.TestCase):
     def test_expected_size_decays_after_a_large_answer(self) -> None:
-        sizes = ExpectedAnswerSizes()
+        sizes = ExpectedResponseSizes()
         self.assertEqual(sizes.expected_bytes("r"), 0)
         sizes.observe("r", 1_000)
         for _ in range(10):
@@ -126,7 +126,7 @@
         self.assertEqual(sizes.expected_bytes("r"), 10)
 
     def test_number_of_tracked_routes_is_bounded(self) -> None:
-        sizes = ExpectedAnswerSizes()
+        sizes = ExpectedResponseSizes()
         for number in range(MAX_TRACKED_ROUTES + 1):
             sizes.observe(f"r{number}", 7)
         self.assertEqual(sizes.expected_bytes("r0"), 0)
--- a/tests/test_kv_gateway.py
+++ b/tests/test_kv_gateway.py
@@ -20,7 +20,7 @@
 )
 from drumbay.standins.kv_model import FIRST_LEASE_ID, KeyValueModel
 from drumbay.standins.kv_server import LogPage, make_application
-from tests.kv_contract import ANSWER_TIMEOUT_SECONDS, AdvancingClock, KeyValueContract
+from tests.kv_contract import RESPONSE_TIMEOUT_SECONDS, AdvancingClock, KeyValueContract
 
 
 class EmulatedGateway:
@@ -41,7 +41,9 @@
     async def make_store(self) -> KeyValueStore:
         gateway = EmulatedGateway(self.model)
         self.addAsyncCleanup(gateway.close)
-        return EtcdGatewayStore((gateway.url,), self.clock, timeout_seconds=ANSWER_TIMEOUT_SECONDS)
+        return EtcdGatewayStore(
+            (gateway.url,), self.clock, timeout_seconds=RESPONSE_TIMEOUT_SECONDS
+        )
 
 
 class GatewayProtocolTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_kv_memory.py
+++ b/tests/test_kv_memory.py
@@ -6,12 +6,12 @@
 from drumbay.kv.interface import KeyValueStore
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.standins.kv_faults import FaultInjector, KeyValueFaults, WriteFate
-from tests.kv_contract import ANSWER_TIMEOUT_SECONDS, KeyValueContract
+from tests.kv_contract import RESPONSE_TIMEOUT_SECONDS, KeyValueContract
 
 
 class MemoryKeyValueStoreTest(KeyValueContract):
     async def make_store(self) -> KeyValueStore:
-        return MemoryKeyValueStore(self.model, self.clock, timeout_seconds=ANSWER_TIMEOUT_SECONDS)
+        return MemoryKeyValueStore(self.model, self.clock, timeout_seconds=RESPONSE_TIMEOUT_SECONDS)
 
 
 class RandomFaultsTest(unittest.TestCase):
--- a/tests/test_lapsed_workers.py
+++ b/tests/test_lapsed_workers.py
@@ -8,10 +8,10 @@
 from drumbay.identifiers import BackendId, Revision
 from drumbay.kv.interface import Delete, KeyValue, Put, RangeResult, WatchEvent
 from drumbay.kv.mirror import FeedCursor, FeedMirror, PrefixFeed
-from drumbay.serving.node import RETURN_SECONDS
+from drumbay.serving.node import MISSING_WORKER_GRACE_SECONDS
 from drumbay.standins.kv_faults import KeyValueFaults
 from drumbay.workers.directory import WorkerDirectory
-from drumbay.workers.pace import PACE_SAMPLES
+from drumbay.workers.event_intervals import INTERVAL_SAMPLES
 from drumbay.workers.records import Worker, WorkerState
 from tests.serving_world import ServingWorld, play
 
@@ -29,14 +29,14 @@
         return sorted(self.directory.all_records())
 
     def test_worker_that_returns_keeps_its_statistics(self) -> None:
-        for _ in range(PACE_SAMPLES):
-            self.directory.observe_pace(EXPIRED_WORKER, 0.04, 1.0)
+        for _ in range(INTERVAL_SAMPLES):
+            self.directory.observe_event_interval(EXPIRED_WORKER, 0.04, 1.0)
         self.assertEqual(self.directory.replace_all(self.workers[1:], 5.0), (EXPIRED_WORKER,))
         self.directory.put(self.workers[0])
         self.assertEqual(self.directory.drop_missing(5.0), ())
         record = self.directory.get(EXPIRED_WORKER)
         assert record is not None
-        self.assertEqual(record.pace.current(1.0), 0.04)
+        self.assertEqual(record.event_intervals.current(1.0), 0.04)
 
     def test_worker_that_does_not_return_is_removed(self) -> None:
         self.directory.replace_all(self.workers[1:], 5.0)
@@ -80,7 +80,7 @@
 
         def apply_snapshot(items: tuple[KeyValue, ...], unseen_seconds: float) -> None:
             workers = [msgspec.msgpack.decode(item.value, type=Worker) for item in items]
-            node.node.take_workers(workers, unseen_seconds)
+            node.node.apply_worker_snapshot(workers, unseen_seconds)
 
         def apply_event(event: WatchEvent) -> None:
             if event.item is not None:
@@ -128,7 +128,7 @@
         async def scenario(world: ServingWorld) -> None:
             await self.follow(world)
             await self.outage(world, 6.0)
-            await asyncio.sleep(RETURN_SECONDS + 1.5)
+            await asyncio.sleep(MISSING_WORKER_GRACE_SECONDS + 1.5)
             self.assertFalse(self.is_known(world))
 
         play(scenario)
--- a/tests/test_load_parts.py
+++ b/tests/test_load_parts.py
@@ -8,13 +8,13 @@
 from drumbay.admission.gate import AdmissionGate
 from drumbay.admission.records import AdmissionRequest
 from drumbay.batches.owners import OwnerTable, ServiceIdentity
-from drumbay.batches.places import JobPlaces, NoticeNumber
 from drumbay.batches.slot_sharing import SlotSharing
+from drumbay.batches.slot_usage import JobSlotUsage, NoticeNumber
 from drumbay.exceptions import ConfigurationError
 from drumbay.forwarding.routes import ServiceUse
 from drumbay.observability.serving_metrics import ServingMetrics
 from drumbay.peers.messages import PlacesNotice
-from drumbay.serving.load_parts import LoadPart, parse_disabled_parts
+from drumbay.serving.load_features import LoadFeature, parse_disabled_parts
 from drumbay.workers.directory import WorkerDirectory
 from tests.serving_world import SERVICE, ServingWorld, play
 from tests.test_platform_adapter import SETTINGS
@@ -25,7 +25,7 @@
     def test_all_are_enabled_unless_listed(self) -> None:
         self.assertEqual(parse_settings(SETTINGS).disabled_parts, frozenset())
         found = parse_settings(SETTINGS, "admission, shared_places,").disabled_parts
-        self.assertEqual(found, {LoadPart.ADMISSION, LoadPart.SHARED_PLACES})
+        self.assertEqual(found, {LoadFeature.ADMISSION, LoadFeature.SHARED_SLOTS})
 
     def test_an_unknown_name_is_refused_with_a_list_of_known_ones(self) -> None:
         with self.assertRaisesRegex(ConfigurationError, "worker_counts"):
@@ -48,7 +48,7 @@
                     arrived_at=0.0,
                     deadline=0.1,
                 )
-                await gate.ask("service", request).enter()
+                await gate.new_ticket("service", request).acquire()
 
         play(scenario)
 
@@ -81,10 +81,10 @@
 
 
 class _Job:
-    def __init__(self, usage: JobPlaces) -> None:
+    def __init__(self, usage: JobSlotUsage) -> None:
         self.last_slot_usage = usage
 
-    def slot_usage(self) -> JobPlaces:
+    def slot_usage(self) -> JobSlotUsage:
         return self.last_slot_usage
 
 
--- a/tests/test_lookup_forwarding.py
+++ b/tests/test_lookup_forwarding.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from drumbay.forwarding.forwarder import Forwarder
-from drumbay.forwarding.records import AnswerLostError, ClientRequest
+from drumbay.forwarding.records import ClientRequest, ResponseLostError
 from drumbay.forwarding.routes import RequestKind, RouteTable
 from drumbay.identifiers import BackendId
 from drumbay.observability.serving_metrics import ServingMetrics
@@ -82,11 +82,11 @@
             forwarder = self.forwarder(world)
             world.workers.failing_requests.add("bad")
             for _ in range(10):
-                with self.assertRaises(AnswerLostError):
+                with self.assertRaises(ResponseLostError):
                     await forwarder.forward(route(), lookup("bad"))
             now = world.clock.monotonic()
             for record in self.directory.of_service(LOOKUPS):
-                self.assertEqual(record.answers.failure_share(now), 0.0)
+                self.assertEqual(record.answers.failure_rate(now), 0.0)
 
         play(scenario)
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -53,7 +53,7 @@
             peers, tasks = RecordingPeers(), TaskOwner()
             queues = NoticeQueues(peers, tasks)
             for number in range(count):
-                queues.tell(NODES, loading_notice(number))
+                queues.send(NODES, loading_notice(number))
             await asyncio.sleep(2.0)
             await tasks.close()
             return peers
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -32,9 +32,9 @@
 from drumbay.standins.kv_model import KeyValueModel
 from drumbay.tenants.records import TenantName
 from drumbay.workers.records import (
-    Listening,
     LoadMode,
     LoadOrder,
+    ProbeResult,
     StreamEvent,
     Worker,
     WorkerBrokenError,
@@ -372,11 +372,11 @@
         )
         self.scripted.keep = True
         await self.client.call(worker, self.repeatable())
-        self.assertEqual(await self.client.listening(worker), Listening.ACCEPTS)
+        self.assertEqual(await self.client.listening(worker), ProbeResult.ACCEPTS)
         with self.assertRaises(WorkerBrokenError):
             await self.client.call(worker, self.repeatable())
         self.assertEqual(len(self.scripted.requests), 2)
-        self.assertEqual(await self.client.listening(worker), Listening.REFUSES)
+        self.assertEqual(await self.client.listening(worker), ProbeResult.REFUSES)
         with self.assertRaises(WorkerUnreachableError):
             await self.client.call(worker, self.repeatable())
 
@@ -446,11 +446,11 @@
     async def test_idle_connection_is_reported_until_closed(self) -> None:
         worker = await self.server(self.head + "Content-Length: 2\r\n\r\nok")
         self.scripted.keep = True
-        self.assertFalse(self.client.keeps_connection(worker))
+        self.assertFalse(self.client.has_idle_connection(worker))
         await self.client.call(worker, self.repeatable())
-        self.assertTrue(self.client.keeps_connection(worker))
+        self.assertTrue(self.client.has_idle_connection(worker))
         self.client.close()
-        self.assertFalse(self.client.keeps_connection(worker))
+        self.assertFalse(self.client.has_idle_connection(worker))
 
     async def test_truncated_response_is_broken(self) -> None:
         worker = await self.server(self.head + "Content-Length: 20\r\n\r\nok")
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -9,7 +9,7 @@
 
 from drumbay.identifiers import BackendId, Revision
 from drumbay.kv.interface import KeyValue, WatchEvent
-from drumbay.serving.node import LAPSE_SECONDS
+from drumbay.serving.node import ENTRY_EXPIRY_GAP_SECONDS
 from tests.serving_world import ServingWorld, play
 
 SECRET = "secret-of-a-tenant"
@@ -191,9 +191,9 @@
             broken = fed.item("servers/i-1", encoded({**WHOLE, "slots": SECRET}))
             whole = fed.item("servers/i-2", encoded(WHOLE))
             for unseen_seconds, known in (
-                (2 * LAPSE_SECONDS, ["i-2", "i-3"]),
+                (2 * ENTRY_EXPIRY_GAP_SECONDS, ["i-2", "i-3"]),
                 (0.0, ["i-2"]),
-                (2 * LAPSE_SECONDS, ["i-2"]),
+                (2 * ENTRY_EXPIRY_GAP_SECONDS, ["i-2"]),
             ):
                 fed.workers.on_snapshot((broken, whole), unseen_seconds)
                 self.assertEqual(fed.known, known)
@@ -266,7 +266,7 @@
             ]
             whole = fed.item("servers/i-3", encoded(WHOLE))
             for _ in range(2):
-                fed.workers.on_snapshot((*unnamed, whole), 2 * LAPSE_SECONDS)
+                fed.workers.on_snapshot((*unnamed, whole), 2 * ENTRY_EXPIRY_GAP_SECONDS)
                 self.assertEqual(fed.in_use, ["i-3"])
             self.assertEqual(len(fed.not_named()), 3)
             fed.write("servers/i-1", b"")
--- a/tests/test_policy_engines.py
+++ b/tests/test_policy_engines.py
@@ -32,13 +32,15 @@
         directory.apply_configuration(make_view(4), 0.0)
         engines = PolicyEngines(directory)
         policy = WeightPolicy(name="p", model="m", stream=StreamName("s"), selector=Selector())
-        self.assertEqual(len(engines.of(policy)), 4)
+        self.assertEqual(len(engines.engines_for(policy)), 4)
         with mock.patch.object(directory, "select") as select:
-            self.assertEqual(len(engines.of(policy)), 4)
+            self.assertEqual(len(engines.engines_for(policy)), 4)
             select.assert_not_called()
         directory.apply_configuration(make_view(6), 1.0)
-        self.assertEqual(len(engines.of(policy)), 6)
+        self.assertEqual(len(engines.engines_for(policy)), 6)
         narrow = Selector(match_labels={"drumbay.io/zone": "z1"})
-        self.assertEqual(len(engines.of(msgspec.structs.replace(policy, selector=narrow))), 3)
-        views = directory.views_for(engines.of(policy), 1.0)
+        self.assertEqual(
+            len(engines.engines_for(msgspec.structs.replace(policy, selector=narrow))), 3
+        )
+        views = directory.views_for(engines.engines_for(policy), 1.0)
         self.assertEqual([view.backend_id for view in views], [f"e{n}" for n in range(6)])
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -23,7 +23,7 @@
     WorkerCrash,
     WorkerKind,
 )
-from drumbay.workers.records import WorkerStart
+from drumbay.workers.records import WorkerIncarnation
 
 REQUEST = Fingerprint("request")
 OTHER = Fingerprint("other")
@@ -37,8 +37,8 @@
     )
 
 
-def incarnation(number: int, started_at_ms: int = 0) -> WorkerStart:
-    return WorkerStart(worker_id=BackendId(f"w{number}"), started_at_ms=started_at_ms)
+def incarnation(number: int, started_at_ms: int = 0) -> WorkerIncarnation:
+    return WorkerIncarnation(worker_id=BackendId(f"w{number}"), started_at_ms=started_at_ms)
 
 
 def availability(available: int = 3, ready: int = 3, kind: WorkerKind = KIND) -> WorkerAvailability:
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -13,8 +13,8 @@
     ItemId,
     ItemResult,
     PartialText,
+    ResubmittedItems,
     ResultState,
-    ReturnedItems,
     Reward,
     RewardRequest,
 )
@@ -105,7 +105,7 @@
         (result,) = self.scheduler.expire(40.0)
         self.assertEqual(result.state, ResultState.DEAD)
 
-    def returned(self, request_id: str) -> ReturnedItems:
+    def returned(self, request_id: str) -> ResubmittedItems:
         text = PartialText(
             item_id=ITEM,
             texts=("text",),
@@ -114,7 +114,7 @@
             complete=True,
             reward=Reward(request_id=request_id, stamp="s"),
         )
-        return ReturnedItems(item_ids=(ITEM,), partial_texts=(text,))
+        return ResubmittedItems(item_ids=(ITEM,), partial_texts=(text,))
 
     def test_a_resubmitted_text_with_its_score_is_finished(self) -> None:
         self.scheduler.adopt(self.returned(reward_id(ITEM)))
@@ -159,7 +159,7 @@
         self.assertEqual(slot_limit(records, 0.0), 8)
         directory.pause(BackendId("scorer-1"), 0.0, 1.0)
         self.assertEqual(slot_limit(records, 0.0), 5)
-        records[1].others = records[2].others = 4
+        records[1].other_requests = records[2].other_requests = 4
         records[1].reported_at = records[2].reported_at = 0.0
         self.assertEqual(slot_limit(records, 0.0), 1)
 
--- a/tests/test_rollout_bench.py
+++ b/tests/test_rollout_bench.py
@@ -17,18 +17,18 @@
 class TrainerProgressTest(unittest.TestCase):
     def test_steps_of_a_trainer(self) -> None:
         progress = TrainerProgress(1, 4, WeightVersion(0))
-        progress.observe_pull(WeightVersion(3), 8, 10.0)
+        progress.record_pull(WeightVersion(3), 8, 10.0)
         collecting = progress.forecast(10, (5, 5, 6, 6), 11.0)
-        self.assertEqual((collecting.accepted, collecting.accepted_next), (3, 3))
-        self.assertEqual((collecting.newest_version, collecting.version_next), (4, 4))
+        self.assertEqual((collecting.oldest_accepted, collecting.next_oldest_accepted), (3, 3))
+        self.assertEqual((collecting.newest_version, collecting.next_version), (4, 4))
         self.assertEqual(collecting.next_step, 5)
         training = progress.forecast(12, (6, 6, 6, 7), 12.0)
-        self.assertEqual((training.accepted, training.accepted_next), (3, 4))
-        self.assertEqual((training.newest_version, training.version_next), (4, 5))
+        self.assertEqual((training.oldest_accepted, training.next_oldest_accepted), (3, 4))
+        self.assertEqual((training.newest_version, training.next_version), (4, 5))
         self.assertEqual((training.next_step, training.next_collection_at), (7, 70.0))
-        progress.observe_pull(WeightVersion(3), 12, 40.0)
-        self.assertEqual(progress.forecast(12, (6,), 40.0).accepted_next, 3)
-        self.assertEqual(training.accepted_when_taken(9, 0.0), 6)
+        progress.record_pull(WeightVersion(3), 12, 40.0)
+        self.assertEqual(progress.forecast(12, (6,), 40.0).next_oldest_accepted, 3)
+        self.assertEqual(training.oldest_accepted_at_collection(9, 0.0), 6)
 
 
 class OverdueStepTest(unittest.TestCase):
--- a/tests/test_rollout_runner.py
+++ b/tests/test_rollout_runner.py
@@ -22,7 +22,12 @@
     WeightVersion,
 )
 from drumbay.resources.schema import RolloutObjective
-from drumbay.rollout.events import EngineReported, FloorChanged, RolloutDecision, WantedSample
+from drumbay.rollout.events import (
+    EngineReported,
+    RolloutDecision,
+    StalenessForecastChanged,
+    WantedSample,
+)
 from drumbay.rollout.exceptions import (
     CacheVersionMismatchError,
     ChunkOutOfSequenceError,
@@ -40,7 +45,7 @@
 )
 from drumbay.rollout.scheduler import RolloutScheduler
 from drumbay.rollout.scheduler_state import TrackedSample
-from drumbay.rollout.staleness import FloorForecast
+from drumbay.rollout.staleness import StalenessForecast
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.engine_model import EngineModel
 from drumbay.standins.execution_log import GenerationEnded
@@ -132,8 +137,8 @@
 
     def accept_from(self, version: int) -> None:
         accepted = WeightVersion(version)
-        forecast = FloorForecast(accepted=accepted, accepted_next=accepted)
-        self.runner.handle(FloorChanged(forecast=forecast))
+        forecast = StalenessForecast(oldest_accepted=accepted, next_oldest_accepted=accepted)
+        self.runner.handle(StalenessForecastChanged(forecast=forecast))
 
     async def close(self) -> None:
         await self.clock.sleep(60)
--- a/tests/test_rollout_scheduler.py
+++ b/tests/test_rollout_scheduler.py
@@ -14,26 +14,26 @@
     ChunkReceived,
     Dispatch,
     EngineReported,
-    FloorChanged,
     RolloutDecision,
     RolloutEvent,
     SampleFailed,
     SampleFinished,
-    TimePassed,
+    StalenessForecastChanged,
+    Tick,
     WantedSample,
-    WorkChanged,
+    WantedSamplesChanged,
 )
 from drumbay.rollout.policy import BASELINE_POLICY, policy_for
 from drumbay.rollout.sample import RolloutPrompt, SampleKey, TokenSpan
 from drumbay.rollout.scheduler import RolloutScheduler
-from drumbay.rollout.staleness import FloorForecast, accepted_prefix
+from drumbay.rollout.staleness import StalenessForecast, accepted_prefix
 
 IDLE_TIME = policy_for(RolloutObjective.IDLE_TIME)
 STALENESS = policy_for(RolloutObjective.STALENESS)
 
 
-def wanted(count: int, step: int = 0) -> WorkChanged:
-    return WorkChanged(
+def wanted(count: int, step: int = 0) -> WantedSamplesChanged:
+    return WantedSamplesChanged(
         wanted=tuple(
             WantedSample(
                 key=SampleKey(step, index),
@@ -53,25 +53,27 @@
     )
 
 
-def accept_from(accepted: int, accepted_next: int = 0, next_step: int = 0) -> FloorChanged:
-    forecast = FloorForecast(
-        accepted=WeightVersion(accepted),
-        accepted_next=WeightVersion(max(accepted, accepted_next)),
+def accept_from(
+    accepted: int, accepted_next: int = 0, next_step: int = 0
+) -> StalenessForecastChanged:
+    forecast = StalenessForecast(
+        oldest_accepted=WeightVersion(accepted),
+        next_oldest_accepted=WeightVersion(max(accepted, accepted_next)),
         next_step=next_step,
     )
-    return FloorChanged(forecast=forecast)
+    return StalenessForecastChanged(forecast=forecast)
 
 
-def trainer_forecast(newest: int, version_next: int, next_step: int) -> FloorChanged:
+def trainer_forecast(newest: int, version_next: int, next_step: int) -> StalenessForecastChanged:
     """Return the forecast of a trainer that accepts versions one behind its own."""
-    forecast = FloorForecast(
-        accepted=WeightVersion(newest - 1),
-        accepted_next=WeightVersion(version_next - 1),
+    forecast = StalenessForecast(
+        oldest_accepted=WeightVersion(newest - 1),
+        next_oldest_accepted=WeightVersion(version_next - 1),
         newest_version=WeightVersion(newest),
-        version_next=WeightVersion(version_next),
+        next_version=WeightVersion(version_next),
         next_step=next_step,
     )
-    return FloorChanged(forecast=forecast)
+    return StalenessForecastChanged(forecast=forecast)
 
 
 def span(version: int, first: int, count: int) -> TokenSpan:
@@ -207,7 +209,7 @@
         driver = SchedulerDriver(RolloutScheduler(IDLE_TIME))
         driver.feed(accept_from(2), engine("liar", 2), wanted(1))
         dispatch = next(iter(driver.running.values()))
-        decisions = driver.feed(chunk(dispatch, span(1, 0, 5)), TimePassed())
+        decisions = driver.feed(chunk(dispatch, span(1, 0, 5)), Tick())
         self.assertEqual([type(decision) for decision in decisions], [Cancel])
         started = driver.feed(engine("honest", 2))
         dispatch = next(d for d in started if isinstance(d, Dispatch))
@@ -229,7 +231,7 @@
                     )
                 )
             driver.now += 0.5
-            driver.feed(TimePassed())
+            driver.feed(Tick())
         intervals = [after - before for before, after in itertools.pairwise(start_times)]
         self.assertEqual(intervals, [1.0, 2.0, 4.0, 8.0, 16.0])
 
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -12,7 +12,7 @@
 from drumbay.backends.prefix_hash import BLOCK_CHARACTERS, prefix_hashes
 from drumbay.explain.records import RejectionReason
 from drumbay.identifiers import AttemptId, BackendId, BootId, Fence, WeightVersion
-from drumbay.routing.engine_choice import (
+from drumbay.routing.backend_choice import (
     BackendView,
     ChoicePolicy,
     ChoiceRequest,
--- a/tests/test_shared_places.py
+++ b/tests/test_shared_places.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from drumbay.batches.decisions import RunFailure, SlotShare, StartRun, StopReason, StopRun
-from drumbay.batches.places import TIME_SLOT_SECONDS, JobPlaces, NoticeNumber, time_slot
 from drumbay.batches.records import BatchId, BatchItem, BatchSpec, ItemId
 from drumbay.batches.scheduler import BatchScheduler
 from drumbay.batches.slot_contention import NOTICE_TTL_SECONDS, RemoteSlotUsage, SlotCapacity
 from drumbay.batches.slot_exchange import SlotExchange
+from drumbay.batches.slot_usage import TIME_SLOT_SECONDS, JobSlotUsage, NoticeNumber, time_slot
 from drumbay.batches.start_times import EventSizeEstimate
 from drumbay.batches.step_history import StepHistory
 from drumbay.clock import SystemClock
@@ -42,9 +42,9 @@
         await asyncio.sleep(0)
 
 
-def job(name: str, **changes: object) -> JobPlaces:
+def job(name: str, **changes: object) -> JobSlotUsage:
     """Return a job that began at 0, is due at 8 s, and uses and needs no slots."""
-    plain = JobPlaces(
+    plain = JobSlotUsage(
         batch_id=BatchId(name),
         service=SERVICE,
         model=name,
@@ -73,7 +73,7 @@
         self.remote_usage = RemoteSlotUsage()
         self.number = 0
 
-    def report(self, owner: NetworkAddress, *jobs: JobPlaces, now: float = 0.0) -> None:
+    def report(self, owner: NetworkAddress, *jobs: JobSlotUsage, now: float = 0.0) -> None:
         self.number += 1
         self.assertTrue(
             self.remote_usage.update(owner, jobs, now, NoticeNumber("boot", self.number))
@@ -158,7 +158,7 @@
         self.assertIsNone(self.remote_usage.contention(own, [own], capacity(10), 0.0, 0.0))
         self.assertIsNone(self.remote_usage.used_by_others(SERVICE))
 
-    def feasible(self, slots: int, *jobs: JobPlaces) -> list[str]:
+    def feasible(self, slots: int, *jobs: JobSlotUsage) -> list[str]:
         feasible = []
         overloaded = set()
         for own in jobs:
@@ -341,7 +341,7 @@
         self.running: dict[ItemId, BackendId] = {}
         self.finished_at = float("inf")
 
-    def slot_usage(self, now: float) -> JobPlaces:
+    def slot_usage(self, now: float) -> JobSlotUsage:
         waiting = self.scheduler.latest_starts(frozenset(), now)
         return job(
             str(self.spec.batch_id),
@@ -398,7 +398,7 @@
     def plan_owner(
         self,
         owner: _Owner,
-        own: JobPlaces,
+        own: JobSlotUsage,
         queues: dict[BackendId, list[tuple[_Owner, BatchItem]]],
         now: float,
     ) -> None:
@@ -484,7 +484,7 @@
             now = tick / 10
             event = StreamEvent(number=tick, data="x", version=WeightVersion(1))
             scheduler.handle_event(ItemId("batch-0-0"), event, now)
-            directory.observe_pace(W1, 0.1, now)
+            directory.observe_event_interval(W1, 0.1, now)
             for decision in scheduler.plan(workers, WeightVersion(1), now):
                 if isinstance(decision, StopRun):
                     stops[decision.item_id] = decision.reason
@@ -497,7 +497,7 @@
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
         self.sent: list[tuple[NetworkAddress, PlacesNotice]] = []
-        self.jobs: tuple[JobPlaces, ...] = ()
+        self.jobs: tuple[JobSlotUsage, ...] = ()
         self.exchange = SlotExchange(
             self.clock,
             FIRST,
@@ -514,7 +514,7 @@
         for _ in range(10):
             await asyncio.sleep(0)
 
-    def notice(self, owner: NetworkAddress, *jobs: JobPlaces) -> PlacesNotice:
+    def notice(self, owner: NetworkAddress, *jobs: JobSlotUsage) -> PlacesNotice:
         return PlacesNotice(holder=owner, number=NoticeNumber("boot", 1), jobs=jobs)
 
     async def test_reports_expire_at_a_node_without_jobs(self) -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -14,7 +14,7 @@
 from drumbay.limits.engine_priority import live_engine_priority
 from drumbay.limits.engine_share import (
     DEMAND_WINDOW_SECONDS,
-    HEADROOM_MEMORY_SECONDS,
+    HEADROOM_HOLD_SECONDS,
     EngineObservation,
     EngineShare,
 )
@@ -27,12 +27,12 @@
     Dispatch,
     EngineReported,
     WantedSample,
-    WorkChanged,
+    WantedSamplesChanged,
 )
 from drumbay.rollout.policy import policy_for
 from drumbay.rollout.sample import RolloutPrompt, SampleKey, TokenSpan
 from drumbay.rollout.scheduler import PRIORITY_LAST_OF_STEP, RolloutScheduler
-from drumbay.routing.engine_choice import BackendView
+from drumbay.routing.backend_choice import BackendView
 from drumbay.simulation.scenario import find_scenario
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.engine_model import EngineModel
@@ -77,7 +77,7 @@
         share = EngineShare(EngineSharing(), 0.0)
         self.assertEqual(share.allot(observation_of(live=0, rollouts=16), 0.0).rollout_slots, 16)
         self.assertEqual(share.allot(observation_of(live=3, rollouts=13), 1.0).rollout_slots, 11)
-        later = 1.0 + HEADROOM_MEMORY_SECONDS + 2 * DEMAND_WINDOW_SECONDS
+        later = 1.0 + HEADROOM_HOLD_SECONDS + 2 * DEMAND_WINDOW_SECONDS
         self.assertEqual(share.allot(observation_of(live=0, rollouts=11), later).rollout_slots, 16)
 
     def test_rollouts_keep_their_share_under_sustained_live_load(self) -> None:
@@ -136,7 +136,7 @@
             for index in range(2)
         )
         scheduler.handle(self._report(slots=2), 0.0)
-        for decision in scheduler.handle(WorkChanged(wanted=wanted), 0.0):
+        for decision in scheduler.handle(WantedSamplesChanged(wanted=wanted), 0.0):
             assert isinstance(decision, Dispatch)
             scheduler.handle(self._chunk(decision), 1.0)
         cancels = scheduler.handle(self._report(slots=4, other_load=3, excess=1), 2.0)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -11,7 +11,7 @@
 from drumbay_soak.proxy import FaultyProxy
 from drumbay_soak.worker_server import WorkerServer
 
-from drumbay.batches.run_silence import SILENCE_OF_A_WORKER_SECONDS
+from drumbay.batches.run_silence import WORKER_SILENCE_SECONDS
 from drumbay.clock import SystemClock
 from drumbay.forwarding.forwarder import Forwarder
 from drumbay.forwarding.records import ClientRequest, ForwardingError
@@ -168,7 +168,7 @@
             self.assertEqual(len({run.request_id for run in restarted}), ITEMS)
             for run in restarted:
                 self.assertGreater(run.resume_after or 0, 0)
-                self.assertGreater(run.started_at - silent_since, SILENCE_OF_A_WORKER_SECONDS)
+                self.assertGreater(run.started_at - silent_since, WORKER_SILENCE_SECONDS)
 
         play(scenario)
 
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -11,12 +11,16 @@
 from tornado.httputil import HTTPServerRequest
 from tornado.testing import bind_unused_port
 
-from drumbay.comm import answer_delivery
-from drumbay.comm.answer_delivery import Delivery, HttpAnswer, deliver_answer
-from drumbay.limits.held_bytes import PRESSED_STILL_SECONDS, HeldKind, held_bytes_bound
+from drumbay.comm import response_writer
+from drumbay.comm.response_writer import DeliveryOutcome, HttpResponse, write_response
+from drumbay.limits.held_bytes import (
+    STALL_TIMEOUT_UNDER_PRESSURE_SECONDS,
+    HeldKind,
+    held_bytes_bound,
+)
 from drumbay.observability.serving_metrics import ServingMetrics
 from drumbay.serving import request_intake
-from drumbay.serving.held_memory import HeldMemory, HeldRequest
+from drumbay.serving.memory_accounting import MemoryAccounting, MemoryReservation
 from drumbay.serving.request_intake import RequestIntake
 from tests.test_platform_adapter import SETTINGS
 from tests.test_platform_serving import (
@@ -75,16 +79,16 @@
     async def asyncSetUp(self) -> None:
         stall_limits = dict.fromkeys(HeldKind, 0.2)
         for patcher in (
-            mock.patch.dict(PRESSED_STILL_SECONDS, stall_limits),
-            mock.patch.object(answer_delivery, "STALL_CHECK_SECONDS", 0.05),
+            mock.patch.dict(STALL_TIMEOUT_UNDER_PRESSURE_SECONDS, stall_limits),
+            mock.patch.object(response_writer, "STALL_CHECK_SECONDS", 0.05),
             mock.patch.object(request_intake, "BODY_CHECK_SECONDS", 0.05),
         ):
             patcher.start()
             self.addCleanup(patcher.stop)
         self.metrics = ServingMetrics()
-        self.memory = HeldMemory(LIMIT_BYTES, self.metrics)
+        self.memory = MemoryAccounting(LIMIT_BYTES, self.metrics)
         self.max_held_bytes = 0
-        self.outcomes: list[Delivery] = []
+        self.outcomes: list[DeliveryOutcome] = []
         self.tasks: set[asyncio.Task[None]] = set()
         listener, self.port = bind_unused_port()
         self.server = HTTPServer(RequestIntake(self.hold, self.serve))
@@ -93,25 +97,25 @@
 
     @property
     def held_bytes(self) -> int:
-        return self.memory.bytes.use.held_bytes
+        return self.memory.bytes.usage.held_bytes
 
-    def hold(self, request: HTTPServerRequest) -> HeldRequest:
+    def hold(self, request: HTTPServerRequest) -> MemoryReservation:
         return self.memory.open(HeldKind.LOOKUP, "r", "route")
 
-    def serve(self, request: HTTPServerRequest, held: HeldRequest) -> None:
+    def serve(self, request: HTTPServerRequest, held: MemoryReservation) -> None:
         task = asyncio.get_running_loop().create_task(self.answer(request, held))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def answer(self, request: HTTPServerRequest, held: HeldRequest) -> None:
+    async def answer(self, request: HTTPServerRequest, held: MemoryReservation) -> None:
         assert request.connection is not None
         body = bytes(int(request.path.removeprefix("/")))
-        held.hold_answer(len(body))
+        held.replace_with_response(len(body))
         self.max_held_bytes = max(self.max_held_bytes, self.held_bytes)
-        outcome = await deliver_answer(
+        outcome = await write_response(
             request.connection,
-            HttpAnswer(status=200, body=body),
-            lambda stalled_seconds: held.gives_up_reader(stalled_seconds, leaving=False),
+            HttpResponse(status=200, body=body),
+            lambda stalled_seconds: held.should_drop_reader(stalled_seconds, leaving=False),
         )
         held.release()
         self.outcomes.append(outcome)
@@ -133,7 +137,7 @@
             client = await self.client()
             await client.send("GET", f"/{LARGE_BYTES}")
             await self.wait_until(lambda: self.held_bytes > LARGE_BYTES)
-            await self.wait_until(lambda: self.outcomes == [Delivery.NOT_READ])
+            await self.wait_until(lambda: self.outcomes == [DeliveryOutcome.STALLED])
         self.assertEqual(self.held_bytes, 0)
         self.assertIn(
             b'drumbay_serving_shed_requests_total{kind="lookup",reason="not_read"} 1.0',
@@ -152,7 +156,7 @@
             while remaining:
                 await asyncio.sleep(0.005)
                 remaining -= len(await client.reader.readexactly(min(remaining, READ_BYTES)))
-            await self.wait_until(lambda: self.outcomes == [Delivery.SENT])
+            await self.wait_until(lambda: self.outcomes == [DeliveryOutcome.SENT])
         self.assertEqual(self.held_bytes, 0)
 
     async def test_concurrent_large_responses_stay_within_the_limit(self) -> None:
@@ -174,7 +178,7 @@
         self.assertLessEqual(self.max_held_bytes, LIMIT_BYTES)
 
     async def test_request_body_over_the_limit_is_rejected_before_it_is_read(self) -> None:
-        self.memory.bytes.take(HeldKind.LOOKUP, LIMIT_BYTES)
+        self.memory.bytes.reserve(HeldKind.LOOKUP, LIMIT_BYTES)
         async with asyncio.timeout(LIMIT_SECONDS):
             client = await self.client()
             await client.send("POST", "/7", f"Content-Length: {LARGE_BYTES}\r\n", bytes(10))
@@ -188,7 +192,7 @@
             self.assertEqual(await client.reader.readexactly(7), bytes(7))
 
     async def test_chunked_body_is_rejected_when_it_reaches_the_limit(self) -> None:
-        self.memory.bytes.take(HeldKind.LOOKUP, LIMIT_BYTES // 2)
+        self.memory.bytes.reserve(HeldKind.LOOKUP, LIMIT_BYTES // 2)
         chunk = b"%x\r\n%s\r\n" % (MEGABYTE, bytes(MEGABYTE))
         async with asyncio.timeout(LIMIT_SECONDS):
             client = await self.client()
@@ -258,17 +262,17 @@
                 self.assertFalse(stopping.done() and remaining > LARGE_BYTES // 2)
                 remaining -= len(await client.reader.readexactly(min(remaining, READ_BYTES)))
             await stopping
-        self.assertEqual(node.held.bytes.use.held_bytes, 0)
+        self.assertEqual(node.held.bytes.usage.held_bytes, 0)
 
     async def test_graceful_shutdown_does_not_wait_for_a_stalled_reader(self) -> None:
         node = self.processes[0].node
         shed = b'drumbay_serving_shed_requests_total{kind="lookup",reason="not_read"} 1.0'
-        with mock.patch.dict(PRESSED_STILL_SECONDS, {HeldKind.LOOKUP: 0.5}):
+        with mock.patch.dict(STALL_TIMEOUT_UNDER_PRESSURE_SECONDS, {HeldKind.LOOKUP: 0.5}):
             async with asyncio.timeout(LIMIT_SECONDS):
                 await self.start_large_lookup()
                 self.assertGreater(node.held.bytes.held(HeldKind.LOOKUP), LARGE_BYTES)
                 await node.stop()
-        self.assertEqual(node.held.bytes.use.held_bytes, 0)
+        self.assertEqual(node.held.bytes.usage.held_bytes, 0)
         self.assertIn(shed, node.metrics.render())
 
     async def test_result_pages_are_shed_before_lookups(self) -> None:
@@ -278,13 +282,13 @@
         await self.start()
         limit_bytes = 10 * MEGABYTE
         node.held.bytes = type(node.held.bytes)(limit_bytes)
-        node.held.bytes.take(HeldKind.LOOKUP, int(0.6 * limit_bytes))
+        node.held.bytes.reserve(HeldKind.LOOKUP, int(0.6 * limit_bytes))
         async with asyncio.timeout(LIMIT_SECONDS):
             page = await process.ask("GET", "/lots/b1")
             self.assertEqual((page.status, page.headers["Retry-After"]), (503, "0.5"))
             self.assertEqual((await process.ask("POST", "/l/1", b"question")).status, 200)
             self.assertEqual((await process.ask("DELETE", "/lots/b1")).status, 404)
-            node.held.bytes.take(HeldKind.LOOKUP, int(0.2 * limit_bytes))
+            node.held.bytes.reserve(HeldKind.LOOKUP, int(0.2 * limit_bytes))
             submission = await process.ask("POST", "/p/x", b"{}")
             self.assertEqual((submission.status, submission.headers["Retry-After"]), (503, "0.5"))
             self.assertEqual((await process.ask("POST", "/l/1", b"question")).status, 200)
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from drumbay.batches.ledger import INDEX_PREFIX, OPEN_PREFIX, PREFIX
+from drumbay.batches.ledger import BATCH_INDEX_PREFIX, BATCH_PREFIX, OPEN_BATCH_PREFIX
 from drumbay.clock import SystemClock
 from drumbay.identifiers import Revision
 from drumbay.kv.interface import Delete, ModRevisionIs, Put
@@ -14,7 +14,7 @@
 from drumbay.ownership import leader
 from drumbay.peers import directory
 from drumbay.quarantine import stored
-from drumbay.scaling import keeper
+from drumbay.scaling import controller
 from drumbay.serving.store_calls import (
     CountedStore,
     StoreSubject,
@@ -28,24 +28,24 @@
 class SubjectTest(unittest.TestCase):
     def test_subject_of_each_kind_of_key(self) -> None:
         table = {
-            f"{PREFIX}b1/owner": StoreSubject.BATCH_OWNER,
-            f"{PREFIX}b1/progress/000000000007-0001": StoreSubject.BATCH_PROGRESS,
-            f"{PREFIX}b1/results/00000064": StoreSubject.BATCH_RESULTS,
-            f"{PREFIX}b1/spec/0000": StoreSubject.BATCH_WHOLE,
-            f"{PREFIX}b1/": StoreSubject.BATCH_WHOLE,
-            INDEX_PREFIX: StoreSubject.BATCH_INDEX,
-            f"{OPEN_PREFIX}10.0.0.1:7000/b1": StoreSubject.BATCH_OPEN,
+            f"{BATCH_PREFIX}b1/owner": StoreSubject.BATCH_OWNER,
+            f"{BATCH_PREFIX}b1/progress/000000000007-0001": StoreSubject.BATCH_PROGRESS,
+            f"{BATCH_PREFIX}b1/results/00000064": StoreSubject.BATCH_RESULTS,
+            f"{BATCH_PREFIX}b1/spec/0000": StoreSubject.BATCH_WHOLE,
+            f"{BATCH_PREFIX}b1/": StoreSubject.BATCH_WHOLE,
+            BATCH_INDEX_PREFIX: StoreSubject.BATCH_INDEX,
+            f"{OPEN_BATCH_PREFIX}10.0.0.1:7000/b1": StoreSubject.BATCH_OPEN,
             directory.PREFIX: StoreSubject.NODES,
             leader.CURRENT_KEY: StoreSubject.LEADER,
             stored.PREFIX: StoreSubject.QUARANTINE,
-            keeper.STANDING_KEY: StoreSubject.SCALING,
+            controller.STORED_COUNTS_KEY: StoreSubject.SCALING,
             usage_ledger.REPORT_PREFIX: StoreSubject.USAGE,
             "anything/else": StoreSubject.ENTRIES,
         }
         self.assertEqual({key: subject_of_key(key) for key in table}, table)
 
     def test_new_batch_job_is_distinguished_from_an_owner_change(self) -> None:
-        owner = f"{PREFIX}b1/owner"
+        owner = f"{BATCH_PREFIX}b1/owner"
         put = Put(key=owner, value=b"")
         is_new = ModRevisionIs(key=owner, mod_revision=Revision(0))
         is_old = ModRevisionIs(key=owner, mod_revision=Revision(7))
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -11,7 +11,7 @@
 from drumbay.comm.http_exchange import NetworkAddress
 from drumbay.identifiers import Revision
 from drumbay.kv.follower import PrefixFollower
-from drumbay.kv.interface import LONGEST_QUIET_SECONDS, KeyValue, Put, WatchBatch, WatchEvent
+from drumbay.kv.interface import MAX_QUIET_SECONDS, KeyValue, Put, WatchBatch, WatchEvent
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.kv.mirror import FeedMirror, PrefixFeed
 from drumbay.observability.serving_metrics import ServingMetrics
@@ -51,7 +51,7 @@
         self,
         prefix: str,
         start_revision: Revision,
-        quiet_seconds: float = LONGEST_QUIET_SECONDS,
+        quiet_seconds: float = MAX_QUIET_SECONDS,
     ) -> AsyncGenerator[WatchBatch, None]:
         opened_at_cut = self.cuts
         self.polls += quiet_seconds <= POLL_SECONDS
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -7,7 +7,7 @@
 
 from drumbay.exceptions import Execution
 from drumbay.forwarding.routes import RoutingConfiguration
-from drumbay.tenants.access import KeysOutdatedError, UnknownKeyError, admit
+from drumbay.tenants.access import KeysOutdatedError, UnknownKeyError, authenticate
 from drumbay.tenants.records import KeyTable, Tenant, TenantName, digest_of
 
 IN_FORCE_SECONDS = 3.0
@@ -26,7 +26,7 @@
     needs_key: bool = True,
     age_seconds: float = 0.0,
 ) -> TenantName | None:
-    return admit(
+    return authenticate(
         keys,
         key,
         needs_key=needs_key,
--- a/tests/test_version_loading.py
+++ b/tests/test_version_loading.py
@@ -26,7 +26,7 @@
         return directory
 
     def planned(self, directory: WorkerDirectory, **named: int) -> list[tuple[str, str, int]]:
-        planner = VersionPlanner(LoadPolicy(minimum_at_once=10))
+        planner = VersionPlanner(LoadPolicy(min_concurrent_loads=10))
         versions = {model: WeightVersion(version) for model, version in named.items()}
         loads = planner.plan(versions, directory.all_records().values(), 0.0)
         return [(load.worker_id, load.model, load.version) for load in loads]
@@ -38,7 +38,7 @@
 
     def test_a_version_that_stays_the_newest_goes_to_every_worker(self) -> None:
         directory = self.directory(a=2, b=2, c=1, d=1)
-        planner = VersionPlanner(LoadPolicy(minimum_at_once=10))
+        planner = VersionPlanner(LoadPolicy(min_concurrent_loads=10))
         named = {"m": WeightVersion(2)}
         records = list(directory.all_records().values())
         self.assertEqual(planner.plan(named, records, 0.0), ())
@@ -58,13 +58,13 @@
         first = planner.plan(named, records, 0.0)
         self.assertEqual(len(first), 2)
         for load in first:
-            planner.note_started(load.worker_id)
+            planner.record_load_started(load.worker_id)
         self.assertEqual(planner.plan(named, records, 0.1), ())
 
     def test_more_workers_load_more_at_once(self) -> None:
         for worker_count, at_once in ((3, 2), (6, 2), (23, 9), (24, 10)):
             directory = self.directory(**{f"w{number}": 1 for number in range(worker_count)})
-            planner = VersionPlanner(LoadPolicy(everywhere_after_seconds=0.0))
+            planner = VersionPlanner(LoadPolicy(full_rollout_after_seconds=0.0))
             records = list(directory.all_records().values())
             named = {"m": WeightVersion(2), "n": WeightVersion(2)}
             self.assertEqual(len(planner.plan(named, records, 0.0)), at_once)
--- a/tests/test_weight_rollout.py
+++ b/tests/test_weight_rollout.py
@@ -203,7 +203,7 @@
             status = await engine.status()
             other = cluster.add_node("other")
             await asyncio.sleep(1)
-            other.service.observe_stamp(
+            other.service.observe_token_version(
                 "modelos",
                 engine.backend_id,
                 engine.boot_id,
--- a/tests/test_worker_bodies.py
+++ b/tests/test_worker_bodies.py
@@ -13,7 +13,7 @@
     SMALL_BODY_BYTES,
     may_send_body,
 )
-from drumbay.workers.records import WorkerAnswer
+from drumbay.workers.records import WorkerResponse
 from tests.serving_world import ServingWorld, play
 from tests.test_forwarding import LOOKUPS, forwarder_of, request, route
 
@@ -46,7 +46,7 @@
                 *(forwarder.forward(at_most_once, request(f"body-{n}")) for n in range(9)),
                 return_exceptions=True,
             )
-            answers = [answer for answer in found if isinstance(answer, WorkerAnswer)]
+            answers = [answer for answer in found if isinstance(answer, WorkerResponse)]
             refused = [error for error in found if isinstance(error, NoWorkerError)]
             self.assertEqual((len(answers), len(refused)), (3, 6))
             self.assertEqual({error.execution for error in refused}, {Execution.NOT_RUN})
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -19,8 +19,8 @@
     relative_latency_of,
 )
 from drumbay.identifiers import BackendId
-from drumbay.workers.answer_pace import AnswerPace
 from drumbay.workers.records import WorkerLoad
+from drumbay.workers.response_stats import ResponseStats
 
 NOW = 100.0
 SLOTS = 6
@@ -118,21 +118,21 @@
 
 class ResponseStatsTest(unittest.TestCase):
     def test_observations_decay_to_default(self) -> None:
-        stats = AnswerPace()
+        stats = ResponseStats()
         for _ in range(5):
             stats.observe_answer(6.0, NOW)
             stats.observe_failure(NOW)
-        self.assertGreater(stats.relative_time(NOW), 4.0)
-        self.assertGreater(stats.failure_share(NOW), 0.4)
-        self.assertLess(stats.relative_time(NOW + 60.0), 1.1)
-        self.assertLess(stats.failure_share(NOW + 60.0), 0.02)
+        self.assertGreater(stats.relative_latency(NOW), 4.0)
+        self.assertGreater(stats.failure_rate(NOW), 0.4)
+        self.assertLess(stats.relative_latency(NOW + 60.0), 1.1)
+        self.assertLess(stats.failure_rate(NOW + 60.0), 0.02)
 
     def test_early_cancelled_run_is_ignored(self) -> None:
-        stats = AnswerPace()
+        stats = ResponseStats()
         stats.observe_unanswered(0.5, NOW)
-        self.assertEqual(stats.relative_time(NOW), 1.0)
+        self.assertEqual(stats.relative_latency(NOW), 1.0)
         stats.observe_unanswered(3.0, NOW)
-        self.assertGreater(stats.relative_time(NOW), 1.0)
+        self.assertGreater(stats.relative_latency(NOW), 1.0)
 
 
 class HedgeTimingTest(unittest.TestCase):
@@ -234,7 +234,7 @@
     def __init__(self) -> None:
         self._generator = random.Random(3)
         self.known: dict[tuple[str, str], WorkerSnapshot] = {}
-        self.response_stats: dict[tuple[str, str], AnswerPace] = {}
+        self.response_stats: dict[tuple[str, str], ResponseStats] = {}
         self.ends: dict[str, list[float]] = {name: [] for name in LATENCY_FACTORS}
         self.connected_until: dict[tuple[str, str], float] = {}
         self.counts: Counter[str] = Counter()
@@ -249,11 +249,11 @@
 
     def _snapshot(self, arrival: Arrival, name: str) -> WorkerSnapshot:
         key = (arrival.node, name)
-        stats = self.response_stats.setdefault(key, AnswerPace())
+        stats = self.response_stats.setdefault(key, ResponseStats())
         known = self.known.get(key, snapshot(name))
         return msgspec.structs.replace(
             known,
-            relative_latency=stats.relative_time(arrival.at),
+            relative_latency=stats.relative_latency(arrival.at),
             last_run_at=stats.last_run_at,
             has_idle_connection=self.connected_until.get(key, -math.inf) > arrival.at,
         )
--- a/tests/test_worker_demand.py
+++ b/tests/test_worker_demand.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from drumbay.batches.places import JobPlaces
 from drumbay.batches.records import BatchId
+from drumbay.batches.slot_usage import JobSlotUsage
 from drumbay.comm.http_exchange import NetworkAddress
 from drumbay.duties.interface import DutyOutcome, WorkerCount
 from drumbay.forwarding.routes import RequestLimits, RoutingConfiguration
@@ -17,7 +17,8 @@
 from drumbay.ownership.leader import CURRENT_KEY
 from drumbay.peers.messages import CollectPlaces, PeerReply, PeerRequest, PlacesReply
 from drumbay.peers.transport import PeerUnavailableError
-from drumbay.scaling.collector import REPLY_LIFETIME_SECONDS, PlacesCollector
+from drumbay.scaling.collector import REPLY_LIFETIME_SECONDS, DemandCollector
+from drumbay.scaling.controller import STORED_COUNTS_KEY
 from drumbay.scaling.demand import (
     ACCEPTABLE_WAIT_SECONDS,
     SCALE_DOWN_WINDOW_SECONDS,
@@ -25,7 +26,6 @@
     DemandSample,
     WorkerEstimate,
 )
-from drumbay.scaling.keeper import STANDING_KEY
 from drumbay.scaling.planner import (
     REPLACEMENT_MARGIN_SECONDS,
     SCALE_DOWN_INTERVAL_SECONDS,
@@ -48,8 +48,8 @@
 BASELINES = {CHEAP: 2, MID_PRICE: 2, EXPENSIVE: 2}
 
 
-def job(waiting: int, running: int, name: str = "step") -> JobPlaces:
-    return JobPlaces(
+def job(waiting: int, running: int, name: str = "step") -> JobSlotUsage:
+    return JobSlotUsage(
         batch_id=BatchId(name),
         service=SERVICE,
         model=MODEL,
@@ -273,7 +273,7 @@
     """Answers the calls of a collector, except for silent owners."""
 
     def __init__(self) -> None:
-        self.jobs: dict[NetworkAddress, tuple[JobPlaces, ...]] = {}
+        self.jobs: dict[NetworkAddress, tuple[JobSlotUsage, ...]] = {}
         self.silent: set[NetworkAddress] = set()
 
     async def call(
@@ -293,7 +293,7 @@
             owners = FakeOwners()
             owners.jobs = {near: (job(5, 2, "near"),), far: (job(7, 1, "far"),)}
             own = NetworkAddress("10.1.0.3", 7000)
-            collector = PlacesCollector(
+            collector = DemandCollector(
                 world.clock, owners, own, lambda: (job(1, 1, "own"),), lambda: [near, far, own]
             )
 
@@ -325,7 +325,7 @@
         async def scenario(world: ServingWorld) -> None:
             place = {"service": SERVICE, "zone": "zone-1"}
             old = msgspec.msgpack.encode({"places": [{"place": place, "ready": 5}]})
-            await world.nodes[0].store.transact((), (Put(key=STANDING_KEY, value=old),))
+            await world.nodes[0].store.transact((), (Put(key=STORED_COUNTS_KEY, value=old),))
             start_with_scaling(world)
             await asyncio.sleep(REPLACEMENT_SECONDS + 4.0)
             (call,) = world.duties.calls
--- a/tests/test_worker_pace.py
+++ b/tests/test_worker_pace.py
@@ -37,7 +37,7 @@
 
     def observe(self, worker_id: BackendId, times: list[float], now: float = 0.0) -> None:
         for seconds in times:
-            self.directory.observe_pace(worker_id, seconds, now)
+            self.directory.observe_event_interval(worker_id, seconds, now)
 
     def selector(
         self, now: float = 0.0, isolated_workers: frozenset[BackendId] = frozenset()
@@ -150,7 +150,7 @@
         self.assertEqual(long, {FIRST, SECOND, THIRD})
 
     def test_an_item_of_a_failed_worker_goes_to_an_active_worker(self) -> None:
-        self.directory.observe_pace(SECOND, USUAL_SECONDS, 5.0)
+        self.directory.observe_event_interval(SECOND, USUAL_SECONDS, 5.0)
         scheduler = BatchScheduler(batch_spec(groups=1, group_size=1), 0.0, ())
         workers = {r.worker.worker_id: r for r in self.directory.of_service(SERVICE)}
         scheduler.plan(workers, WeightVersion(1), 4.0)
@@ -182,12 +182,12 @@
 
     def test_a_worker_is_used_once_its_weight_load_should_be_done(self) -> None:
         self.assertFalse(self.has_free_slot(0.0))
-        self.directory.note_loading(FIRST, MODEL, WeightVersion(2), 0.9)
+        self.directory.record_weight_load(FIRST, MODEL, WeightVersion(2), 0.9)
         self.assertFalse(self.has_free_slot(0.8))
         self.assertTrue(self.has_free_slot(1.0))
 
     def test_a_response_with_old_weights_cancels_the_expected_version(self) -> None:
-        self.directory.note_loading(FIRST, MODEL, WeightVersion(2), 0.9)
+        self.directory.record_weight_load(FIRST, MODEL, WeightVersion(2), 0.9)
         self.directory.observe_version(FIRST, MODEL, WeightVersion(1), 0.5)
         self.assertTrue(self.has_free_slot(1.0))
         self.directory.observe_version(FIRST, MODEL, WeightVersion(1), 1.0)
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -34,7 +34,7 @@
 from drumbay.weights.version_planner import LoadPolicy, VersionPlanner
 from drumbay.workers.directory import WorkerDirectory
 from drumbay.workers.records import Worker, WorkerLoad, WorkerState, WorkerStatus
-from drumbay.workers.silence_check import CHECK_SECONDS, FEWEST_SILENT_RUNS, SilenceCheck
+from drumbay.workers.silence_check import CHECK_SECONDS, MIN_SILENT_RUNS, SilenceCheck
 from drumbay.workers.worker_record import WorkerRecord
 from tests.serving_world import MODEL, SERVICE, ServingWorld, play
 
@@ -84,10 +84,10 @@
         record.in_flight = 3
         record.expected_tokens = 100
         self.directory.observe_load(WORKER, WorkerLoad(running=4, waiting=2, slots=4), 1.0)
-        self.directory.observe_pace(WORKER, 0.5, 1.0)
+        self.directory.observe_event_interval(WORKER, 0.5, 1.0)
         self.directory.observe_answer(WORKER, 2.0, 1.0)
         self.directory.observe_failed_run(WORKER, 1.0)
-        self.directory.note_loading(WORKER, MODEL, WeightVersion(9), 50.0)
+        self.directory.record_weight_load(WORKER, MODEL, WeightVersion(9), 50.0)
         self.directory.observe_refusal(WORKER, MODEL, 1.0)
         self.directory.observe_failure(WORKER, 1.0)
         return record
@@ -99,12 +99,12 @@
             is_start_reported=is_start_reported,
         )
         record = msgspec.structs.replace(
-            self.record(), pace=expected.pace, answers=expected.answers
+            self.record(), pace=expected.event_intervals, answers=expected.answers
         )
         self.assertEqual(record, expected)
-        self.assertIsNone(self.record().pace.current(1.0))
-        self.assertEqual(self.record().answers.relative_time(1.0), 1.0)
-        self.assertEqual(self.record().answers.failure_share(1.0), 0.0)
+        self.assertIsNone(self.record().event_intervals.current(1.0))
+        self.assertEqual(self.record().answers.relative_latency(1.0), 1.0)
+        self.assertEqual(self.record().answers.failure_rate(1.0), 0.0)
         self.assertTrue(self.record().is_available(1.0))
         self.assertEqual(self.restarted, [WORKER])
 
@@ -202,11 +202,11 @@
         self.directory.pause(WORKER, 1.0, 5.0, FIRST_MS)
         self.directory.observe_refusal(WORKER, MODEL, 1.0, FIRST_MS)
         self.directory.observe_version(WORKER, MODEL, WeightVersion(9), 1.0, FIRST_MS)
-        self.directory.observe_pace(WORKER, 0.5, 1.0, FIRST_MS)
+        self.directory.observe_event_interval(WORKER, 0.5, 1.0, FIRST_MS)
         self.directory.observe_answer(WORKER, 2.0, 1.0, FIRST_MS)
         self.directory.observe_unanswered(WORKER, 2.0, 1.0, FIRST_MS)
         self.directory.observe_failed_run(WORKER, 1.0, FIRST_MS)
-        self.directory.note_loading(WORKER, MODEL, WeightVersion(9), 50.0, FIRST_MS)
+        self.directory.record_weight_load(WORKER, MODEL, WeightVersion(9), 50.0, FIRST_MS)
         load = WorkerLoad(running=4, waiting=2, slots=4)
         self.directory.observe_load(WORKER, load, 1.0, FIRST_MS)
         self.assert_reset(version=2)
@@ -258,7 +258,7 @@
             ended_seconds_ago=ended_seconds_ago,
             started_at_ms=started_at_ms,
         )
-        self.quarantine.take(RequestSuspected(fingerprint=REQUEST, deaths=(crash,)))
+        self.quarantine.handle_notice(RequestSuspected(fingerprint=REQUEST, deaths=(crash,)))
 
     @property
     def crash_count(self) -> int:
@@ -273,7 +273,7 @@
             fixture.receive_crash()
             known = fixture.first.worker
             await fixture.pool.end(fixture.first)
-            fixture.quarantine.note_alive(known)
+            fixture.quarantine.record_worker_response(known)
             self.assertEqual(fixture.crash_count, 1)
             await asyncio.sleep(0.1)
             self.assertEqual(fixture.crash_count, 1)
@@ -281,7 +281,7 @@
             assert record is not None
             self.assertGreater(record.worker.started_at_ms, known.started_at_ms)
             self.assertTrue(fixture.directory.is_replaced(known))
-            fixture.quarantine.note_alive(record.worker)
+            fixture.quarantine.record_worker_response(record.worker)
             self.assertEqual(fixture.crash_count, 1)
             self.assertEqual(fixture.notices, [])
 
@@ -296,7 +296,7 @@
             ending = asyncio.ensure_future(fixture.pool.end(fixture.first))
             await asyncio.sleep(0.1)
             fixture.receive_crash()
-            fixture.quarantine.note_alive(fixture.first.worker)
+            fixture.quarantine.record_worker_response(fixture.first.worker)
             await asyncio.sleep(0.1)
             self.assertEqual(fixture.crash_count, 1)
             await ending
@@ -364,12 +364,12 @@
             fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
             fixture.receive_crash(started_at_ms=0)
-            fixture.quarantine.note_alive(fixture.first.worker)
+            fixture.quarantine.record_worker_response(fixture.first.worker)
             await asyncio.sleep(0.1)
             self.assertEqual(fixture.crash_count, 0)
             fixture.receive_crash(started_at_ms=0)
             incarnation = fixture.first.worker.start
-            fixture.quarantine.take(
+            fixture.quarantine.handle_notice(
                 WorkerProvedAlive(worker_id=WORKER, started_at_ms=incarnation.started_at_ms)
             )
             self.assertEqual(fixture.crash_count, 0)
@@ -381,7 +381,7 @@
             fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
             fixture.receive_crash()
-            fixture.quarantine.note_alive(fixture.first.worker)
+            fixture.quarantine.record_worker_response(fixture.first.worker)
             await asyncio.sleep(0.1)
             self.assertEqual(fixture.crash_count, 0)
             started_at_ms = fixture.first.worker.started_at_ms
@@ -395,7 +395,7 @@
             fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
             fixture.receive_crash()
-            fixture.quarantine.note_alive(fixture.first.worker)
+            fixture.quarantine.record_worker_response(fixture.first.worker)
             self.assertEqual(fixture.crash_count, 1)
             await asyncio.sleep(0.1)
             self.assertEqual(fixture.crash_count, 0)
@@ -418,7 +418,7 @@
 
             fixture.pool.status = count  # type: ignore[method-assign]
             for _ in range(21):
-                fixture.quarantine.note_alive(fixture.first.worker)
+                fixture.quarantine.record_worker_response(fixture.first.worker)
                 await asyncio.sleep(REPORT_REQUEST_INTERVAL_SECONDS / 10)
             self.assertEqual(asked, 3)
             self.assertEqual(fixture.crash_count, 1)
@@ -430,7 +430,7 @@
             fixture = QuarantineFixture(tells_starts=False)
             await asyncio.sleep(1.0)
             fixture.receive_crash()
-            fixture.quarantine.note_alive(fixture.first.worker)
+            fixture.quarantine.record_worker_response(fixture.first.worker)
             self.assertEqual(fixture.crash_count, 0)
 
         run_simulation(scenario)
@@ -441,9 +441,11 @@
             fixture.receive_crash()
             started_at_ms = fixture.first.worker.started_at_ms
             for other in (0, started_at_ms + 1):
-                fixture.quarantine.take(WorkerProvedAlive(worker_id=WORKER, started_at_ms=other))
+                fixture.quarantine.handle_notice(
+                    WorkerProvedAlive(worker_id=WORKER, started_at_ms=other)
+                )
                 self.assertEqual(fixture.crash_count, 1)
-            fixture.quarantine.take(
+            fixture.quarantine.handle_notice(
                 WorkerProvedAlive(worker_id=WORKER, started_at_ms=started_at_ms)
             )
             self.assertEqual(fixture.crash_count, 0)
@@ -457,7 +459,7 @@
                 record = fixture.directory.get(WORKER)
                 assert record is not None
                 began_at = fixture.clock.monotonic()
-                fixture.quarantine.note_unanswered(REQUEST, "r", record.worker, began_at)
+                fixture.quarantine.record_unanswered_run(REQUEST, "r", record.worker, began_at)
                 await fixture.pool.end(fixture.pool["w"])
                 fixture.directory.put(fixture.pool["w"].worker)
                 fixture.quarantine.verdict(REQUEST, SERVICE)
@@ -543,13 +545,13 @@
 
     def test_end_of_a_load_does_not_end_a_later_one(self) -> None:
         planner = VersionPlanner(LoadPolicy())
-        first = planner.note_started(WORKER)
-        planner.note_restarted(WORKER)
-        second = planner.note_started(WORKER)
-        self.assertFalse(planner.note_ended(WORKER, first))
-        planner.note_failed(WORKER, first, 0.0)
-        self.assertTrue(planner.note_ended(WORKER, second))
-        self.assertFalse(planner.note_ended(WORKER, second))
+        first = planner.record_load_started(WORKER)
+        planner.record_worker_restarted(WORKER)
+        second = planner.record_load_started(WORKER)
+        self.assertFalse(planner.record_load_ended(WORKER, first))
+        planner.record_load_failed(WORKER, first, 0.0)
+        self.assertTrue(planner.record_load_ended(WORKER, second))
+        self.assertFalse(planner.record_load_ended(WORKER, second))
 
     def test_planner_drops_loads_in_progress_on_restart(self) -> None:
         directory = WorkerDirectory()
@@ -557,9 +559,9 @@
         planner = VersionPlanner(LoadPolicy())
         named = {MODEL: WeightVersion(2)}
         records = list(directory.all_records().values())
-        planner.note_started(WORKER)
+        planner.record_load_started(WORKER)
         self.assertEqual(planner.plan(named, records, 0.1), ())
-        planner.note_restarted(WORKER)
+        planner.record_worker_restarted(WORKER)
         self.assertEqual(len(planner.plan(named, records, 0.1)), 1)
 
     def test_loading_notice_concerns_one_start(self) -> None:
@@ -596,8 +598,8 @@
                 TaskOwner(),
                 lambda: renewed.append(None),
             )
-            for _ in range(FEWEST_SILENT_RUNS):
-                check.suspect(WORKER)
+            for _ in range(MIN_SILENT_RUNS):
+                check.report_silent_run(WORKER)
             fixture.directory.remove(WORKER)
             await asyncio.sleep(CHECK_SECONDS / 2)
             self.assertEqual(renewed, [None])
@@ -616,8 +618,8 @@
                 lambda: renewed.append(None),
             )
             await fixture.pool.end(fixture.first)
-            for _ in range(FEWEST_SILENT_RUNS):
-                check.suspect(WORKER)
+            for _ in range(MIN_SILENT_RUNS):
+                check.report_silent_run(WORKER)
             await asyncio.sleep(CHECK_SECONDS / 2)
             record = fixture.directory.get(WORKER)
             assert record is not None
