--- a/tests/test_platform_serving.py
+++ b/tests/test_platform_serving.py
@@ -1,4 +1,4 @@
-"""A serving node behind the adapter, over sockets: clients' calls, batch jobs, planned stop."""
+"""Tests over sockets of a serving node behind the adapter: requests, batch jobs, shutdown."""
 
 import asyncio
 import base64
@@ -26,11 +26,11 @@
 
 HOST = "h.example"
 LIMIT_SECONDS = 30.0
-"""Long against every step on a busy machine; a step that never comes fails the test."""
+"""Fails a test whose condition is never met."""
 
 
 async def eventually(check: Callable[[], Awaitable[bool]]) -> None:
-    """Return once a check holds."""
+    """Poll until a check holds."""
     while True:
         if await check():
             return
@@ -38,7 +38,7 @@
 
 
 class Answer:
-    """What a client got."""
+    """Response received by a client."""
 
     def __init__(self, exchange: HttpExchange, status: int, body: bytes) -> None:
         self.status = status
@@ -47,7 +47,7 @@
 
 
 class NodeProcess:
-    """One node with its servers, as the edge process assembles them."""
+    """One node with its servers, assembled as in the edge process."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         finally:
             exchange.close()
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         async def is_ready() -> bool:
             return (await self.ask("GET", "/readyz", address=self.ready)).status == 200
 
@@ -126,7 +126,7 @@
 
 
 class ServingFixture(unittest.IsolatedAsyncioTestCase):
-    """Two nodes, a lookup worker and an engine, with the store between them."""
+    """Two nodes with a shared store, a lookup worker and an engine."""
 
     async def asyncSetUp(self) -> None:
         clock = SystemClock()
@@ -168,31 +168,31 @@
             process.start()
             self.addAsyncCleanup(process.stop)
         for process in self.processes:
-            await process.until_ready()
+            await process.wait_until_ready()
         return self.processes[0]
 
 
 class ServingTest(ServingFixture):
-    async def test_a_node_without_a_configuration_is_not_ready_and_promises_not_run(self) -> None:
+    async def test_a_node_without_a_configuration_is_not_ready_and_rejects_requests(self) -> None:
         process = self.processes[0]
         process.start()
         self.addAsyncCleanup(process.stop)
         async with asyncio.timeout(LIMIT_SECONDS):
             ready = await process.ask("GET", "/readyz", address=process.ready)
             self.assertEqual(ready.status, 503)
-            answer = await process.ask("POST", "/l/1")
-            self.assertEqual(answer.status, 503)
-            self.assertIn("Retry-After", answer.headers)
+            response = await process.ask("POST", "/l/1")
+            self.assertEqual(response.status, 503)
+            self.assertIn("Retry-After", response.headers)
             self.configure(1, "/l/")
-            await process.until_ready()
+            await process.wait_until_ready()
             self.assertEqual((await process.ask("POST", "/l/1", b"x")).status, 200)
 
     async def test_lookups_and_routes(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
         async with asyncio.timeout(LIMIT_SECONDS):
-            answer = await process.ask("POST", "/l/1", b"question")
-            self.assertEqual((answer.status, answer.body), (200, b"question"))
+            response = await process.ask("POST", "/l/1", b"question")
+            self.assertEqual((response.status, response.body), (200, b"question"))
             self.assertEqual((await process.ask("POST", "/none/1")).status, 404)
             self.assertEqual((await process.ask("POST", "/l/1", host="other")).status, 404)
             self.configure(3, "/n/")
@@ -203,18 +203,18 @@
             await eventually(is_added)
             self.assertEqual((await process.ask("POST", "/l/1")).status, 404)
 
-    async def test_metrics_are_served_to_the_operators(self) -> None:
+    async def test_metrics_are_served_at_the_peer_address(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
         async with asyncio.timeout(LIMIT_SECONDS):
             await process.ask("POST", "/l/1", b"question")
-            answer = await process.ask("GET", "/metrics", address=process.peer_address)
+            response = await process.ask("GET", "/metrics", address=process.peer_address)
         self.assertIn(
-            b'drumbay_serving_requests_total{outcome="answered",route="/l/"} 1.0', answer.body
+            b'drumbay_serving_requests_total{outcome="answered",route="/l/"} 1.0', response.body
         )
-        self.assertIn(b"drumbay_serving_store_seconds_bucket", answer.body)
+        self.assertIn(b"drumbay_serving_store_seconds_bucket", response.body)
 
-    async def test_a_batch_job_through_any_node(self) -> None:
+    async def test_a_batch_job_can_be_used_through_any_node(self) -> None:
         self.configure(1, "/l/")
         first = await self.start()
         second = self.processes[1]
@@ -232,16 +232,16 @@
         batch = {"trainStep": 1, "model": "m", "minVer": 1, "desired": 1, "requests": items}
         async with asyncio.timeout(LIMIT_SECONDS):
             for process in (first, second):
-                answer = await process.ask(
+                response = await process.ask(
                     "POST", "/p/1", json.dumps(batch).encode(), request_id="b1"
                 )
-                self.assertEqual(answer.status, 202)
+                self.assertEqual(response.status, 202)
             body = await second.ask("GET", "/items/b1?id=item-3")
             self.assertEqual((body.status, body.body), (200, b"prompt"))
             results: list[dict[str, object]] = []
             while len(results) < 6:
-                answer = await second.ask("GET", f"/lots/b1?sinceRev={len(results)}")
-                page = json.loads(answer.body)
+                response = await second.ask("GET", f"/lots/b1?sinceRev={len(results)}")
+                page = json.loads(response.body)
                 results.extend(page["results"])
                 self.assertEqual(page["nextToken"], len(results))
                 self.assertEqual(page["total"], 6)
@@ -270,7 +270,7 @@
         batch = {"trainStep": 1, "model": "m", "minVer": 1, "desired": 1, "requests": [item]}
         return json.dumps(batch).encode()
 
-    async def test_a_result_bears_the_stamp_of_its_reward_call(self) -> None:
+    async def test_a_result_holds_the_stamp_of_its_reward_call(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
         scorer = {
@@ -280,23 +280,23 @@
             "body": base64.b64encode(b"text").decode(),
         }
         async with asyncio.timeout(LIMIT_SECONDS):
-            answer = await process.ask("POST", "/p/1", self.scored_batch(scorer), request_id="b1")
-            self.assertEqual(answer.status, 202)
+            response = await process.ask("POST", "/p/1", self.scored_batch(scorer), request_id="b1")
+            self.assertEqual(response.status, 202)
             page: dict[str, list[dict[str, object]]] = {"results": []}
             while not page["results"]:
                 page = json.loads((await process.ask("GET", "/lots/b1?sinceRev=0")).body)
             (call,) = self.workers.runs_of("score-1")
             self.assertEqual(page["results"][0]["score"], call.stamp)
 
-    async def test_a_batch_job_with_a_broken_scorer_is_refused_for_good(self) -> None:
+    async def test_a_batch_job_with_an_invalid_scorer_is_rejected(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
-        sound = {"id": "score-1", "host": HOST, "path": "/l/score", "body": ""}
+        valid = {"id": "score-1", "host": HOST, "path": "/l/score", "body": ""}
         async with asyncio.timeout(LIMIT_SECONDS):
-            for broken in ({"id": ""}, {"host": ""}, {"path": "l"}, {"body": "%"}, {"id": 7}):
-                body = self.scored_batch({**sound, **broken})
-                answer = await process.ask("POST", "/p/1", body, request_id="b1")
-                self.assertEqual(answer.status, 400)
+            for invalid in ({"id": ""}, {"host": ""}, {"path": "l"}, {"body": "%"}, {"id": 7}):
+                body = self.scored_batch({**valid, **invalid})
+                response = await process.ask("POST", "/p/1", body, request_id="b1")
+                self.assertEqual(response.status, 400)
             self.assertEqual((await process.ask("GET", "/lots/b1?sinceRev=0")).status, 404)
             self.assertEqual(self.workers.runs, [])
 
