--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""The soak's checks find each broken promise; its faults and proxy do what they say."""
+"""Tests of the soak's checks, its fault plan and its suspendable clock."""
 
 import time
 import unittest
@@ -7,7 +7,7 @@
 from drumbay_soak.checks import check
 from drumbay_soak.fault_plan import (
     CRASHING_KINDS,
-    QUIET_END_SECONDS,
+    FAULT_FREE_END_SECONDS,
     Fault,
     FaultKind,
     FaultSchedule,
@@ -25,7 +25,7 @@
     RemovedKeyProbe,
 )
 from drumbay_soak.main import read_regressions
-from drumbay_soak.suspendable import SteadyClock
+from drumbay_soak.suspendable import SuspendableClock
 
 from drumbay.batches.records import ItemId, ItemResult, ResultState, Reward
 from drumbay.duties.interface import DutyToken, UsageReport
@@ -35,7 +35,7 @@
 from drumbay.tenants.records import TenantName
 from drumbay.workers.records import LoadMode, LoadOrder, OrderOutcome
 
-LIMIT_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 STARTED_AT = 1_000.0
 VERSION = WeightVersion(3)
 
@@ -52,7 +52,7 @@
 
 
 def call(request_id: str, status: int | None = 200, **changes: object) -> ClientCall:
-    made = ClientCall(
+    client_call = ClientCall(
         request_id=request_id,
         node=0,
         boot=1,
@@ -61,12 +61,12 @@
         may_repeat=False,
         body=b"body",
         status=status,
-        answer=b"body",
-        answered_id=request_id,
+        response_body=b"body",
+        response_id=request_id,
     )
     for name, value in changes.items():
-        setattr(made, name, value)
-    return made
+        setattr(client_call, name, value)
+    return client_call
 
 
 def result(item_id: str = "i", text: str = "text", version: int = VERSION) -> ItemResult:
@@ -94,7 +94,7 @@
     )
 
 
-def batch(*reads: BatchRead, final: tuple[ItemResult, ...] | None = None) -> BatchHistory:
+def batch(*reads: BatchRead, final_results: tuple[ItemResult, ...] | None = None) -> BatchHistory:
     return BatchHistory(
         batch_id="b",
         item_ids=("i",),
@@ -102,7 +102,7 @@
         attempts=3,
         accepted_at=STARTED_AT,
         reads=list(reads),
-        final=final,
+        final_results=final_results,
     )
 
 
@@ -111,71 +111,71 @@
 
 
 def fault(kind: FaultKind, at: float, target: int = 0) -> Fault:
-    return Fault(at_seconds=at, kind=kind, target=target, for_seconds=1.0)
+    return Fault(start_seconds=at, kind=kind, target=target, duration_seconds=1.0)
 
 
 class ChecksTest(unittest.TestCase):
     def history(self, *faults: Fault) -> History:
         return History(started_at=STARTED_AT, faults=faults)
 
-    def check_broken(self, history: History, promise: str) -> None:
+    def assert_only_violation(self, history: History, promise: str) -> None:
         self.assertEqual([found.promise for found in check(history)], [promise])
 
-    def test_a_sound_history_breaks_nothing(self) -> None:
+    def test_a_valid_history_has_no_violations(self) -> None:
         history = self.history()
         history.calls = [call("a"), call("b", 503)]
         history.runs = [run("a"), run("i")]
-        history.texts = {"i": "text"}
-        history.batches = [batch(read(result()), final=(result(),))]
+        history.expected_texts = {"i": "text"}
+        history.batches = [batch(read(result()), final_results=(result(),))]
         history.configurations = [AcceptedConfiguration(version=1, accepted_at=STARTED_AT)]
         history.probes = [self.probe(0.5, is_served=False), self.probe(1.5, is_served=True)]
         history.orders = [order("n1", 5, 0.0), order("n1", 5, 1.0), order("n2", 9, 4.1)]
         self.assertEqual(check(history), ())
 
-    def test_an_answer_of_another_request(self) -> None:
+    def test_a_response_of_another_request(self) -> None:
         history = self.history()
-        history.calls = [call("a", answered_id="b")]
-        self.check_broken(history, "whole_answers")
-        history.calls = [call("a", answer=b"bod")]
-        self.check_broken(history, "whole_answers")
+        history.calls = [call("a", response_id="b")]
+        self.assert_only_violation(history, "whole_answers")
+        history.calls = [call("a", response_body=b"bod")]
+        self.assert_only_violation(history, "whole_answers")
 
     def test_a_refused_request_that_ran(self) -> None:
         history = self.history()
         history.calls, history.runs = [call("a", 503)], [run("a")]
-        self.check_broken(history, "refused_not_run")
+        self.assert_only_violation(history, "refused_not_run")
 
     def test_a_request_that_ran_twice(self) -> None:
         history = self.history()
         history.calls, history.runs = [call("a")], [run("a"), run("a")]
-        self.check_broken(history, "at_most_once")
+        self.assert_only_violation(history, "at_most_once")
         history.calls[0].may_repeat = True
         self.assertEqual(check(history), ())
 
-    def test_a_position_that_changed(self) -> None:
+    def test_a_result_position_that_changed(self) -> None:
         history = self.history()
         other = result(text="other")
-        history.runs, history.texts = [run("i")], {"i": "other"}
-        history.batches = [batch(read(result()), read(other), final=(other,))]
+        history.runs, history.expected_texts = [run("i")], {"i": "other"}
+        history.batches = [batch(read(result()), read(other), final_results=(other,))]
         promises = [found.promise for found in check(history)]
         self.assertEqual(promises, ["stable_positions", "nothing_lost"])
 
-    def test_a_batch_job_that_is_gone_or_not_whole(self) -> None:
+    def test_a_batch_job_that_is_missing_or_incomplete(self) -> None:
         history = self.history()
         history.batches = [batch()]
-        self.check_broken(history, "nothing_lost")
-        history.batches = [batch(final=())]
-        self.check_broken(history, "nothing_lost")
+        self.assert_only_violation(history, "nothing_lost")
+        history.batches = [batch(final_results=())]
+        self.assert_only_violation(history, "nothing_lost")
 
-    def test_a_text_that_is_not_whole_or_has_wrong_versions(self) -> None:
+    def test_a_text_that_is_incomplete_or_has_wrong_versions(self) -> None:
         for found in (result(text="te"), result(version=1), result(version=7)):
             history = self.history()
-            history.runs, history.texts = [run("i")], {"i": "text"}
-            history.batches = [batch(final=(found,))]
-            self.check_broken(history, "true_results")
+            history.runs, history.expected_texts = [run("i")], {"i": "text"}
+            history.batches = [batch(final_results=(found,))]
+            self.assert_only_violation(history, "true_results")
 
-    def test_a_score_that_is_missing_or_was_asked_for_too_early(self) -> None:
+    def test_a_score_that_is_missing_or_was_requested_too_early(self) -> None:
         history = self.history()
-        history.texts = {"i": "text"}
+        history.expected_texts = {"i": "text"}
         early, late = run("score-i", at=0.0), run("score-i", at=9.0)
         whole = run("i")
         whole.ended_at = STARTED_AT + 5.0
@@ -188,7 +188,7 @@
         ):
             reward = Reward(request_id="score-i", stamp=stamp) if stamp is not None else None
             found = msgspec.structs.replace(result(), reward=reward)
-            scored = batch(final=(found,))
+            scored = batch(final_results=(found,))
             scored.reward_ids = {"i": "score-i"}
             history.batches = [scored]
             promises = [violation.promise for violation in check(history)]
@@ -197,24 +197,24 @@
             promises = [violation.promise for violation in check(history)]
             self.assertEqual(promises, ["true_scores"] if stamp is not None else [])
 
-    def test_an_item_given_up_without_reason(self) -> None:
+    def test_an_item_that_failed_without_reason(self) -> None:
         dead = ItemResult(item_id=ItemId("i"), state=ResultState.DEAD)
         history = self.history()
-        history.batches = [batch(final=(dead,))]
-        self.check_broken(history, "true_results")
+        history.batches = [batch(final_results=(dead,))]
+        self.assert_only_violation(history, "true_results")
         history.runs = [run("i", events=0)] * 3
         self.assertEqual(check(history), ())
         history.runs = [run("score-i", events=0)] * 3
-        self.check_broken(history, "true_results")
+        self.assert_only_violation(history, "true_results")
         history.batches[0].reward_ids = {"i": "score-i"}
         self.assertEqual(check(history), ())
 
-    def test_an_item_that_starts_after_the_end(self) -> None:
+    def test_an_item_that_starts_after_its_batch_job_ended(self) -> None:
         history = self.history()
-        ended = batch(final=())
+        ended = batch(final_results=())
         ended.ended_at = STARTED_AT + 5.0
         history.batches, history.runs = [ended], [run("i", at=8.5)]
-        self.check_broken(history, "ended_stays_ended")
+        self.assert_only_violation(history, "ended_stays_ended")
 
     @staticmethod
     def probe(at: float, *, is_served: bool, boot: int = 1) -> ConfigurationProbe:
@@ -226,37 +226,37 @@
         history = self.history()
         history.configurations = [AcceptedConfiguration(version=1, accepted_at=STARTED_AT)]
         history.probes = [self.probe(2.5, is_served=False)]
-        self.check_broken(history, "configuration_in_force")
-        calm = msg_replace(history, (fault(FaultKind.STORE_DOWN, 1.0),))
-        self.assertEqual(check(calm), ())
+        self.assert_only_violation(history, "configuration_in_force")
+        during_fault = with_faults(history, (fault(FaultKind.STORE_DOWN, 1.0),))
+        self.assertEqual(check(during_fault), ())
 
     def test_a_configuration_that_reverts(self) -> None:
         history = self.history()
         history.probes = [self.probe(1.0, is_served=True), self.probe(1.4, is_served=False)]
-        self.check_broken(history, "configuration_never_reverts")
+        self.assert_only_violation(history, "configuration_never_reverts")
         history.probes[1] = self.probe(1.4, is_served=False, boot=2)
         self.assertEqual(check(history), ())
 
-    def test_a_worker_that_is_told_another_tenant(self) -> None:
+    def test_a_run_for_the_wrong_tenant(self) -> None:
         history = self.history()
         history.tenant = TenantName("t")
-        told, untold, reward = run("a"), run("b"), run("score-i")
-        told.tenant = history.tenant
-        history.runs = [told]
+        right_tenant, no_tenant, reward = run("a"), run("b"), run("score-i")
+        right_tenant.tenant = history.tenant
+        history.runs = [right_tenant]
         self.assertEqual(check(history), ())
-        history.runs = [told, untold]
-        self.check_broken(history, "tenants_are_told")
-        scored = batch(final=())
+        history.runs = [right_tenant, no_tenant]
+        self.assert_only_violation(history, "tenants_are_told")
+        scored = batch(final_results=())
         scored.accepted_at = None
         scored.reward_ids = {"i": "score-i"}
-        history.runs, history.batches = [told, reward], [scored]
+        history.runs, history.batches = [right_tenant, reward], [scored]
         self.assertEqual(check(history), ())
 
-    def test_a_removed_key_that_is_still_taken(self) -> None:
+    def test_a_removed_key_that_is_still_accepted(self) -> None:
         history = self.history()
         history.configurations = [AcceptedConfiguration(version=2, accepted_at=STARTED_AT)]
         for at, status, is_broken in ((1.9, 200, False), (2.1, 200, True), (2.1, 401, False)):
-            history.removed_keys = [
+            history.removed_key_probes = [
                 RemovedKeyProbe(node=0, version=2, sent_at=STARTED_AT + at, status=status)
             ]
             expected = ["removed_keys_are_refused"] if is_broken else []
@@ -273,44 +273,44 @@
         history.duty_calls = [self.duty_call("n1", 5), self.duty_call("n1", 5)]
         self.assertEqual(check(history), ())
         history.duty_calls.append(self.duty_call("n1", 5, count=2))
-        self.check_broken(history, "one_report_a_window")
+        self.assert_only_violation(history, "one_report_a_window")
 
     def test_two_holders_of_a_duty(self) -> None:
         history = self.history()
         history.duty_calls = [self.duty_call("n1", 5), self.duty_call("n2", 6)]
         self.assertEqual(check(history), ())
         history.duty_calls.append(self.duty_call("n1", 5))
-        self.check_broken(history, "duties_in_turn")
+        self.assert_only_violation(history, "duties_in_turn")
         history.duty_calls = [self.duty_call("n1", 5), self.duty_call("n2", 5)]
-        self.check_broken(history, "duties_in_turn")
+        self.assert_only_violation(history, "duties_in_turn")
 
-    def test_two_holders(self) -> None:
+    def test_two_holders_of_worker_orders(self) -> None:
         history = self.history()
         history.orders = [order("n1", 5, 0.0), order("n2", 9, 1.0)]
-        self.check_broken(history, "orders_in_turn")
+        self.assert_only_violation(history, "orders_in_turn")
         history.orders = [order("n1", 5, 0.0), order("n2", 5, 4.0)]
-        self.check_broken(history, "orders_in_turn")
+        self.assert_only_violation(history, "orders_in_turn")
 
     def test_a_stop_that_cuts_a_request_off(self) -> None:
         history = self.history(fault(FaultKind.NODE_STOPPED, 0.5))
         history.calls = [call("a", None)]
-        self.check_broken(history, "stop_cuts_nothing")
+        self.assert_only_violation(history, "stop_cuts_nothing")
         history.calls[0].is_sent = False
         self.assertEqual(check(history), ())
         history.calls[0].is_sent = True
-        killed = msg_replace(history, (fault(FaultKind.NODE_KILLED, 0.5),))
+        killed = with_faults(history, (fault(FaultKind.NODE_KILLED, 0.5),))
         self.assertEqual(check(killed), ())
 
-    def test_a_request_that_crosses_the_end_of_a_kept_connection_is_not_cut_off(self) -> None:
+    def test_a_request_that_races_with_a_connection_close_is_not_cut_off(self) -> None:
         history = self.history(fault(FaultKind.NODE_STOPPED, 10.0))
         times = {"sent_at": STARTED_AT + 11.0, "ended_at": STARTED_AT + 11.1}
         history.calls = [call("a", None, is_reused=True, **times)]
         self.assertEqual(check(history), ())
         history.runs = [run("a", 11.05)]
-        self.check_broken(history, "stop_cuts_nothing")
+        self.assert_only_violation(history, "stop_cuts_nothing")
         history.runs = []
         history.calls = [call("a", None, is_reused=True, **times | {"sent_at": STARTED_AT + 10.5})]
-        self.check_broken(history, "stop_cuts_nothing")
+        self.assert_only_violation(history, "stop_cuts_nothing")
 
     def test_lookups_that_are_lost_while_connections_are_silent(self) -> None:
         history = self.history(fault(FaultKind.CONNECTIONS_SILENT, 0.5))
@@ -318,81 +318,81 @@
         self.assertEqual(check(history), ())
         for lost in history.calls[:2]:
             lost.status = 504
-        self.check_broken(history, "lookups_are_served")
+        self.assert_only_violation(history, "lookups_are_served")
         history.faults = (fault(FaultKind.WORKER_FULL, 0.5),)
         self.assertEqual(check(history), ())
 
-    def test_lookups_that_are_lost_beside_a_crowd(self) -> None:
+    def test_lookups_that_are_lost_during_a_crowd(self) -> None:
         history = self.history(fault(FaultKind.LOOKUP_CROWD, 0.5))
         history.calls = [call(str(n), may_repeat=True) for n in range(100)]
         history.crowd_calls = [call(f"crowd-{n}", 503, may_repeat=True) for n in range(100)]
         self.assertEqual(check(history), ())
         for lost in history.calls[:2]:
             lost.status = 503
-        self.check_broken(history, "lookups_are_served")
+        self.assert_only_violation(history, "lookups_are_served")
 
-    def test_a_crowd_that_is_told_to_workers_as_another_tenant(self) -> None:
+    def test_a_crowd_that_runs_for_the_wrong_tenant(self) -> None:
         history = self.history(fault(FaultKind.LOOKUP_CROWD, 0.5))
         history.tenant, history.crowd_tenant = TenantName("t"), TenantName("crowd")
         history.crowd_calls = [call("c", may_repeat=True)]
-        told = run("c")
-        told.tenant = TenantName("crowd")
-        history.runs = [told]
+        logged = run("c")
+        logged.tenant = TenantName("crowd")
+        history.runs = [logged]
         self.assertEqual(check(history), ())
-        told.tenant = TenantName("t")
-        self.check_broken(history, "tenants_are_told")
+        logged.tenant = TenantName("t")
+        self.assert_only_violation(history, "tenants_are_told")
 
     def test_lookups_that_are_late(self) -> None:
         history = self.history()
         history.calls = [call(str(n), may_repeat=True) for n in range(100)]
         for late in history.calls[:4]:
             late.ended_at = late.sent_at + 1.5
-        self.check_broken(history, "lookups_are_served")
+        self.assert_only_violation(history, "lookups_are_served")
 
     def test_a_step_that_is_late_while_connections_are_silent(self) -> None:
-        found = batch(read(result()), final=(result(),))
+        found = batch(read(result()), final_results=(result(),))
         found.ended_at = STARTED_AT + 12.0
         history = self.history(fault(FaultKind.CONNECTIONS_SILENT, 0.5))
         history.runs = [run("i")]
-        history.texts = {"i": "text"}
+        history.expected_texts = {"i": "text"}
         history.batches = [found]
-        self.check_broken(history, "steps_are_whole_in_time")
-        found.whole_at = STARTED_AT + 7.0
-        self.check_broken(history, "steps_are_whole_in_time")
-        found.whole_at = STARTED_AT + 2.0
+        self.assert_only_violation(history, "steps_are_whole_in_time")
+        found.completed_at = STARTED_AT + 7.0
+        self.assert_only_violation(history, "steps_are_whole_in_time")
+        found.completed_at = STARTED_AT + 2.0
         self.assertEqual(check(history), ())
 
     def crashing_history(self, kind: FaultKind, starts: list[float]) -> History:
-        """Return one in which each run of a request ends its worker after 0.05 s."""
+        """Return a history in which each run of a request crashes its worker after 0.05 s."""
         history = self.history(fault(kind, 0.0))
         calls = [call(f"c{n}", None) for n in range(len(starts))]
         is_call = kind in (FaultKind.CRASHING_LOOKUP, FaultKind.CRASHING_BOOKING)
-        history.crashing = [
+        history.crashing_requests = [
             CrashingRequest(
                 kind=kind,
-                request_ids={made.request_id for made in calls},
+                request_ids={client_call.request_id for client_call in calls},
                 calls=calls if is_call else [],
             )
         ]
-        for made, at in zip(calls, starts, strict=True):
-            logged = run(made.request_id, at)
-            logged.worker_id = BackendId(f"w-{made.request_id}")
+        for client_call, at in zip(calls, starts, strict=True):
+            logged = run(client_call.request_id, at)
+            logged.worker_id = BackendId(f"w-{client_call.request_id}")
             history.runs.append(logged)
             history.crashes.append(
                 LoggedCrash(worker_id=logged.worker_id, at=logged.started_at + 0.05)
             )
         return history
 
-    def test_a_request_that_goes_on_crashing_workers(self) -> None:
+    def test_a_request_that_keeps_crashing_workers(self) -> None:
         for kind in sorted(CRASHING_KINDS):
-            few = [1.0, 1.1, 1.2, 2.0, 3.0, 10.0, 20.0, 30.0]
-            self.assertEqual(check(self.crashing_history(kind, few)), ())
-            history = self.crashing_history(kind, [*few, 40.0])
-            self.check_broken(history, "crashing_requests_are_held_back")
-
-    def test_one_that_goes_on_crashing_a_worker_which_starts_again_under_its_id(self) -> None:
-        few = [1.0, 4.0, 7.0, 8.0, 9.0, 12.0, 20.0, 30.0]
-        for starts, is_broken in ((few, False), ([*few, 40.0], True)):
+            allowed = [1.0, 1.1, 1.2, 2.0, 3.0, 10.0, 20.0, 30.0]
+            self.assertEqual(check(self.crashing_history(kind, allowed)), ())
+            history = self.crashing_history(kind, [*allowed, 40.0])
+            self.assert_only_violation(history, "crashing_requests_are_held_back")
+
+    def test_a_request_that_keeps_crashing_a_worker_that_keeps_its_id(self) -> None:
+        allowed = [1.0, 4.0, 7.0, 8.0, 9.0, 12.0, 20.0, 30.0]
+        for starts, is_broken in ((allowed, False), ([*allowed, 40.0], True)):
             history = self.crashing_history(FaultKind.CRASHING_LOOKUP, starts)
             for number, logged in enumerate(history.runs):
                 logged.worker_id = BackendId("w")
@@ -407,15 +407,15 @@
             ]
             self.assertEqual(bool(check(history)), is_broken)
 
-    def test_lookups_of_others_that_are_lost_beside_a_crashing_request(self) -> None:
+    def test_other_lookups_that_are_lost_during_a_crashing_request(self) -> None:
         history = self.crashing_history(FaultKind.CRASHING_LOOKUP, [1.0])
         history.calls = [call(f"r{n}", 200 if n % 50 else 502, may_repeat=True) for n in range(100)]
-        self.check_broken(history, "lookups_are_served")
+        self.assert_only_violation(history, "lookups_are_served")
 
-    def test_lookups_beside_two_crashing_requests_have_a_bound_too(self) -> None:
+    def test_lookups_during_two_crashing_requests_have_a_lower_limit(self) -> None:
         for lost, is_broken in ((5, False), (15, True)):
             history = self.crashing_history(FaultKind.CRASHING_LOOKUP, [1.0])
-            history.crashing.append(CrashingRequest(kind=FaultKind.CRASHING_REWARD))
+            history.crashing_requests.append(CrashingRequest(kind=FaultKind.CRASHING_REWARD))
             history.calls = [
                 call(f"r{n}", 502 if n < lost else 200, may_repeat=True) for n in range(100)
             ]
@@ -424,29 +424,29 @@
     def test_a_fault_lasts_until_what_it_did_has_ended(self) -> None:
         stop = fault(FaultKind.NODES_RESTARTED, 1.0)
         history = self.history(stop)
-        self.assertTrue(history.is_calm(STARTED_AT + 3.0, STARTED_AT + 4.0))
-        history.ended_at[stop] = STARTED_AT + 3.5
-        self.assertFalse(history.is_calm(STARTED_AT + 3.0, STARTED_AT + 4.0))
-        self.assertTrue(history.is_calm(STARTED_AT + 3.6, STARTED_AT + 4.0))
+        self.assertTrue(history.is_fault_free(STARTED_AT + 3.0, STARTED_AT + 4.0))
+        history.fault_ended_at[stop] = STARTED_AT + 3.5
+        self.assertFalse(history.is_fault_free(STARTED_AT + 3.0, STARTED_AT + 4.0))
+        self.assertTrue(history.is_fault_free(STARTED_AT + 3.6, STARTED_AT + 4.0))
 
     def test_a_crashing_request_that_ran_and_was_refused(self) -> None:
         history = self.crashing_history(FaultKind.CRASHING_BOOKING, [1.0])
-        history.crashing[0].calls[0].status = 503
-        self.check_broken(history, "crashing_requests_are_told_the_truth")
+        history.crashing_requests[0].calls[0].status = 503
+        self.assert_only_violation(history, "crashing_requests_are_told_the_truth")
 
     def test_a_crashing_booking_that_ran_twice(self) -> None:
         history = self.crashing_history(FaultKind.CRASHING_BOOKING, [1.0])
         history.runs.append(run("c0", 2.0))
-        self.check_broken(history, "crashing_requests_are_told_the_truth")
+        self.assert_only_violation(history, "crashing_requests_are_told_the_truth")
 
-    def test_a_process_that_ends_by_itself(self) -> None:
+    def test_a_process_that_exits_unexpectedly(self) -> None:
         history = self.history()
-        history.exits = [ProcessExit(node=1, at=STARTED_AT, code=1)]
-        self.check_broken(history, "processes_stay")
+        history.unexpected_exits = [ProcessExit(node=1, at=STARTED_AT, code=1)]
+        self.assert_only_violation(history, "processes_stay")
 
 
-def msg_replace(history: History, faults: tuple[Fault, ...]) -> History:
-    """Return a history of the same sights under other faults."""
+def with_faults(history: History, faults: tuple[Fault, ...]) -> History:
+    """Return a history with the same observations and other faults."""
     return History(
         started_at=history.started_at,
         faults=faults,
@@ -467,7 +467,7 @@
         self.assertNotEqual(draw(5), draw(6))
         drawn = [found for seed in range(200) for found in draw(seed)]
         self.assertEqual({found.kind for found in drawn}, set(FaultKind))
-        self.assertLess(max(found.at_seconds for found in drawn), 120.0 - QUIET_END_SECONDS)
+        self.assertLess(max(found.start_seconds for found in drawn), 120.0 - FAULT_FREE_END_SECONDS)
 
     def test_workers_keep_their_ids_in_about_half_of_the_runs_and_nothing_else_changes(
         self,
@@ -490,14 +490,14 @@
             self.assertTrue(regression.cause)
 
 
-class SteadyClockTest(unittest.TestCase):
-    def test_it_stands_still_from_its_stop_on_and_then_goes_on(self) -> None:
-        clock = SteadyClock()
+class SuspendableClockTest(unittest.TestCase):
+    def test_it_stops_and_resumes(self) -> None:
+        clock = SuspendableClock()
         clock.stop(0, None)
         stopped_at = clock.monotonic()
         time.sleep(0.05)
         self.assertEqual(clock.monotonic(), stopped_at)
-        clock.go_on(0, None)
+        clock.resume(0, None)
         self.assertAlmostEqual(clock.monotonic(), stopped_at, delta=0.04)
 
 
--- a/tests/test_soak_processes.py
+++ b/tests/test_soak_processes.py
@@ -1,4 +1,4 @@
-"""What the soak is made of: addresses, programs that can be suspended, and faulty proxies."""
+"""Tests of the soak's parts: addresses, suspendable processes and faulty proxies."""
 
 import asyncio
 import signal
@@ -13,7 +13,7 @@
 from drumbay.comm.http_exchange import NetworkAddress
 from drumbay.standins.free_addresses import free_address, own_host
 
-LIMIT_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
 class AddressTest(unittest.TestCase):
@@ -22,13 +22,7 @@
         self.assertEqual(len(set(addresses)), len(addresses))
 
     def test_connections_do_not_go_out_from_the_host_of_given_addresses(self) -> None:
-        """A connection that went out from there could take a port before its process has it.
-
-        With ports of 127.0.0.1 that are free for a moment, one of 22 plays of the test of real
-        processes ended with ``OSError: [Errno 98] Address already in use`` in
-        ``bind_sockets``, and one of 32 with ``Connection reset by peer`` from a process of
-        another play.
-        """
+        """Guards against an outgoing connection that takes a port before its process binds it."""
         with (
             socket.create_server((own_host(), 0)) as server,
             socket.create_connection(server.getsockname()) as connection,
@@ -43,10 +37,9 @@
 
 class SuspensionTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_suspension_does_not_end_a_program_that_is_being_loaded(self) -> None:
-        """Seed 12025 beside a busy machine: ``node 3 ended by itself with code -10``.
+        """Guards against SIGUSR1 during imports, before its handler is installed.
 
-        The signal that stops a program's steady clock came before the program, loaded slowly,
-        had set its handler; the system's own action ends a process.
+        The default action of SIGUSR1 would end the process.
         """
         with tempfile.TemporaryDirectory() as folder:
             addresses = NodeAddresses(
@@ -59,7 +52,7 @@
             await node.start()
             try:
                 for _ in range(5):
-                    await node.stop_steady_clock()
+                    await node.stop_monotonic_clock()
                 self.assertIsNone(node.exit_code)
             finally:
                 await node.stop(signal.SIGKILL)
@@ -89,10 +82,10 @@
     async def exchange(self) -> bytes:
         reader, writer = await self.open()
         writer.write(b"x")
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             return await reader.read(1)
 
-    async def test_bytes_pass_with_and_without_a_delay(self) -> None:
+    async def test_data_is_forwarded_with_and_without_a_delay(self) -> None:
         for mode in (ProxyMode.PASS, ProxyMode.DELAY):
             self.proxy.set_mode(mode)
             self.assertEqual(await self.exchange(), b"x")
@@ -100,14 +93,14 @@
     async def test_a_reset_ends_connections_with_an_error(self) -> None:
         reader, writer = await self.open()
         writer.write(b"x")
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             self.assertEqual(await reader.read(1), b"x")
             self.proxy.set_mode(ProxyMode.RESET)
             with self.assertRaises(ConnectionError):
                 while await reader.read(1):
                     pass
 
-    async def test_what_a_silent_proxy_holds_passes_after_it(self) -> None:
+    async def test_data_held_by_a_silent_proxy_is_forwarded_afterwards(self) -> None:
         self.proxy.set_mode(ProxyMode.SILENT)
         waiting = asyncio.create_task(self.exchange())
         for _ in range(20):
@@ -117,10 +110,10 @@
         self.proxy.set_mode(ProxyMode.PASS)
         self.assertEqual(await waiting, b"x")
 
-    async def test_open_connections_fall_silent_for_good_and_new_ones_work(self) -> None:
+    async def test_silenced_connections_stay_silent_and_new_ones_work(self) -> None:
         reader, writer = await self.open()
         writer.write(b"x")
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             self.assertEqual(await reader.read(1), b"x")
             self.received.get_nowait()
             self.proxy.silence_open()
@@ -130,10 +123,10 @@
                 self.assertEqual(self.received.get_nowait(), b"x")
         self.assertTrue(self.received.empty())
 
-    async def test_one_way_lets_requests_pass_and_holds_answers(self) -> None:
+    async def test_one_way_forwards_requests_and_holds_responses(self) -> None:
         self.proxy.set_mode(ProxyMode.ONE_WAY)
         waiting = asyncio.create_task(self.exchange())
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             self.assertEqual(await self.received.get(), b"x")
         self.assertFalse(waiting.done())
         self.proxy.set_mode(ProxyMode.PASS)
