--- a/drumbay/ownership/leader.py
+++ b/drumbay/ownership/leader.py
@@ -1,9 +1,9 @@
-"""One leader among the nodes: a key under a lease, whose revision is the fence.
+"""Leader election: the leader holds a key under a lease, and the key's revision is its fence.
 
-Every machine counts as one holder. Where workers do not check fences, a machine that takes over
-from another stays quiet for a while, so that no two holders give orders in turns. Where they do,
-an order of the machine before is refused, and it is enough to leave each worker alone that the
-machine before has lately given an order.
+A process that restarts on the same machine counts as the same leader. If workers do not check
+fences, a leader on another machine delays its first orders, so that the orders of two machines do
+not interleave. If workers do check fences, they reject orders of the previous leader, and a new
+leader only has to avoid workers that recently received one.
 """
 
 import asyncio
@@ -30,21 +30,21 @@
 LAST_KEY = f"{PREFIX}last"
 RENEWALS_PER_LEASE = 2
 RENEWAL_RETRY_SECONDS = 0.1
-SAFETY_SHARE = 0.2
-"""The leader counts its lease as over when this share of it is left."""
+SAFETY_MARGIN_FRACTION = 0.2
+"""The leader stops acting when this fraction of its lease is left."""
 
-FIRST_RETRY_SECONDS = 0.4
-LONGEST_RETRY_SECONDS = 3.0
-"""While the service is away, each try of each candidate is a priced call, and up to two more by
-other nodes. A candidate tries at once when its heartbeat tells that the service is back."""
+INITIAL_RETRY_SECONDS = 0.4
+MAX_RETRY_SECONDS = 3.0
+"""Limits the rate of calls while the service is unavailable. A candidate retries immediately when
+its heartbeat reports that the service has recovered."""
 
 JITTER_SECONDS = 0.5
-WATCH_LIMIT_SECONDS = 60.0
+MAX_WATCH_SECONDS = 60.0
 CANDIDACY_CHECK_SECONDS = 0.1
 
 
 class LeaderRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Who leads: the machine and the boot of its process."""
+    """The leader: its machine and the boot identity of its process."""
 
     machine: str
     boot: str
@@ -54,8 +54,8 @@
 _decoder = msgspec.msgpack.Decoder(LeaderRecord)
 
 
-class _Seen(msgspec.Struct, frozen=True, kw_only=True):
-    """The leader's keys as last read."""
+class _LeaderKeys(msgspec.Struct, frozen=True, kw_only=True):
+    """The leader keys as last read."""
 
     current: LeaderRecord | None
     current_revision: Revision
@@ -64,12 +64,12 @@
 
 
 class LeadPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """Times of the lead.
+    """Timing of leadership.
 
     Attributes:
-        lease_seconds: How long the leader's key stays without a renewal.
-        turn_seconds: Orders of two machines to one worker lie at least so far apart.
-        quiet_seconds: How long a leader that follows another machine gives no order at all.
+        lease_seconds: Time to live of the leader's lease without a renewal.
+        turn_seconds: Minimum time between orders of two machines to one worker.
+        quiet_seconds: How long a leader that follows another machine gives no orders.
     """
 
     lease_seconds: float = 2.0
@@ -78,7 +78,7 @@
 
 
 class LeaderElection:
-    """Campaigns for the lead, and says whether this node may give orders."""
+    """Campaigns for leadership, and reports whether this node may give orders."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         generator: random.Random,
         policy: LeadPolicy,
         is_candidate: Callable[[], bool],
-        returned: ReturnSignal | None = None,
+        recovery_signal: ReturnSignal | None = None,
     ) -> None:
         """Create a node that does not lead.
 
@@ -97,13 +97,13 @@
             store: The key-value service.
             record: This node.
             generator: Source of random delays.
-            policy: Times of the lead.
-            is_candidate: Returns whether this node is to campaign.
-            returned: Tells that the service answers this node again.
+            policy: Timing of leadership.
+            is_candidate: Returns whether this node should campaign.
+            recovery_signal: Signals that the service has recovered.
         """
-        self._returned = returned or ReturnSignal()
+        self._recovery_signal = recovery_signal or ReturnSignal()
         self._backoff = Backoff(
-            generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=LONGEST_RETRY_SECONDS
+            generator, first_seconds=INITIAL_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS
         )
         self._clock = clock
         self._store = store
@@ -113,33 +113,33 @@
         self._is_candidate = is_candidate
         self._fence: Fence | None = None
         self._valid_until = float("-inf")
-        self._quiet_until = float("-inf")
+        self._orders_from = float("-inf")
         self._duties_from = float("-inf")
-        self._is_noted = False
+        self._is_recorded_as_last = False
         self._lease_id: int | None = None
 
     def fence(self, now: float) -> Fence | None:
-        """Return the fence for orders given now; ``None`` if this node must not give any."""
-        has_turn = self._is_noted or not self._policy.quiet_seconds
-        if has_turn and self._quiet_until <= now < self._valid_until:
+        """Return the fence for orders; ``None`` if this node must not give orders now."""
+        may_act = self._is_recorded_as_last or not self._policy.quiet_seconds
+        if may_act and self._orders_from <= now < self._valid_until:
             return self._fence
         return None
 
     def duty_fence(self, now: float) -> Fence | None:
-        """Return the fence for a call to the platform; ``None`` if this node must make none.
+        """Return the fence for calls to the platform; ``None`` if this node must not make any now.
 
-        A leader that follows another machine makes none for a turn: the calls of two machines
-        must not come in turns, also where the platform refuses older fences.
+        A leader that follows another machine waits for ``turn_seconds``: the calls of two machines
+        must not interleave, even if the platform rejects older fences.
         """
-        has_turn = self._is_noted and now >= self._duties_from
-        return self.fence(now) if has_turn else None
+        may_act = self._is_recorded_as_last and now >= self._duties_from
+        return self.fence(now) if may_act else None
 
     def guard(self, fence: Fence) -> ModRevisionIs:
-        """Return the comparison that holds while no other node has been elected since."""
+        """Return the comparison that succeeds while no other node was elected since."""
         return ModRevisionIs(key=CURRENT_KEY, mod_revision=Revision(fence))
 
     def step_down(self, reason: str) -> None:
-        """Lead no more, since a newer fence was seen."""
+        """Stop leading because a newer fence was seen."""
         log_event("leader_stepped_down", level="WARNING", reason=reason, fence=self._fence)
         self._valid_until = float("-inf")
 
@@ -158,10 +158,10 @@
                     await self._wait_for_change(seen)
             except KeyValueError as error:
                 log_event("leader_election_failed", level="DEBUG", error=error.code)
-                await self._returned.wait(self._clock, self._backoff.next_delay_seconds())
+                await self._recovery_signal.wait(self._clock, self._backoff.next_delay_seconds())
 
     async def resign(self) -> None:
-        """Give up the lead, so that a successor need not wait for the lease."""
+        """Give up leadership, so that a successor need not wait for the lease to expire."""
         self._valid_until = float("-inf")
         if self._lease_id is None:
             return
@@ -170,25 +170,25 @@
         except KeyValueError as error:
             log_event("leader_resign_failed", level="WARNING", error=error.code)
 
-    async def _read(self) -> _Seen:
-        found = await self._store.range_prefix(PREFIX)
-        items = {item.key: item for item in found.items}
+    async def _read(self) -> _LeaderKeys:
+        response = await self._store.range_prefix(PREFIX)
+        items = {item.key: item for item in response.items}
         current = items.get(CURRENT_KEY)
         last = items.get(LAST_KEY)
-        return _Seen(
+        return _LeaderKeys(
             current=_decoder.decode(current.value) if current else None,
             current_revision=current.mod_revision if current else Revision(0),
             last=_decoder.decode(last.value) if last else None,
-            revision=found.revision,
+            revision=response.revision,
         )
 
-    async def _campaign(self, seen: _Seen) -> None:
+    async def _campaign(self, seen: _LeaderKeys) -> None:
         started_at = self._clock.monotonic()
         lease = await self._store.grant_lease(self._policy.lease_seconds)
         value = _encoder.encode(self._record)
-        is_successor = seen.last is not None and seen.last.machine != self._record.machine
+        follows_other_machine = seen.last is not None and seen.last.machine != self._record.machine
         puts = [Put(key=CURRENT_KEY, value=value, lease_id=lease.lease_id)]
-        if not is_successor:
+        if not follows_other_machine:
             puts.append(Put(key=LAST_KEY, value=value))
         outcome = await self._store.transact(
             (ModRevisionIs(key=CURRENT_KEY, mod_revision=seen.current_revision),), tuple(puts)
@@ -197,26 +197,26 @@
             return
         self._lease_id = lease.lease_id
         self._fence = Fence(outcome.revision)
-        self._is_noted = not is_successor
-        self._extend(started_at, lease.ttl_seconds)
+        self._is_recorded_as_last = not follows_other_machine
+        self._extend_validity(started_at, lease.ttl_seconds)
         now = self._clock.monotonic()
-        self._quiet_until = now + self._policy.quiet_seconds if is_successor else now
-        self._duties_from = now + self._policy.turn_seconds if is_successor else now
-        log_event("leader_elected", fence=self._fence, successor=is_successor)
-        noting = asyncio.ensure_future(self._note_turn())
+        self._orders_from = now + self._policy.quiet_seconds if follows_other_machine else now
+        self._duties_from = now + self._policy.turn_seconds if follows_other_machine else now
+        log_event("leader_elected", fence=self._fence, successor=follows_other_machine)
+        record_task = asyncio.ensure_future(self._record_last_leader())
         try:
-            await self._keep(lease.lease_id, lease.ttl_seconds)
+            await self._renew_lease(lease.lease_id, lease.ttl_seconds)
         finally:
-            noting.cancel()
+            record_task.cancel()
 
-    def _extend(self, asked_at: float, ttl_seconds: float) -> None:
-        self._valid_until = asked_at + ttl_seconds * (1.0 - SAFETY_SHARE)
+    def _extend_validity(self, sent_at: float, ttl_seconds: float) -> None:
+        self._valid_until = sent_at + ttl_seconds * (1.0 - SAFETY_MARGIN_FRACTION)
 
-    async def _keep(self, lease_id: int, ttl_seconds: float) -> None:
+    async def _renew_lease(self, lease_id: int, ttl_seconds: float) -> None:
         pause_seconds = ttl_seconds / RENEWALS_PER_LEASE
         while self._clock.monotonic() < self._valid_until:
             await self._clock.sleep(pause_seconds)
-            asked_at = self._clock.monotonic()
+            sent_at = self._clock.monotonic()
             try:
                 remaining_seconds = await self._store.keep_lease_alive(lease_id)
             except LeaseNotFoundError:
@@ -226,31 +226,31 @@
                 continue
             pause_seconds = ttl_seconds / RENEWALS_PER_LEASE
             if self._valid_until != float("-inf"):
-                self._extend(asked_at, remaining_seconds)
+                self._extend_validity(sent_at, remaining_seconds)
         self._valid_until = float("-inf")
         log_event("leader_lost", level="WARNING", fence=self._fence)
 
-    async def _note_turn(self) -> None:
-        """Note this machine as the last leader once its turn begins, before it does anything.
+    async def _record_last_leader(self) -> None:
+        """Record this machine as the last leader before it starts to act.
 
-        Noted at its election, it would not wait for the machine before it when it restarts, is
-        elected again and has done nothing meanwhile. Renewals do not wait for it.
+        If it were recorded at its election, it would skip the wait for the previous machine when
+        it restarts and is elected again before it has acted. Runs concurrently with renewals.
         """
-        if self._is_noted or self._fence is None:
+        if self._is_recorded_as_last or self._fence is None:
             return
         await self._clock.sleep(max(0.0, self._duties_from - self._clock.monotonic()))
         put = Put(key=LAST_KEY, value=_encoder.encode(self._record))
-        while not self._is_noted:
+        while not self._is_recorded_as_last:
             try:
                 outcome = await self._store.transact((self.guard(self._fence),), (put,))
-                self._is_noted = outcome.succeeded
+                self._is_recorded_as_last = outcome.succeeded
             except KeyValueError as error:
                 log_event("leader_not_noted", level="DEBUG", error=error.code)
-            if not self._is_noted:
+            if not self._is_recorded_as_last:
                 await self._clock.sleep(RENEWAL_RETRY_SECONDS)
 
-    async def _wait_for_change(self, seen: _Seen) -> None:
-        deadline = self._clock.monotonic() + WATCH_LIMIT_SECONDS
+    async def _wait_for_change(self, seen: _LeaderKeys) -> None:
+        deadline = self._clock.monotonic() + MAX_WATCH_SECONDS
         start = Revision(seen.revision + 1)
         async for batch in self._store.watch_prefix(PREFIX, start):
             if batch.events or self._clock.monotonic() > deadline:
--- a/drumbay/ownership/lease_keeper.py
+++ b/drumbay/ownership/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Sends the grants and renewals that the lease state decides on."""
+"""Sends the lease grants and renewals requested by the lease state."""
 
 import asyncio
 import random
@@ -11,26 +11,26 @@
 from drumbay.kv.interface import KeyValueError, KeyValueStore, LeaseNotFoundError
 from drumbay.observability.logs import log_event
 from drumbay.ownership.lease_state import (
-    Announce,
     GrantLease,
     LeaseEvent,
     LeaseGone,
     LeaseHeld,
     LeaseState,
     RenewLease,
+    ReportChange,
     RequestFailed,
     Tick,
 )
 from drumbay.ownership.records import OwnershipChange, OwnershipParameters
 
-MINIMUM_WAIT_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 
-SHORTEST_RENEW_SHARE = 0.8
-"""Shortest time between renewals, as a share of the longest."""
+MIN_RENEW_INTERVAL_FRACTION = 0.8
+"""Minimum time between renewals, as a fraction of the maximum."""
 
 
 class LeaseKeeper:
-    """Feeds events to the lease state and carries out its decisions."""
+    """Passes events to the lease state and carries out its decisions."""
 
     def __init__(
         self,
@@ -41,18 +41,18 @@
         parameters: OwnershipParameters,
         *,
         on_change: Callable[[OwnershipChange], None],
-        on_held: Callable[[], None],
+        on_lease_confirmed: Callable[[], None],
     ) -> None:
         """Create a keeper.
 
         Args:
             clock: Time.
             store: The key-value service.
-            state: Decides.
-            generator: Source of jitter.
+            state: Decides when to send requests.
+            generator: Source of randomness for jitter.
             parameters: Timing.
             on_change: Called with each change of standing.
-            on_held: Called after each grant and renewal.
+            on_lease_confirmed: Called after each successful grant or renewal.
         """
         self._clock = clock
         self._store = store
@@ -60,12 +60,12 @@
         self._generator = generator
         self._parameters = parameters
         self._on_change = on_change
-        self._on_held = on_held
+        self._on_lease_confirmed = on_lease_confirmed
         self._wakeup = asyncio.Event()
         self._backoff = Backoff(
             generator,
-            first_seconds=parameters.first_retry_seconds,
-            longest_seconds=parameters.longest_retry_seconds,
+            first_seconds=parameters.initial_retry_seconds,
+            longest_seconds=parameters.max_retry_seconds,
         )
 
     async def run(self) -> None:
@@ -77,26 +77,26 @@
             await self._wait_for_wakeup()
 
     def handle(self, event: LeaseEvent) -> None:
-        """Take in an event and announce what it changes."""
+        """Process an event and report the resulting changes."""
         self._apply(event)
         self._wakeup.set()
 
     def want_lease(self, wanted: bool) -> None:
-        """State whether a lease is needed to campaign."""
+        """Set whether a lease is needed to campaign."""
         self._state.want_lease(self._clock.monotonic(), wanted)
         self._wakeup.set()
 
     def _apply(self, event: LeaseEvent) -> tuple[GrantLease | RenewLease, ...]:
-        """Pass an event to the state, announce changes, and return the requests due."""
+        """Pass an event to the state, report changes, and return the requests to send."""
         requests: list[GrantLease | RenewLease] = []
         for decision in self._state.handle(self._clock.monotonic(), event):
-            if isinstance(decision, Announce):
-                self._announce(decision.change)
+            if isinstance(decision, ReportChange):
+                self._report_change(decision.change)
             else:
                 requests.append(decision)
         return tuple(requests)
 
-    def _announce(self, change: OwnershipChange) -> None:
+    def _report_change(self, change: OwnershipChange) -> None:
         log_event(
             "ownership_changed",
             resource=change.name,
@@ -111,16 +111,16 @@
         if wakeup_at is None:
             await self._wakeup.wait()
             return
-        # NOTE: a timer may fire a little early; a shorter wait could then repeat for ever.
-        seconds = max(wakeup_at - self._clock.monotonic(), MINIMUM_WAIT_SECONDS)
+        # NOTE: a timer may fire slightly early; the minimum wait prevents a busy loop.
+        seconds = max(wakeup_at - self._clock.monotonic(), MIN_WAIT_SECONDS)
         with suppress(DeadlineExceededError):
             await self._clock.wait_for(self._wakeup.wait(), seconds)
 
     async def _send(self, request: GrantLease | RenewLease) -> None:
-        # NOTE: the time must be taken before the request leaves; see lease_state.
+        # NOTE: the time must be taken before the request is sent; see lease_state.
         sent_at = self._clock.monotonic()
         try:
-            held = await self._grant_or_renew(request, sent_at)
+            confirmed = await self._grant_or_renew(request, sent_at)
         except LeaseNotFoundError:
             assert isinstance(request, RenewLease)
             self.handle(LeaseGone(lease_id=request.lease_id))
@@ -131,8 +131,8 @@
             self.handle(RequestFailed(sent_at=sent_at, retry_delay_seconds=delay_seconds))
             return
         self._backoff.reset()
-        self.handle(held)
-        self._on_held()
+        self.handle(confirmed)
+        self._on_lease_confirmed()
 
     async def _grant_or_renew(self, request: GrantLease | RenewLease, sent_at: float) -> LeaseHeld:
         if isinstance(request, GrantLease):
@@ -141,8 +141,8 @@
         else:
             lease_id = request.lease_id
             ttl_seconds = await self._store.keep_lease_alive(lease_id)
-        # NOTE: without jitter, nodes that started together would renew together for ever.
-        jitter = self._generator.uniform(SHORTEST_RENEW_SHARE, 1.0)
+        # NOTE: the jitter spreads the renewals of nodes that started at the same time.
+        jitter = self._generator.uniform(MIN_RENEW_INTERVAL_FRACTION, 1.0)
         return LeaseHeld(
             lease_id=lease_id,
             sent_at=sent_at,
--- a/drumbay/ownership/lease_state.py
+++ b/drumbay/ownership/lease_state.py
@@ -1,11 +1,11 @@
-"""Decides when a node renews its lease and how far it may act for what it owns.
+"""Decides when a node renews its lease and whether it may act for the resources it owns.
 
-One lease carries all of a node's ownership keys. Its validity is judged on the node's own
-monotonic clock from the moment before a grant or a renewal was sent, less a margin: the
-service starts the time to live later than that, so the node's claim ends first (Gray and
+One lease covers all ownership keys of a node. Its validity is measured with the node's own
+monotonic clock from the moment before a grant or a renewal was sent, minus a safety margin. The
+service starts the time to live later than that, so the node's validity ends first (Gray and
 Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
-Consistency", 1989, section 2). A claim that ends too late is still harmless, because
-receivers check the fence.
+Consistency", 1989, section 2). A validity that ends too late is still safe, because receivers
+check the fence.
 """
 
 import msgspec
@@ -22,12 +22,12 @@
 
 
 class LeaseHeld(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: a grant or a renewal was answered.
+    """Event: a grant or a renewal succeeded.
 
     Attributes:
         lease_id: The lease.
         sent_at: Monotonic time before the request was sent.
-        ttl_seconds: Time to live, counted by the service from when it served the request.
+        ttl_seconds: Time to live, starting when the service processed the request.
         renew_delay_seconds: How long after ``sent_at`` to send the next renewal.
     """
 
@@ -38,11 +38,11 @@
 
 
 class RequestFailed(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: a grant or a renewal was refused, or its answer was lost.
+    """Event: a grant or a renewal failed, or its answer was lost.
 
     Attributes:
         sent_at: Monotonic time before the request was sent.
-        retry_delay_seconds: How long to wait before the next one.
+        retry_delay_seconds: How long to wait before the next request.
     """
 
     sent_at: float
@@ -50,12 +50,12 @@
 
 
 class LeaseGone(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: the service answered that the lease does not exist, so its keys are gone."""
+    """Event: the service reported that the lease does not exist, so its keys were removed."""
 
     lease_id: int
 
 
-class KeyWon(msgspec.Struct, frozen=True, kw_only=True):
+class KeyAcquired(msgspec.Struct, frozen=True, kw_only=True):
     """Event: an ownership key is bound to this node's lease."""
 
     name: str
@@ -63,7 +63,7 @@
     lease_id: int
 
 
-class KeyGone(msgspec.Struct, frozen=True, kw_only=True):
+class KeyRemoved(msgspec.Struct, frozen=True, kw_only=True):
     """Event: an ownership key with this fence was removed."""
 
     name: str
@@ -75,11 +75,11 @@
     """Event: time has passed."""
 
 
-LeaseEvent = LeaseHeld | RequestFailed | LeaseGone | KeyWon | KeyGone | Tick
+LeaseEvent = LeaseHeld | RequestFailed | LeaseGone | KeyAcquired | KeyRemoved | Tick
 
 
 class GrantLease(msgspec.Struct, frozen=True, kw_only=True):
-    """Decision: ask for a new lease now."""
+    """Decision: request a new lease now."""
 
 
 class RenewLease(msgspec.Struct, frozen=True, kw_only=True):
@@ -88,93 +88,94 @@
     lease_id: int
 
 
-class Announce(msgspec.Struct, frozen=True, kw_only=True):
-    """Decision: tell the listeners of a change."""
+class ReportChange(msgspec.Struct, frozen=True, kw_only=True):
+    """Decision: report a change to the listeners."""
 
     change: OwnershipChange
 
 
-LeaseDecision = GrantLease | RenewLease | Announce
+LeaseDecision = GrantLease | RenewLease | ReportChange
 
 
 class LeaseState:
-    """A node's lease and the resources owned under it."""
+    """The lease of a node and the resources owned under it."""
 
     def __init__(self, parameters: OwnershipParameters) -> None:
-        """Create a state without lease that wants none."""
+        """Create a state without a lease, which is not needed yet."""
         self._parameters = parameters
-        self._wanted = False
+        self._is_wanted = False
         self._lease_id: int | None = None
         self._valid_until = NEVER
         self._last_failure_sent_at = NEVER
         self._next_request_at = NEVER
         self._request_in_flight = False
-        self._holdings: dict[str, Fence] = {}
-        self._announced = Standing.NOT_HELD
+        self._owned_fences: dict[str, Fence] = {}
+        self._reported_standing = Standing.NOT_HELD
 
     @property
     def lease_id(self) -> int | None:
-        """Return the lease last granted, unless it is known to be gone."""
+        """Return the lease that was last granted, unless it is known to have expired."""
         return self._lease_id
 
     @property
-    def holdings(self) -> dict[str, Fence]:
-        """Return the owned resources with their fences, in the order of winning."""
-        return dict(self._holdings)
+    def owned_fences(self) -> dict[str, Fence]:
+        """Return the owned resources with their fences, in the order of acquisition."""
+        return dict(self._owned_fences)
 
     def want_lease(self, now: float, wanted: bool) -> None:
-        """State whether a lease is needed; one that is not needed is left to run out."""
-        if wanted and not self._needs_requests() and now >= self._valid_until:
+        """Set whether a lease is needed; a lease that is not needed is left to expire."""
+        if wanted and not self._needs_lease() and now >= self._valid_until:
             self._lease_id = None
-        self._wanted = wanted
+        self._is_wanted = wanted
 
     def lease_standing(self, now: float) -> Standing:
-        """Return how far the node may act under its lease."""
+        """Return the standing of the node under its lease."""
         if self._lease_id is None:
             return Standing.NOT_HELD
         if now < self._valid_until:
             return Standing.VALID
-        # NOTE: a failure of before a freeze says nothing about what others did meanwhile.
+        # NOTE: a failure before a freeze of the process does not show that the service has been
+        # unreachable since.
         oldest_failure_at = max(self._valid_until, now - self._parameters.ttl_seconds)
         if self._last_failure_sent_at >= oldest_failure_at:
             return Standing.UNCONFIRMED
         return Standing.SUSPENDED
 
     def standing(self, name: str, now: float) -> Standing:
-        """Return how far the node may act for a resource."""
-        if name not in self._holdings:
+        """Return the standing of the node for a resource."""
+        if name not in self._owned_fences:
             return Standing.NOT_HELD
         return self.lease_standing(now)
 
     def fence(self, name: str) -> Fence | None:
-        """Return the fence of an owned resource, whatever its standing."""
-        return self._holdings.get(name)
+        """Return the fence of an owned resource, regardless of its standing."""
+        return self._owned_fences.get(name)
 
     def next_wakeup(self) -> float | None:
         """Return when the next :class:`Tick` is due; ``None`` if nothing is due."""
         due: list[float] = []
-        if self._needs_requests() and not self._request_in_flight:
+        if self._needs_lease() and not self._request_in_flight:
             due.append(self._next_request_at)
-        if self._announced is Standing.VALID and self._holdings:
+        if self._reported_standing is Standing.VALID and self._owned_fences:
             due.append(self._valid_until)
         return min(due, default=None)
 
     def handle(self, now: float, event: LeaseEvent) -> tuple[LeaseDecision, ...]:
-        """Take in an event and return what to do; only a tick leads to requests."""
+        """Process an event and return the decisions; only a tick leads to requests."""
         decisions: list[LeaseDecision] = []
         if isinstance(event, LeaseHeld):
             self._handle_held(event)
         elif isinstance(event, RequestFailed):
             self._handle_failure(now, event)
         elif isinstance(event, LeaseGone):
-            decisions.extend(self._handle_gone(now, event))
-        elif isinstance(event, KeyWon):
-            decisions.extend(self._handle_won(now, event))
-        elif isinstance(event, KeyGone):
-            decisions.extend(self._handle_key_gone(event))
-        decisions.extend(self._announce_standing(now))
+            decisions.extend(self._handle_lease_gone(now, event))
+        elif isinstance(event, KeyAcquired):
+            decisions.extend(self._handle_key_acquired(now, event))
+        elif isinstance(event, KeyRemoved):
+            decisions.extend(self._handle_key_removed(event))
+        decisions.extend(self._report_standing(now))
         if isinstance(event, Tick):
-            decisions.extend(self._decide_request(now))
+            decisions.extend(self._request_if_due(now))
         return tuple(decisions)
 
     def _handle_held(self, event: LeaseHeld) -> None:
@@ -192,23 +193,23 @@
         self._last_failure_sent_at = event.sent_at
         self._next_request_at = now + event.retry_delay_seconds
 
-    def _handle_gone(self, now: float, event: LeaseGone) -> list[LeaseDecision]:
+    def _handle_lease_gone(self, now: float, event: LeaseGone) -> list[LeaseDecision]:
         self._request_in_flight = False
         if event.lease_id != self._lease_id:
             return []
         lost: list[LeaseDecision] = [
-            self._announce(name, ChangeReason.LEASE_LOST) for name in self._holdings
+            self._report_loss(name, ChangeReason.LEASE_LOST) for name in self._owned_fences
         ]
-        self._holdings.clear()
+        self._owned_fences.clear()
         self._lease_id = None
         self._valid_until = NEVER
         self._next_request_at = now
         return lost
 
-    def _handle_won(self, now: float, event: KeyWon) -> list[LeaseDecision]:
-        if event.lease_id != self._lease_id or event.fence <= self._holdings.get(event.name, 0):
+    def _handle_key_acquired(self, now: float, event: KeyAcquired) -> list[LeaseDecision]:
+        if event.lease_id != self._lease_id or event.fence <= self._owned_fences.get(event.name, 0):
             return []
-        self._holdings[event.name] = event.fence
+        self._owned_fences[event.name] = event.fence
         standing = self.lease_standing(now)
         change = OwnershipChange(
             name=event.name,
@@ -216,42 +217,42 @@
             standing=standing,
             reason=ChangeReason.CAMPAIGN_WON,
         )
-        return [Announce(change=change)]
+        return [ReportChange(change=change)]
 
-    def _handle_key_gone(self, event: KeyGone) -> list[LeaseDecision]:
-        if self._holdings.get(event.name) != event.fence:
+    def _handle_key_removed(self, event: KeyRemoved) -> list[LeaseDecision]:
+        if self._owned_fences.get(event.name) != event.fence:
             return []
-        announcement = self._announce(event.name, event.reason)
-        del self._holdings[event.name]
-        return [announcement]
+        report = self._report_loss(event.name, event.reason)
+        del self._owned_fences[event.name]
+        return [report]
 
-    def _announce(self, name: str, reason: ChangeReason) -> Announce:
-        """Announce the loss of a resource that is still in the holdings."""
+    def _report_loss(self, name: str, reason: ChangeReason) -> ReportChange:
+        """Return the report of the loss of a resource that is still listed as owned."""
         change = OwnershipChange(
-            name=name, fence=self._holdings[name], standing=Standing.NOT_HELD, reason=reason
+            name=name, fence=self._owned_fences[name], standing=Standing.NOT_HELD, reason=reason
         )
-        return Announce(change=change)
+        return ReportChange(change=change)
 
-    def _announce_standing(self, now: float) -> list[LeaseDecision]:
+    def _report_standing(self, now: float) -> list[LeaseDecision]:
         standing = self.lease_standing(now)
-        if standing is self._announced:
+        if standing is self._reported_standing:
             return []
-        self._announced = standing
-        reason = _REASONS.get(standing)
+        self._reported_standing = standing
+        reason = _REASON_BY_STANDING.get(standing)
         if reason is None:
             return []
         return [
-            Announce(
+            ReportChange(
                 change=OwnershipChange(name=name, fence=fence, standing=standing, reason=reason)
             )
-            for name, fence in self._holdings.items()
+            for name, fence in self._owned_fences.items()
         ]
 
-    def _needs_requests(self) -> bool:
-        return self._wanted or bool(self._holdings)
+    def _needs_lease(self) -> bool:
+        return self._is_wanted or bool(self._owned_fences)
 
-    def _decide_request(self, now: float) -> list[LeaseDecision]:
-        due = self._needs_requests() and now >= self._next_request_at
+    def _request_if_due(self, now: float) -> list[LeaseDecision]:
+        due = self._needs_lease() and now >= self._next_request_at
         if not due or self._request_in_flight:
             return []
         self._request_in_flight = True
@@ -260,7 +261,7 @@
         return [RenewLease(lease_id=self._lease_id)]
 
 
-_REASONS = {
+_REASON_BY_STANDING = {
     Standing.VALID: ChangeReason.LEASE_RENEWED,
     Standing.SUSPENDED: ChangeReason.VALIDITY_ENDED,
     Standing.UNCONFIRMED: ChangeReason.SERVICE_UNREACHABLE,
--- a/drumbay/ownership/manager.py
+++ b/drumbay/ownership/manager.py
@@ -1,4 +1,4 @@
-"""The ownership manager of one node: campaigns, keeps the lease and reports changes."""
+"""The ownership manager of one node: campaigns, renews the lease and reports changes."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 from drumbay.observability.logs import log_event
 from drumbay.ownership.campaign import CampaignOutcome, OwnershipKeys
 from drumbay.ownership.lease_keeper import LeaseKeeper
-from drumbay.ownership.lease_state import KeyGone, KeyWon, LeaseGone, LeaseState
+from drumbay.ownership.lease_state import KeyAcquired, KeyRemoved, LeaseGone, LeaseState
 from drumbay.ownership.placement import PlacementTable
 from drumbay.ownership.records import (
     ChangeReason,
@@ -23,14 +23,14 @@
     Standing,
 )
 from drumbay.ownership.view import OwnershipView
-from drumbay.ownership.watcher import OwnershipWatcher, Urgency
+from drumbay.ownership.watcher import OwnershipWatcher, WatchPriority
 from drumbay.tasks import TaskOwner
 
 ChangeListener = Callable[[OwnershipChange], None]
 
 
 class OwnershipManager:
-    """Keeps this node's share of the named resources under one lease."""
+    """Owns this node's share of the named resources under one lease."""
 
     def __init__(
         self,
@@ -44,18 +44,18 @@
         parameters: OwnershipParameters | None = None,
         lease_state: LeaseState | None = None,
     ) -> None:
-        """Create a manager that campaigns for nothing.
+        """Create a manager without resources to campaign for.
 
         Args:
             clock: Time.
             store: The key-value service.
             node_id: This node.
             task_owner: Runs the manager's tasks.
-            generator: Source of jitter.
-            live_members: Returns the nodes that are believed live, this one included, in
-                a stable order: another order makes every rank be worked out anew.
+            generator: Source of randomness for jitter.
+            live_members: Returns the live nodes, including this one, in a stable order: a
+                change of the order causes all ranks to be recomputed.
             parameters: Timing.
-            lease_state: Decides about the lease; for tests.
+            lease_state: State of the lease; replaced in tests.
         """
         self._parameters = parameters or OwnershipParameters()
         self._clock = clock
@@ -65,22 +65,22 @@
         self._keys = OwnershipKeys(store, node_id)
         self._placement = PlacementTable(node_id, self._parameters)
         self._state = lease_state or LeaseState(self._parameters)
-        self._names: dict[str, None] = {}
+        self._campaigned_names: dict[str, None] = {}
         self._listeners: dict[ChangeListener, None] = {}
         self._campaign_backoff = Backoff(
             generator,
-            first_seconds=self._parameters.first_retry_seconds,
-            longest_seconds=self._parameters.longest_retry_seconds,
+            first_seconds=self._parameters.initial_retry_seconds,
+            longest_seconds=self._parameters.max_retry_seconds,
         )
         self._campaign_wakeup = asyncio.Event()
-        self._keeper = LeaseKeeper(
+        self._lease_keeper = LeaseKeeper(
             clock,
             store,
             self._state,
             generator,
             self._parameters,
-            on_change=self._announce,
-            on_held=self._campaign_wakeup.set,
+            on_change=self._notify_listeners,
+            on_lease_confirmed=self._campaign_wakeup.set,
         )
         self._view = OwnershipView()
         self._watcher = OwnershipWatcher(
@@ -89,32 +89,34 @@
             self._view,
             generator,
             self._parameters,
-            urgency=self._urgency,
-            on_owner=self._observe_owner,
-            on_removal=self._observe_removal,
+            watch_priority=self._watch_priority,
+            on_owner=self._handle_owner,
+            on_removal=self._handle_removal,
             on_loaded=self._campaign_wakeup.set,
         )
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Start to campaign and to keep the lease."""
+        """Start to campaign and to renew the lease."""
         self._tasks = [
-            self._task_owner.spawn(self._keeper.run(), "ownership-lease"),
+            self._task_owner.spawn(self._lease_keeper.run(), "ownership-lease"),
             self._task_owner.spawn(self._run_campaigns(), "ownership-campaigns"),
             self._task_owner.spawn(self._watcher.run(), "ownership-watch"),
             self._task_owner.spawn(self._watcher.run_resync(), "ownership-resync"),
         ]
 
     async def stop(self) -> None:
-        """Give up all ownership and the lease, so that successors need not wait."""
+        """Give up all resources and the lease, so that successors need not wait."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks = []
-        self._names.clear()
+        self._campaigned_names.clear()
         lease_id = self._state.lease_id
-        for name, fence in self._state.holdings.items():
-            self._keeper.handle(KeyGone(name=name, fence=fence, reason=ChangeReason.RESIGNED))
+        for name, fence in self._state.owned_fences.items():
+            self._lease_keeper.handle(
+                KeyRemoved(name=name, fence=fence, reason=ChangeReason.RESIGNED)
+            )
         if lease_id is None:
             return
         try:
@@ -123,12 +125,12 @@
             log_event("ownership_revoke_failed", level="WARNING", error=error.code)
 
     def campaign(self, name: str) -> None:
-        """Take part in the ownership of a resource."""
-        self._names[name] = None
+        """Start to campaign for the ownership of a resource."""
+        self._campaigned_names[name] = None
 
     async def withdraw(self, name: str) -> None:
-        """Take part no longer, and give up the resource if it is owned."""
-        self._names.pop(name, None)
+        """Stop campaigning for a resource, and give it up if it is owned."""
+        self._campaigned_names.pop(name, None)
         fence = self._state.fence(name)
         if fence is not None:
             await self._resign(name, fence)
@@ -136,8 +138,7 @@
     async def report_refusal(self, name: str, fence: Fence) -> None:
         """Stop owning a resource because a receiver has seen a newer fence than ``fence``.
 
-        A node that alone is cut off from the key-value service learns of its successor in
-        this way.
+        A node that is partitioned from the key-value service learns of its successor this way.
         """
         if self._state.fence(name) == fence:
             await self._resign(name, fence, ChangeReason.SUPERSEDED)
@@ -151,7 +152,7 @@
         self._listeners.pop(listener, None)
 
     async def changes(self) -> AsyncIterator[OwnershipChange]:
-        """Yield the changes of this node's standing from the first ``anext()`` on."""
+        """Yield the changes of this node's standing, starting with the first ``anext()``."""
         queue: asyncio.Queue[OwnershipChange] = asyncio.Queue()
         self.add_listener(queue.put_nowait)
         try:
@@ -161,35 +162,35 @@
             self.remove_listener(queue.put_nowait)
 
     def holds(self, name: str, now: float) -> Fence | None:
-        """Return the fence if this node may hand out new authority for a resource."""
+        """Return the fence if this node certainly owns a resource and may start new work for it."""
         if self._state.standing(name, now) is Standing.VALID:
             return self._state.fence(name)
         return None
 
     def fence_to_continue(self, name: str, now: float) -> Fence | None:
-        """Return the fence for work whose every receiver checks it.
+        """Return the fence for work whose receivers all check the fence.
 
-        Besides the time while :meth:`holds` answers, this goes on while the key-value
-        service can not be reached.
+        Unlike :meth:`holds`, it also returns the fence while the key-value service cannot be
+        reached.
         """
         if self._state.standing(name, now) in (Standing.VALID, Standing.UNCONFIRMED):
             return self._state.fence(name)
         return None
 
     def standing(self, name: str, now: float) -> Standing:
-        """Return how far this node may act for a resource."""
+        """Return the standing of this node for a resource."""
         return self._state.standing(name, now)
 
     def likely_owners(self, name: str) -> tuple[NodeId, ...]:
-        """Return the nodes that should own a resource, best first, without any request."""
+        """Return the candidates of a resource, best first, computed without a request."""
         self._placement.set_members(self._live_members())
         return self._placement.candidates(name)
 
     async def find_owner(self, name: str) -> OwnerRecord | None:
-        """Ask the key-value service who owns a resource.
+        """Read the owner of a resource from the key-value service.
 
         Raises:
-            KeyValueError: The service did not answer.
+            KeyValueError: The read failed.
         """
         return await self._keys.read(name)
 
@@ -209,8 +210,8 @@
     async def _campaign_for_all(self) -> None:
         self._placement.set_members(self._live_members())
         now = self._clock.monotonic()
-        due = [name for name in self._names if self._is_campaign_due(name, now)]
-        self._keeper.want_lease(bool(due))
+        due = [name for name in self._campaigned_names if self._is_campaign_due(name, now)]
+        self._lease_keeper.want_lease(bool(due))
         for name in due:
             await self._campaign_once(name)
 
@@ -229,45 +230,45 @@
         result = await self._keys.create(name, lease_id)
         self._campaign_backoff.reset()
         if result.outcome is CampaignOutcome.LEASE_LOST:
-            self._keeper.handle(LeaseGone(lease_id=lease_id))
-        if result.owner is not None and self._view.observe(result.owner):
-            self._observe_owner(result.owner)
+            self._lease_keeper.handle(LeaseGone(lease_id=lease_id))
+        if result.owner is not None and self._view.record_owner(result.owner):
+            self._handle_owner(result.owner)
 
-    def _urgency(self) -> Urgency:
+    def _watch_priority(self) -> WatchPriority:
         self._placement.set_members(self._live_members())
-        if self._state.holdings:
-            return Urgency.FIRST
-        ranks = [self._placement.own_rank(name) for name in self._names]
+        if self._state.owned_fences:
+            return WatchPriority.FIRST
+        ranks = [self._placement.own_rank(name) for name in self._campaigned_names]
         if 0 in ranks:
-            return Urgency.FIRST
-        return Urgency.NONE if all(rank is None for rank in ranks) else Urgency.STANDBY
+            return WatchPriority.FIRST
+        return WatchPriority.NONE if all(rank is None for rank in ranks) else WatchPriority.STANDBY
 
-    def _observe_owner(self, owner: OwnerRecord) -> None:
-        """Take in that a key exists: every key bound to this node's lease is its own."""
+    def _handle_owner(self, owner: OwnerRecord) -> None:
+        """Process an existing key: every key bound to this node's lease is its own."""
         if owner.lease_id != self._state.lease_id:
             return
-        if owner.name in self._names:
-            won = KeyWon(name=owner.name, fence=owner.fence, lease_id=owner.lease_id)
-            self._keeper.handle(won)
+        if owner.name in self._campaigned_names:
+            acquired = KeyAcquired(name=owner.name, fence=owner.fence, lease_id=owner.lease_id)
+            self._lease_keeper.handle(acquired)
             return
-        # A campaign's request arrived after the node withdrew.
+        # The request of a campaign was processed after the node withdrew.
         self._task_owner.spawn(self._resign(owner.name, owner.fence), "ownership-resign")
 
-    def _observe_removal(self, owner: OwnerRecord) -> None:
-        removal = KeyGone(name=owner.name, fence=owner.fence, reason=ChangeReason.KEY_REMOVED)
-        self._keeper.handle(removal)
+    def _handle_removal(self, owner: OwnerRecord) -> None:
+        removal = KeyRemoved(name=owner.name, fence=owner.fence, reason=ChangeReason.KEY_REMOVED)
+        self._lease_keeper.handle(removal)
         self._campaign_wakeup.set()
 
     async def _resign(
         self, name: str, fence: Fence, reason: ChangeReason = ChangeReason.RESIGNED
     ) -> None:
-        """Stop acting as owner, then remove the key."""
-        self._keeper.handle(KeyGone(name=name, fence=fence, reason=reason))
+        """Stop acting as the owner, then remove the key."""
+        self._lease_keeper.handle(KeyRemoved(name=name, fence=fence, reason=reason))
         try:
             await self._keys.remove(name, fence)
         except KeyValueError as error:
             log_event("ownership_resign_failed", level="WARNING", resource=name, error=error.code)
 
-    def _announce(self, change: OwnershipChange) -> None:
+    def _notify_listeners(self, change: OwnershipChange) -> None:
         for listener in list(self._listeners):
             listener(change)
--- a/drumbay/ownership/placement.py
+++ b/drumbay/ownership/placement.py
@@ -1,7 +1,7 @@
-"""Which nodes should own a resource: rendezvous hashing over the live nodes.
+"""Placement of resources on nodes by rendezvous hashing over the live nodes.
 
-Every node ranks the same members in the same order without talking to the others, the
-resources spread evenly, and a node that leaves moves only its own resources (Thaler and
+Every node computes the same ranking without communication, resources are spread evenly, and a
+node that leaves moves only its own resources (Thaler and
 Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998, section 3).
 """
 
@@ -15,7 +15,7 @@
 
 
 def rank_candidates(name: str, members: Sequence[NodeId], count: int) -> tuple[NodeId, ...]:
-    """Return the ``count`` members that should own a resource, best first."""
+    """Return the ``count`` highest-ranked members for a resource, best first."""
     return tuple(heapq.nlargest(count, members, key=lambda member: (_weight(name, member), member)))
 
 
@@ -24,10 +24,10 @@
 
 
 class PlacementTable:
-    """Candidates of many resources, worked out again only when the members change."""
+    """Caches the candidates of resources until the members change."""
 
     def __init__(self, node_id: NodeId, parameters: OwnershipParameters) -> None:
-        """Create a table for the ranks of ``node_id``."""
+        """Create an empty table for ``node_id``."""
         self._node_id = node_id
         self._parameters = parameters
         self._members: tuple[NodeId, ...] = ()
@@ -42,22 +42,22 @@
 
     def candidates(self, name: str) -> tuple[NodeId, ...]:
         """Return the candidates of a resource, best first."""
-        found = self._candidates.get(name)
-        if found is None:
-            found = rank_candidates(name, self._members, self._parameters.candidates)
-            self._candidates[name] = found
-        return found
+        cached = self._candidates.get(name)
+        if cached is None:
+            cached = rank_candidates(name, self._members, self._parameters.candidates)
+            self._candidates[name] = cached
+        return cached
 
     def own_rank(self, name: str) -> int | None:
-        """Return this node's rank for a resource; ``None`` if it is no candidate."""
+        """Return this node's rank for a resource; ``None`` if it is not a candidate."""
         candidates = self.candidates(name)
         return candidates.index(self._node_id) if self._node_id in candidates else None
 
     def campaign_delay_seconds(self, name: str) -> float | None:
-        """Return how long a resource must be without owner before this node campaigns.
+        """Return how long a resource must be without an owner before this node campaigns.
 
-        ``None`` means that it does not. The best candidate does not wait; the others take
-        over in turn if it does not come forward, since members' views differ.
+        ``None`` means that this node is not a candidate. The best candidate does not wait; each
+        next one waits longer, in case those before it do not campaign.
         """
         rank = self.own_rank(name)
         if rank is None:
--- a/drumbay/ownership/records.py
+++ b/drumbay/ownership/records.py
@@ -1,4 +1,4 @@
-"""Typed records of ownership: parameters, standings, changes and failures."""
+"""Records of ownership: parameters, standings, changes and errors."""
 
 from enum import StrEnum
 
@@ -8,17 +8,17 @@
 from drumbay.identifiers import Fence, NodeId
 
 OWNERSHIP_PREFIX = "/drumbay/ownership/"
-"""Keys below this prefix name the owner of a resource; each is bound to a lease."""
+"""Prefix of the keys that store the owner of a resource; each key is bound to a lease."""
 
 
 class OwnershipError(DrumbayError):
-    """Root of the failures of ownership."""
+    """Base class of ownership errors."""
 
     code = "ownership"
 
 
 class StaleOwnerError(OwnershipError):
-    """A receiver has seen a newer fence of the resource than the one it was given."""
+    """A receiver has recorded a newer fence of the resource than that of the request."""
 
     code = "stale_owner"
 
@@ -28,26 +28,25 @@
 
     Attributes:
         ttl_seconds: Time to live of a node's lease; bounds the time to a successor.
-        renew_interval_seconds: Longest time between renewals, a little less by jitter; a
-            third of the time to live lets two renewals in a row fail.
-        safety_margin_seconds: Taken off a lease's validity: it covers clocks that run at
-            different rates and the time between a check and the act.
-        first_retry_seconds: Bound of the first delay after a failed request.
-        longest_retry_seconds: Bound of every such delay.
-        candidates: Nodes, by placement rank, that campaign for one resource.
-        fallback_delay_seconds: How much longer each next rank waits before it campaigns.
-        check_interval_seconds: How often a node looks for resources to campaign for.
-        resync_interval_seconds: Longest time between a candidate's reads of all owners,
-            in case its watch is open but delivers nothing.
-        standby_spread_seconds: Span over which candidates that are first for nothing
-            spread their first read.
+        renew_interval_seconds: Maximum time between renewals, reduced by jitter; with a third
+            of the time to live, two consecutive renewals may fail.
+        safety_margin_seconds: Subtracted from the validity of a lease, for clock drift and for
+            the time between a check and the action.
+        initial_retry_seconds: Maximum of the first delay after a failed request.
+        max_retry_seconds: Maximum delay after a failed request.
+        candidates: Number of nodes, by placement rank, that campaign for one resource.
+        fallback_delay_seconds: Additional wait of each next rank before it campaigns.
+        check_interval_seconds: How often a node checks for resources to campaign for.
+        resync_interval_seconds: Maximum time between a candidate's reads of all owners, in
+            case its watch stalls.
+        standby_spread_seconds: Time over which standby candidates spread their first read.
     """
 
     ttl_seconds: float = 15.0
     renew_interval_seconds: float = 5.0
     safety_margin_seconds: float = 2.0
-    first_retry_seconds: float = 0.5
-    longest_retry_seconds: float = 5.0
+    initial_retry_seconds: float = 0.5
+    max_retry_seconds: float = 5.0
     candidates: int = 3
     fallback_delay_seconds: float = 3.0
     check_interval_seconds: float = 1.0
@@ -56,24 +55,24 @@
 
 
 class Standing(StrEnum):
-    """How far a node may act for a resource."""
+    """Whether and how a node may act for a resource."""
 
     VALID = "valid"
-    """The lease is certainly held: the node may hand out new authority."""
+    """The lease is certainly valid: the node may start new work."""
 
     SUSPENDED = "suspended"
-    """The lease may have run out and the service has not been asked since: do nothing."""
+    """The lease may have expired and no request has been sent since: the node must not act."""
 
     UNCONFIRMED = "unconfirmed"
-    """The lease may have run out, and the service could not be reached since: go on only
-    with work whose every receiver checks the fence."""
+    """The lease may have expired and the service is unreachable: the node may only continue work
+    whose receivers all check the fence."""
 
     NOT_HELD = "not_held"
     """The node does not own the resource."""
 
 
 class ChangeReason(StrEnum):
-    """Why a standing changed."""
+    """The reason for a change of standing."""
 
     CAMPAIGN_WON = "campaign_won"
     LEASE_RENEWED = "lease_renewed"
@@ -90,9 +89,9 @@
 
     Attributes:
         name: The resource.
-        fence: Fence under which it is or was owned.
+        fence: Fence of the current or last ownership.
         standing: The new standing.
-        reason: Why it changed.
+        reason: The reason for the change.
     """
 
     name: str
@@ -102,18 +101,18 @@
 
 
 class OwnerValue(msgspec.Struct, frozen=True, kw_only=True):
-    """Value of an ownership key, as JSON so that operators can read it."""
+    """Value of an ownership key, stored as JSON so that operators can read it."""
 
     node_id: NodeId
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Who owns a resource, as the key-value service says.
+    """The owner of a resource according to the key-value service.
 
     Attributes:
         name: The resource.
         node_id: Its owner.
-        fence: Create revision of its key; every new owner has a larger one.
+        fence: Create revision of its key; increases with every new owner.
         lease_id: The lease that the key is bound to.
     """
 
--- a/drumbay/ownership/view.py
+++ b/drumbay/ownership/view.py
@@ -1,4 +1,4 @@
-"""What a node knows from the key-value service about the owners of all resources."""
+"""A node's view of the owners of all resources, read from the key-value service."""
 
 import msgspec
 
@@ -7,11 +7,11 @@
 from drumbay.ownership.records import OWNERSHIP_PREFIX, OwnerRecord, OwnerValue
 
 UNKNOWN_NODE = NodeId("")
-"""Stands for the owner if a key's value can not be read."""
+"""Placeholder for the owner if the value of a key cannot be decoded."""
 
 
-def read_owner(item: KeyValue) -> OwnerRecord:
-    """Return the owner that a key names."""
+def decode_owner(item: KeyValue) -> OwnerRecord:
+    """Return the owner stored in a key."""
     try:
         node_id = msgspec.json.decode(item.value, type=OwnerValue).node_id
     except msgspec.MsgspecError:
@@ -25,10 +25,10 @@
 
 
 class OwnershipView:
-    """Owners by resource; news older than what is known is ignored."""
+    """Owners by resource; updates older than the known state are ignored."""
 
     def __init__(self) -> None:
-        """Create a view that knows nothing."""
+        """Create an empty view."""
         self._owners: dict[str, OwnerRecord] = {}
         self._absent_since: dict[str, float] = {}
         self._revisions: dict[str, Revision] = {}
@@ -37,7 +37,7 @@
 
     @property
     def loaded_revision(self) -> Revision:
-        """Return the revision of the last read of all owners; 0 if there was none."""
+        """Return the revision of the last read of all owners; 0 if one is needed."""
         return self._loaded_revision
 
     @property
@@ -45,12 +45,12 @@
         """Return the revision up to which every change is known."""
         return self._complete_revision
 
-    def advance(self, revision: Revision) -> None:
-        """Take in that every change up to ``revision`` was applied."""
+    def mark_complete(self, revision: Revision) -> None:
+        """Record that every change up to ``revision`` was applied."""
         self._complete_revision = max(self._complete_revision, revision)
 
-    def forget_loaded(self) -> None:
-        """Take in that changes were missed: all owners must be read again."""
+    def require_reload(self) -> None:
+        """Require a new read of all owners because changes were missed."""
         self._loaded_revision = Revision(0)
 
     def owner(self, name: str) -> OwnerRecord | None:
@@ -62,37 +62,37 @@
         return tuple(self._owners[name] for name in sorted(self._owners))
 
     def absent_seconds(self, name: str, now: float) -> float | None:
-        """Return for how long a resource has been seen without owner; ``None`` if owned."""
+        """Return how long a resource has had no owner; ``None`` if owned or not loaded."""
         if name in self._owners or self._loaded_revision == 0:
             return None
         return now - self._absent_since.setdefault(name, now)
 
     def load(self, result: RangeResult, now: float) -> tuple[OwnerRecord, ...]:
-        """Take in a read of all owners; return those whose key is gone."""
+        """Apply a read of all owners; return the owners whose keys were removed."""
         if result.revision < self._loaded_revision:
             return ()
-        found = [read_owner(item) for item in result.items]
+        found = [decode_owner(item) for item in result.items]
         found_names = {owner.name for owner in found}
-        gone: list[OwnerRecord] = []
+        removed: list[OwnerRecord] = []
         for name in sorted(self._owners):
             if name not in found_names:
-                gone.extend(self._remove(name, result.revision, now))
+                removed.extend(self._remove(name, result.revision, now))
         for owner in found:
-            self.observe(owner)
+            self.record_owner(owner)
         self._loaded_revision = result.revision
-        self.advance(result.revision)
-        return tuple(gone)
+        self.mark_complete(result.revision)
+        return tuple(removed)
 
     def apply(self, event: WatchEvent, now: float) -> tuple[OwnerRecord, ...]:
-        """Take in one change; return the owner whose key is gone, if one is."""
+        """Apply one change; return the owner whose key was removed, if any."""
         if event.item is not None:
-            self.observe(read_owner(event.item))
+            self.record_owner(decode_owner(event.item))
             return ()
         name = event.key.removeprefix(OWNERSHIP_PREFIX)
         return self._remove(name, event.mod_revision, now)
 
-    def observe(self, owner: OwnerRecord) -> bool:
-        """Take in that an owner was seen; return ``False`` if newer news are known."""
+    def record_owner(self, owner: OwnerRecord) -> bool:
+        """Record an owner; return ``False`` if a newer state is known."""
         if owner.fence < self._revisions.get(owner.name, 0):
             return False
         self._owners[owner.name] = owner
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Ownership over the simulated cluster, with and without its mechanisms."""
+"""Tests of ownership in a simulated cluster, with and without its safety mechanisms."""
 
 import asyncio
 import functools
@@ -49,7 +49,7 @@
 
 
 class ReceiptTimeLeaseState(LeaseState):
-    """Fault: validity is counted from the receipt of the answer."""
+    """Fault: validity is measured from the receipt of the answer."""
 
     def handle(self, now: float, event: LeaseEvent) -> tuple[LeaseDecision, ...]:
         if isinstance(event, LeaseHeld):
@@ -62,19 +62,19 @@
 
 
 async def start_pair(seed: int = 1) -> tuple[OwnershipCluster, OwnershipNode, OwnershipNode]:
-    """Return a cluster of two nodes, its owner and the other one."""
+    """Return a cluster of two nodes, the owner and the other node."""
     cluster = OwnershipCluster(seed=seed, node_count=2)
     for node in cluster.nodes.values():
         node.start([NAME])
     owner = await cluster.wait_for_owner(NAME)
-    # The other candidate reads the owners for the first time within this span.
+    # The other candidate first reads the owners within this time.
     await asyncio.sleep(PARAMETERS.standby_spread_seconds)
     (other,) = [node for node in cluster.nodes.values() if node is not owner]
     return cluster, owner, other
 
 
 async def pause_owner_before_an_order(guard: FenceGuard) -> OrderReceiver:
-    """Freeze the owner between its check and its order until another one took over."""
+    """Freeze the owner between its check and its order until another node takes over."""
     cluster, owner, other = await start_pair()
     receiver = OrderReceiver(guard)
     for node in cluster.nodes.values():
@@ -88,8 +88,8 @@
     return receiver
 
 
-async def cut_owner_off(guard: FenceGuard) -> tuple[OrderReceiver, OwnershipNode]:
-    """Cut only the owner off from the key-value service for some minutes."""
+async def partition_owner(guard: FenceGuard) -> tuple[OrderReceiver, OwnershipNode]:
+    """Partition only the owner from the key-value service for three minutes."""
     cluster, owner, _ = await start_pair()
     receiver = OrderReceiver(guard)
     for node in cluster.nodes.values():
@@ -105,7 +105,7 @@
 async def claim_under_faults(
     seed: int, make_state: Callable[[OwnershipParameters], LeaseState]
 ) -> tuple[OwnershipCluster, list[Claim]]:
-    """Sample claims for some minutes of random delays, lost answers, outages and freezes."""
+    """Sample claims during random delays, lost answers, outages and freezes."""
     cluster = OwnershipCluster(seed=seed, node_count=3, make_state=make_state)
     generator = random.Random(seed)
     claims: list[Claim] = []
@@ -129,17 +129,17 @@
 
 
 class FencingTest(unittest.TestCase):
-    def test_paused_owner_does_no_harm(self) -> None:
+    def test_order_of_paused_owner_is_rejected(self) -> None:
         receiver = run_simulation(lambda: pause_owner_before_an_order(FenceGuard()))
         self.assertEqual(find_orders_out_of_turn(receiver.accepted), [])
         self.assertEqual(receiver.refused, 1)
 
-    def test_checker_reports_the_harm_without_the_fence_check(self) -> None:
+    def test_checker_reports_paused_owner_without_fence_check(self) -> None:
         receiver = run_simulation(lambda: pause_owner_before_an_order(UncheckedFenceGuard()))
         self.assertEqual(len(find_orders_out_of_turn(receiver.accepted)), 1)
 
-    def test_owner_that_alone_is_cut_off_does_no_harm(self) -> None:
-        receiver, owner = run_simulation(lambda: cut_owner_off(FenceGuard()))
+    def test_order_of_partitioned_owner_is_rejected(self) -> None:
+        receiver, owner = run_simulation(lambda: partition_owner(FenceGuard()))
         self.assertEqual(find_orders_out_of_turn(receiver.accepted), [])
         self.assertEqual(receiver.refused, 1)
         self.assertEqual(
@@ -151,13 +151,13 @@
             ],
         )
 
-    def test_checker_reports_the_cut_off_owner_without_the_fence_check(self) -> None:
-        receiver, _ = run_simulation(lambda: cut_owner_off(UncheckedFenceGuard()))
+    def test_checker_reports_partitioned_owner_without_fence_check(self) -> None:
+        receiver, _ = run_simulation(lambda: partition_owner(UncheckedFenceGuard()))
         self.assertGreater(len(find_orders_out_of_turn(receiver.accepted)), 100)
 
 
 class ClaimTest(unittest.TestCase):
-    def test_claims_end_before_the_lease_does(self) -> None:
+    def test_claims_end_before_the_lease_expires(self) -> None:
         total = 0
         for seed in range(10):
             scenario = functools.partial(claim_under_faults, seed, LeaseState)
@@ -166,15 +166,15 @@
             total += len(claims)
         self.assertGreater(total, 1000)
 
-    def test_checker_reports_claims_counted_from_the_receipt(self) -> None:
-        unfounded: list[Claim] = []
+    def test_checker_reports_claims_measured_from_receipt(self) -> None:
+        invalid_claims: list[Claim] = []
         for seed in range(10):
             scenario = functools.partial(claim_under_faults, seed, ReceiptTimeLeaseState)
             cluster, claims = run_simulation(scenario)
-            unfounded.extend(find_unfounded_claims(cluster.model, claims))
-            if unfounded:
+            invalid_claims.extend(find_unfounded_claims(cluster.model, claims))
+            if invalid_claims:
                 break
-        self.assertNotEqual(unfounded, [])
+        self.assertNotEqual(invalid_claims, [])
 
     def test_same_seed_gives_the_same_history(self) -> None:
         logs = [
@@ -184,9 +184,9 @@
 
 
 class FailureTest(unittest.TestCase):
-    """Single failures and what both nodes announce."""
+    """Tests single failures and the changes that the nodes report."""
 
-    def test_freeze_beyond_the_lease(self) -> None:
+    def test_freeze_longer_than_the_lease(self) -> None:
         async def scenario() -> None:
             cluster, owner, other = await start_pair()
             first = owner.manager.holds(NAME, cluster.model.now())
@@ -200,7 +200,7 @@
             self.assertIsNone(owner.manager.fence_to_continue(NAME, now))
             owner.host.wake()
             await asyncio.sleep(1.0)
-            # The watch's events came in during the freeze and are seen first.
+            # The watch events received during the freeze are processed first.
             self.assertEqual(standings(owner)[-1], (Standing.NOT_HELD, ChangeReason.KEY_REMOVED))
 
         run_simulation(scenario)
@@ -251,7 +251,7 @@
             cluster.model.set_faults(KeyValueFaults(lost_answers=1))
 
             def lose_campaign_answer() -> None:
-                # The first grant's answer was lost, so a campaign follows the second.
+                # The answer of the first grant was lost, so the campaign follows the second grant.
                 if len(cluster.model.log) == 2:
                     cluster.model.remove_listener(lose_campaign_answer)
                     cluster.model.set_faults(KeyValueFaults(lost_answers=1))
@@ -266,7 +266,7 @@
 
         run_simulation(scenario)
 
-    def test_two_nodes_that_both_believe_to_be_alone(self) -> None:
+    def test_two_nodes_without_knowledge_of_each_other(self) -> None:
         async def scenario() -> None:
             cluster = OwnershipCluster(seed=1, node_count=2)
             cluster.live_members = lambda observer: [observer]
@@ -281,7 +281,7 @@
 
         run_simulation(scenario)
 
-    def test_planned_stop_hands_over_at_once(self) -> None:
+    def test_graceful_stop_hands_over_immediately(self) -> None:
         async def scenario() -> None:
             cluster, owner, _ = await start_pair()
             stopped_at = cluster.model.now()
@@ -293,7 +293,7 @@
 
         run_simulation(scenario)
 
-    def test_withdrawal_leaves_the_other_resources(self) -> None:
+    def test_withdrawal_keeps_other_resources(self) -> None:
         async def scenario() -> None:
             cluster = OwnershipCluster(seed=1, node_count=1)
             node = cluster.nodes["node-000"]
@@ -308,7 +308,7 @@
 
         run_simulation(scenario)
 
-    def test_key_removed_by_hand(self) -> None:
+    def test_key_removed_by_operator(self) -> None:
         async def scenario() -> None:
             cluster, owner, _ = await start_pair()
             cluster.model.transact((), (Delete(key=OWNERSHIP_PREFIX + NAME),))
@@ -318,7 +318,7 @@
 
         run_simulation(scenario)
 
-    def test_stalled_watch_delays_the_successor_to_the_next_full_read(self) -> None:
+    def test_stalled_watch_delays_successor_until_next_full_read(self) -> None:
         async def scenario() -> None:
             cluster, owner, other = await start_pair()
             cluster.model.set_faults(KeyValueFaults(watches_stalled=True))
@@ -328,7 +328,7 @@
 
         run_simulation(scenario)
 
-    def test_many_resources_spread_and_move_alone(self) -> None:
+    def test_resources_are_spread_and_only_those_of_a_dead_node_move(self) -> None:
         async def scenario() -> None:
             names = [f"group/{index}" for index in range(40)]
             cluster = OwnershipCluster(seed=1, node_count=10)
