--- a/drumbay/delivery/acceptor.py
+++ b/drumbay/delivery/acceptor.py
@@ -1,7 +1,7 @@
-"""The acceptor of one stream's log: pure decisions of a replica.
+"""The Paxos acceptor of one stream's log on a replica; it does no input or output.
 
-Multi-Paxos after Lamport, "Paxos Made Simple" (2001), sections 2.2 and 3: one promise
-covers all positions, and an accept is refused below the promised ballot.
+Multi-Paxos as in Lamport, "Paxos Made Simple" (2001), sections 2.2 and 3: one promise covers all
+positions, and accept requests with a ballot below the promised one are rejected.
 """
 
 import msgspec
@@ -19,13 +19,13 @@
 )
 
 MAX_PAGE_BYTES = 1024 * 1024
-"""A promise reply ends its page with the entry that passes this size."""
+"""A page of a promise reply ends with the entry that exceeds this size."""
 
 DEFAULT_MAX_RETAINED_BYTES = 512 * 1024 * 1024
 
 
 class PromisedRecord(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Durable promise to refuse lower ballots."""
+    """Durable promise to reject lower ballots."""
 
     ballot: Ballot
 
@@ -51,14 +51,14 @@
 
     reply: StreamReply | StreamPromiseReply
     records: tuple[AcceptorRecord, ...] = ()
-    full: bool = False
+    is_full: bool = False
 
 
 class Acceptor:
     """State of one stream's log on one replica."""
 
     def __init__(self, *, max_retained_bytes: int = DEFAULT_MAX_RETAINED_BYTES) -> None:
-        """Create the state of a replica that has seen nothing of the stream."""
+        """Create the state of an empty stream."""
         self.promised = NO_BALLOT
         self.below_position = 0
         self.snapshot: bytes | None = None
@@ -67,7 +67,7 @@
         self._max_retained_bytes = max_retained_bytes
 
     def restore(self, record: AcceptorRecord) -> None:
-        """Apply a record read back from the disk, in the order of writing."""
+        """Apply a record read from the disk; records must be applied in write order."""
         match record:
             case PromisedRecord(ballot=ballot):
                 self.promised = max(self.promised, ballot)
@@ -77,7 +77,7 @@
                 self._trim(below_position, snapshot)
 
     def promise(self, request: StreamPromiseRequest) -> AcceptorOutcome:
-        """Promise to refuse lower ballots, and return what was accepted so far."""
+        """Promise to reject lower ballots, and return the accepted entries."""
         if request.ballot < self.promised:
             reply = StreamPromiseReply(granted=False, promised=self.promised)
             return AcceptorOutcome(reply=reply)
@@ -110,16 +110,16 @@
     def accept(self, request: StreamAcceptRequest) -> AcceptorOutcome:
         """Accept an entry unless a higher ballot was promised or the log is full."""
         if request.ballot < self.promised:
-            return self._refusal()
-        held = self.accepted.get(request.position)
-        if held is not None and held.ballot == request.ballot:
-            # NOTE: one ballot has one entry at a position; another one is never granted.
-            return self._grant() if held.entry == request.entry else self._refusal()
+            return self._reject()
+        existing = self.accepted.get(request.position)
+        if existing is not None and existing.ballot == request.ballot:
+            # NOTE: a ballot has only one entry per position; a different one is rejected.
+            return self._grant() if existing.entry == request.entry else self._reject()
         if request.position < self.below_position:
-            # NOTE: trimmed positions were chosen; accepting one again changes nothing.
+            # NOTE: entries at trimmed positions were chosen, so accepting again has no effect.
             return self._grant()
         if self.retained_bytes + len(request.entry) > self._max_retained_bytes:
-            return AcceptorOutcome(reply=self._refusal().reply, full=True)
+            return AcceptorOutcome(reply=self._reject().reply, is_full=True)
         accepted = AcceptedEntry(
             position=request.position, ballot=request.ballot, entry=request.entry
         )
@@ -127,13 +127,13 @@
         return self._grant(AcceptedRecord(accepted=accepted))
 
     def confirm(self, request: StreamConfirmRequest) -> AcceptorOutcome:
-        """Answer whether no higher ballot was promised here."""
-        return self._refusal() if request.ballot < self.promised else self._grant()
+        """Grant the request if no higher ballot was promised."""
+        return self._reject() if request.ballot < self.promised else self._grant()
 
     def trim(self, request: StreamTrimRequest) -> AcceptorOutcome:
         """Replace chosen entries by a snapshot unless a higher ballot was promised."""
         if request.ballot < self.promised:
-            return self._refusal()
+            return self._reject()
         if request.below_position <= self.below_position:
             return self._grant()
         self._trim(request.below_position, request.snapshot)
@@ -151,12 +151,12 @@
     def _trim(self, below_position: int, snapshot: bytes) -> None:
         self.below_position = below_position
         self.snapshot = snapshot
-        for position in [held for held in self.accepted if held < below_position]:
+        for position in [each for each in self.accepted if each < below_position]:
             self.retained_bytes -= len(self.accepted.pop(position).entry)
 
     def _grant(self, *records: AcceptorRecord) -> AcceptorOutcome:
         reply = StreamReply(granted=True, promised=self.promised)
         return AcceptorOutcome(reply=reply, records=records)
 
-    def _refusal(self) -> AcceptorOutcome:
+    def _reject(self) -> AcceptorOutcome:
         return AcceptorOutcome(reply=StreamReply(granted=False, promised=self.promised))
--- a/drumbay/delivery/batch.py
+++ b/drumbay/delivery/batch.py
@@ -1,4 +1,4 @@
-"""Batches of finished samples, and the rule that composes them."""
+"""Batches of finished samples, and the selection of their samples."""
 
 from collections.abc import Iterable
 
@@ -8,11 +8,11 @@
 from drumbay.rollout.sample import RolloutPrompt, Sample, SampleKey
 
 MAX_BATCH_BYTES = 2 * 1024 * 1024
-"""A batch travels in one frame to each replica; frames are limited to 4 MiB."""
+"""A batch is sent to each replica in one frame, which is limited to 4 MiB."""
 
 
 class Batch(msgspec.Struct, frozen=True, kw_only=True):
-    """The samples at one cursor of a stream; fixed durably before it is handed out.
+    """The samples at one cursor of a stream, durable before they are delivered.
 
     Attributes:
         stream: The sample stream.
@@ -33,14 +33,14 @@
 
 
 class OutstandingSample(msgspec.Struct, frozen=True, kw_only=True):
-    """A sample that a trainer asked for and that is in no batch yet."""
+    """A sample that a trainer requested and that is not in a batch yet."""
 
     key: SampleKey
     prompt: RolloutPrompt
 
 
 def is_fresh(sample: Sample, oldest_accepted: WeightVersion) -> bool:
-    """Return whether every token of a sample is inside the accepted versions."""
+    """Return whether every token of a sample has an accepted version."""
     return sample.oldest_version >= oldest_accepted
 
 
@@ -55,8 +55,8 @@
     Args:
         ready: Finished samples.
         oldest_accepted: Oldest version that the trainer accepts.
-        max_samples: Most samples.
-        max_bytes: Most bytes once encoded; a single larger sample is taken alone.
+        max_samples: Maximum number of samples.
+        max_bytes: Maximum encoded size; a larger sample is returned alone.
     """
     fresh = [sample for sample in ready if is_fresh(sample, oldest_accepted)]
     fresh.sort(key=lambda sample: sample.key)
--- a/drumbay/delivery/exceptions.py
+++ b/drumbay/delivery/exceptions.py
@@ -1,10 +1,10 @@
-"""Failures of sample delivery."""
+"""Errors of sample delivery."""
 
 from drumbay.exceptions import DrumbayError, UnavailableError
 
 
 class DeliveryError(DrumbayError):
-    """Root of the failures of sample delivery."""
+    """Base class of errors of sample delivery."""
 
     code = "delivery"
 
@@ -16,13 +16,13 @@
 
 
 class OwnerDeposedError(NotOwnerError):
-    """A majority of the replicas has promised a newer owner."""
+    """Replicas have promised a higher ballot, so a newer owner exists."""
 
     code = "stream_owner_deposed"
 
 
 class StaleBatchError(DeliveryError):
-    """The batch holds tokens older than the trainer accepts; go on with the next cursor."""
+    """The batch contains tokens older than the trainer accepts; pull the next cursor."""
 
     code = "stale_batch"
 
@@ -34,7 +34,7 @@
 
 
 class CursorTrimmedError(DeliveryError):
-    """The batch lies below the checkpointed cursor and its margin and was deleted."""
+    """The batch was deleted: it is older than the checkpointed cursor minus the trim margin."""
 
     code = "cursor_trimmed"
 
@@ -46,31 +46,31 @@
 
 
 class NothingReadyError(UnavailableError):
-    """Too few finished samples are inside the accepted versions; pull again later."""
+    """Too few finished samples have an accepted version; pull again later."""
 
     code = "nothing_ready"
 
 
 class QuorumUnavailableError(UnavailableError):
-    """No majority of the replicas answered; the operation may still take effect."""
+    """No majority of the replicas responded; the operation may still take effect."""
 
     code = "quorum_unavailable"
 
 
 class LogFullError(UnavailableError):
-    """A replica holds as many bytes of a stream as it may; trim by checkpointing."""
+    """A replica has reached its size limit for a stream; checkpoint to trim the log."""
 
     code = "stream_log_full"
 
 
 class EntryTooLargeError(DeliveryError):
-    """A step or a batch does not fit into one frame; nothing was recorded."""
+    """A step or a batch does not fit into one frame and was not recorded."""
 
     code = "stream_entry_too_large"
 
 
 class EpochMismatchError(UnavailableError):
-    """The sender uses another replica set configuration than this replica."""
+    """The sender and this replica use different epochs of the replica set."""
 
     code = "replica_epoch_mismatch"
 
@@ -82,6 +82,6 @@
 
 
 class LogInvariantError(DeliveryError):
-    """The chosen entries contradict each other; the stream stops rather than guess."""
+    """The chosen entries are inconsistent; the stream is stopped."""
 
     code = "stream_log_invariant"
--- a/drumbay/delivery/log_entries.py
+++ b/drumbay/delivery/log_entries.py
@@ -1,4 +1,4 @@
-"""Entries of a stream's replicated log, and their encoding."""
+"""Entries and snapshots of a stream's replicated log, and their encoding."""
 
 import msgspec
 import xxhash
@@ -12,25 +12,25 @@
 
 
 class StepSubmitted(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A trainer asked for the samples of one step."""
+    """A trainer requested the samples of one step."""
 
     step: int
     prompts: tuple[RolloutPrompt, ...]
 
 
 class BatchFixed(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """A batch was composed; from now on its cursor always yields these samples."""
+    """A batch was composed; every later pull of its cursor returns these samples."""
 
     batch: Batch
 
 
 class BatchRefused(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The trainer no longer accepts a batch; its samples are generated anew.
+    """The trainer no longer accepts a batch; its samples are generated again.
 
     Attributes:
-        cursor: The batch that is never handed out from now on.
-        oldest_accepted_version: What the trainer accepted when it was refused.
-        replacements: The samples under their new keys.
+        cursor: The batch, which is never delivered again.
+        oldest_accepted_version: Oldest version that the trainer accepted at the time.
+        replacements: The samples with their new keys.
     """
 
     cursor: Cursor
@@ -45,13 +45,13 @@
     """State of a stream after all entries below one position.
 
     Attributes:
-        next_position: The first position that is not contained.
+        next_position: The first position that is not included.
         next_cursor: Cursor of the next batch.
-        next_step: Number that the next submitted step must have at least.
-        oldest_accepted_version: Newest floor that was recorded.
-        outstanding: Samples that are in no batch. Every other sample of an earlier step
-            was delivered, so this list excludes duplicates without a history of keys.
-        refused: Refused cursors that are not below the trimmed ones.
+        next_step: Number of the next step to submit.
+        oldest_accepted_version: Highest oldest accepted version that was recorded.
+        outstanding: Samples that are not in a batch. All other samples of earlier steps were
+            delivered, so duplicates are detected without a history of keys.
+        refused: Refused cursors that were not trimmed.
     """
 
     next_position: int = 0
@@ -79,28 +79,28 @@
 
 
 def encode_entry(entry: LogEntry) -> bytes:
-    """Return an entry as checksummed bytes."""
+    """Encode an entry with a checksum."""
     return _with_checksum(_encoder.encode(entry))
 
 
 def decode_entry(encoded: bytes) -> LogEntry:
-    """Return the entry of checksummed bytes.
+    """Verify the checksum and decode an entry.
 
     Raises:
-        CorruptEntryError: The bytes were damaged.
+        CorruptEntryError: The checksum does not match.
     """
     return _entry_decoder.decode(_without_checksum(encoded))
 
 
 def encode_snapshot(snapshot: StreamSnapshot) -> bytes:
-    """Return a snapshot as checksummed bytes."""
+    """Encode a snapshot with a checksum."""
     return _with_checksum(_encoder.encode(snapshot))
 
 
 def decode_snapshot(encoded: bytes) -> StreamSnapshot:
-    """Return the snapshot of checksummed bytes.
+    """Verify the checksum and decode a snapshot.
 
     Raises:
-        CorruptEntryError: The bytes were damaged.
+        CorruptEntryError: The checksum does not match.
     """
     return _snapshot_decoder.decode(_without_checksum(encoded))
--- a/drumbay/delivery/messages.py
+++ b/drumbay/delivery/messages.py
@@ -7,16 +7,16 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True):
-    """Number of one recovery of a stream's log, as a Paxos ballot.
+    """Paxos ballot number of one recovery of a stream's log.
 
-    The fence of the ownership lease orders ballots. The boot identity keeps two ballots
-    apart even if the key-value service ever granted one fence twice, and the recovery
-    number keeps two recoveries of one owner apart: they may read different majorities and
-    so propose different entries at a position, which one ballot must never do.
+    Ballots are ordered by the fence of the ownership lease. The boot identity distinguishes ballots
+    even if the key-value service granted a fence twice. The recovery number distinguishes the
+    recoveries of one owner: they may read different majorities and therefore propose different
+    entries at a position, which a single ballot must never do.
 
     Attributes:
         fence: Fence of the ownership lease.
-        boot_id: Run of the owner's process.
+        boot_id: Identity of the owner's process run.
         recovery: Number of the recovery in that run.
     """
 
@@ -26,7 +26,7 @@
 
 
 NO_BALLOT = Ballot(Fence(-1), BootId(""))
-"""Lower than every ballot of an owner."""
+"""Lower than the ballot of any owner."""
 
 
 class AcceptedEntry(msgspec.Struct, frozen=True, kw_only=True):
@@ -38,7 +38,7 @@
 
 
 class StreamRequest(Message, frozen=True, kw_only=True):
-    """Base class of the requests of an owner."""
+    """Base class of requests from the owner of a stream."""
 
     stream: StreamName
     epoch: Epoch
@@ -46,20 +46,20 @@
 
 
 class StreamPromiseRequest(StreamRequest, frozen=True, kw_only=True):
-    """Ask a replica to refuse lower ballots for good (phase 1a)."""
+    """Requests a promise to reject lower ballots (phase 1a)."""
 
     from_position: int
 
 
 class StreamPromiseReply(Message, frozen=True, kw_only=True):
-    """Answer to a promise request (phase 1b); one page of the accepted entries.
+    """Reply to a promise request (phase 1b), with one page of the accepted entries.
 
     Attributes:
         granted: Whether the replica promised.
         promised: Highest ballot that the replica has promised.
         snapshot: Encoded state below the retained entries, if any were trimmed.
         entries: Accepted entries in order of position.
-        next_position: Where the next page starts; ``None`` on the last page.
+        next_position: First position of the next page; ``None`` on the last page.
     """
 
     granted: bool
@@ -70,25 +70,25 @@
 
 
 class StreamAcceptRequest(StreamRequest, frozen=True, kw_only=True):
-    """Ask a replica to accept an entry at a position (phase 2a)."""
+    """Requests the acceptance of an entry at a position (phase 2a)."""
 
     position: int
     entry: bytes
 
 
 class StreamConfirmRequest(StreamRequest, frozen=True, kw_only=True):
-    """Ask a replica whether the ballot is still the newest, before a read is served."""
+    """Checks whether the ballot is still the highest one, before a read is served."""
 
 
 class StreamTrimRequest(StreamRequest, frozen=True, kw_only=True):
-    """Replace the chosen entries below a position by a snapshot of their effect."""
+    """Requests the replacement of the chosen entries below a position by a snapshot."""
 
     below_position: int
     snapshot: bytes
 
 
 class StreamReply(Message, frozen=True, kw_only=True):
-    """Answer to an accept, confirm or trim request."""
+    """Reply to an accept, confirm or trim request."""
 
     granted: bool
     promised: Ballot
--- a/drumbay/delivery/quorum.py
+++ b/drumbay/delivery/quorum.py
@@ -1,4 +1,4 @@
-"""Calls to all replicas of a stream that end once a majority has granted."""
+"""Calls to all replicas of a stream that return once a majority has granted."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,24 +18,24 @@
 
 
 class ReplicaView(msgspec.Struct, frozen=True, kw_only=True):
-    """The replica set configuration that an owner uses."""
+    """The epoch and members of the replica set that an owner uses."""
 
     epoch: Epoch
     members: tuple[Address, ...]
 
 
 class Granted(msgspec.Struct, Generic[ResultT], frozen=True):
-    """Result of a replica that granted."""
+    """A replica granted the request."""
 
     result: ResultT
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """A replica answered that it has promised a higher ballot."""
+    """A replica refused the request because it promised a higher ballot."""
 
 
 class Failed(msgspec.Struct, frozen=True):
-    """A replica gave no usable answer."""
+    """A replica did not respond or responded with an error."""
 
     error: DrumbayError
 
@@ -47,7 +47,7 @@
 ) -> list[ResultT]:
     """Call every member and return the results of the first majority that granted.
 
-    Calls that are still under way go on, so that slower replicas get the entry too.
+    Pending calls continue, so that slower replicas receive the request too.
 
     Args:
         tasks: Owner of the calls.
@@ -58,15 +58,15 @@
         OwnerDeposedError: Too many failed or refused, and one refused.
         QuorumUnavailableError: Too many failed.
     """
-    answers: asyncio.Queue[Granted[ResultT] | Refused | Failed] = asyncio.Queue()
+    results: asyncio.Queue[Granted[ResultT] | Refused | Failed] = asyncio.Queue()
 
     async def run(member: Address) -> None:
         try:
             result = await call(member)
         except DrumbayError as error:
-            answers.put_nowait(Failed(error))
+            results.put_nowait(Failed(error))
         else:
-            answers.put_nowait(Refused() if result is None else Granted(result))
+            results.put_nowait(Refused() if result is None else Granted(result))
 
     for member in members:
         tasks.spawn(run(member), name=f"stream_replica_{member.host}:{member.port}")
@@ -76,8 +76,8 @@
     refused = 0
     while len(granted) < needed:
         if len(members) - refused - len(failures) < needed:
-            raise _shortfall(refused, failures)
-        match await answers.get():
+            raise _majority_error(refused, failures)
+        match await results.get():
             case Granted(result=result):
                 granted.append(result)
             case Refused():
@@ -87,15 +87,15 @@
     return granted
 
 
-def _shortfall(refused: int, failures: list[DrumbayError]) -> DrumbayError:
+def _majority_error(refused: int, failures: list[DrumbayError]) -> DrumbayError:
     if refused:
         return OwnerDeposedError(f"{refused} replicas promised a newer owner")
     details = "; ".join(f"{error.code}: {error}" for error in failures)
     return QuorumUnavailableError(details)
 
 
-def granted_or_none(reply: object) -> StreamReply | StreamPromiseReply | None:
-    """Return a granting reply, or ``None`` for a refusal."""
+def reply_if_granted(reply: object) -> StreamReply | StreamPromiseReply | None:
+    """Return a reply that grants the request, or ``None`` if it was refused."""
     if not isinstance(reply, StreamReply | StreamPromiseReply):
         raise QuorumUnavailableError(f"unexpected reply {type(reply).__name__}")
     return reply if reply.granted else None
--- a/drumbay/delivery/reopening.py
+++ b/drumbay/delivery/reopening.py
@@ -1,4 +1,4 @@
-"""Brings a stream replica back after a failed write, e.g. once a full disk has room again."""
+"""Restores a stream replica after a failed write, e.g. when a full disk has free space again."""
 
 from collections.abc import Callable
 
@@ -12,13 +12,13 @@
 
 
 class ReplicaReopener:
-    """Opens the record log of a replica anew after each failure.
+    """Reopens the record log of a replica after each storage failure.
 
     Args:
         replica: The replica.
         open_log: Opens its log.
         clock: Time.
-        task_owner: Owns the attempts.
+        task_owner: Owner of the reopening tasks.
     """
 
     def __init__(
@@ -28,14 +28,14 @@
         clock: Clock,
         task_owner: TaskOwner,
     ) -> None:
-        """Create a reopener; :meth:`start` begins to wait for failures."""
+        """Create a reopener; it handles failures after :meth:`start`."""
         self._replica = replica
         self._open_log = open_log
         self._clock = clock
         self._task_owner = task_owner
 
     def start(self) -> None:
-        """Reopen after each failure from now on."""
+        """Start to handle storage failures."""
         self._replica.on_storage_failure = self._handle_failure
 
     def _handle_failure(self, failed: RecordLog) -> None:
@@ -49,7 +49,7 @@
             try:
                 log = self._open_log()
                 if log.store_id != store_id:
-                    # NOTE: an emptied store has forgotten what it promised and must not vote.
+                    # NOTE: a store without its earlier promises must not vote.
                     await log.close()
                     raise StorageCorruptError("the store was emptied; restart to join as a new one")
                 self._replica.restore_from(log)
--- a/drumbay/delivery/replica.py
+++ b/drumbay/delivery/replica.py
@@ -1,4 +1,4 @@
-"""Shell of the acceptors of one disk-holding node."""
+"""Serves the stream acceptors of one node from its record log."""
 
 from collections.abc import Callable
 
@@ -28,7 +28,7 @@
 
 
 class StoredRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A record of one stream's acceptor as it stands in the record log."""
+    """A record of one stream's acceptor, as stored in the record log."""
 
     stream: StreamName
     record: AcceptorRecord
@@ -41,12 +41,12 @@
 class DeliveryReplica:
     """Serves the log requests of stream owners from one record log.
 
-    A reply leaves only after everything it relies on is durable. The memory state runs
-    ahead of the disk; after a failed write the replica refuses every request until its state
-    has been read back from the disk, so no reply can rely on a lost record.
+    A reply is sent only after the records that it depends on are durable. The state in memory is
+    ahead of the disk: after a failed write, the replica rejects all requests until its state was
+    read again from the disk, so that no reply depends on a lost record.
 
     Attributes:
-        on_storage_failure: Told of the log whose write failed.
+        on_storage_failure: Called with the log whose write failed.
     """
 
     def __init__(
@@ -57,13 +57,13 @@
         *,
         max_retained_bytes: int = DEFAULT_MAX_RETAINED_BYTES,
     ) -> None:
-        """Create a replica; ``start`` restores its state and serves.
+        """Create a replica; :meth:`start` restores its state and serves requests.
 
         Args:
-            transport: Where requests arrive.
-            log: The node's record log for sample batches.
-            current_epoch: Replica set configuration in which this node may vote.
-            max_retained_bytes: Most bytes of entries kept per stream.
+            transport: Receives the requests.
+            log: The node's record log of streams.
+            current_epoch: Returns the epoch of the replica set in which this node may vote.
+            max_retained_bytes: Maximum size of the retained entries per stream.
         """
         self._transport = transport
         self._log = log
@@ -75,16 +75,16 @@
 
     @property
     def acceptors(self) -> dict[StreamName, Acceptor]:
-        """Return the state of every stream.
+        """Return the acceptor of every stream.
 
         Raises:
-            StorageClosedError: A write failed, and the state was not read back yet.
+            StorageClosedError: A write failed, and the state was not read again yet.
         """
         self._require_open()
         return self._acceptors
 
     def restore_from(self, log: RecordLog) -> None:
-        """Take the state from a log and write to it from now on.
+        """Restore the state from a log, which is then used for writes.
 
         Raises:
             StorageError: The log could not be read.
@@ -97,7 +97,7 @@
         self._has_failed = False
 
     def start(self) -> None:
-        """Restore every stream from the record log and begin to serve."""
+        """Restore every stream from the record log and start to serve requests."""
         self.restore_from(self._log)
         self._transport.handle_calls(StreamPromiseRequest, self._handle_promise)
         self._transport.handle_calls(StreamAcceptRequest, self._handle_accept)
@@ -105,7 +105,7 @@
         self._transport.handle_calls(StreamTrimRequest, self._handle_trim)
 
     async def close(self) -> None:
-        """Wait for the writes under way and release the files."""
+        """Wait for pending writes and close the log."""
         await self._log.close()
 
     def _acceptor(self, stream: StreamName) -> Acceptor:
@@ -117,7 +117,7 @@
         """Make records durable.
 
         Raises:
-            StorageError: The write failed; nothing is served until the state is read back.
+            StorageError: The write failed; requests are rejected until the state is read again.
         """
         log = self._log
         try:
@@ -133,10 +133,10 @@
             raise
 
     def _require_open(self) -> None:
-        """Raise an error unless the state can be relied on.
+        """Raise an error if the state may be ahead of the disk.
 
         Raises:
-            StorageClosedError: A write failed, and the state was not read back yet.
+            StorageClosedError: A write failed, and the state was not read again yet.
         """
         if self._has_failed:
             raise StorageClosedError("the stream store is not open")
@@ -154,12 +154,12 @@
 
     async def _handle_accept(self, request: StreamAcceptRequest) -> Message:
         outcome = self._acceptor_for(request).accept(request)
-        if outcome.full:
-            raise LogFullError(f"stream {request.stream} holds its limit of bytes")
+        if outcome.is_full:
+            raise LogFullError(f"stream {request.stream} has reached its size limit")
         return await self._reply_when_durable(request.stream, outcome)
 
     async def _handle_confirm(self, request: StreamConfirmRequest) -> Message:
-        # NOTE: a confirmation promises nothing, so it relies on no durable record.
+        # NOTE: a confirmation changes no state, so it need not wait for a write.
         return self._acceptor_for(request).confirm(request).reply
 
     async def _handle_trim(self, request: StreamTrimRequest) -> Message:
@@ -171,28 +171,28 @@
 
     async def _reply_when_durable(self, stream: StreamName, outcome: AcceptorOutcome) -> Message:
         if outcome.reply.granted:
-            # NOTE: an empty append still waits for the earlier ones: a repeated request
-            # finds its record in memory while the first write is under way.
+            # NOTE: an empty append still waits for earlier writes: a repeated request may find
+            # its record in memory before that record is durable.
             await self._write(_encode(stream, outcome.records))
         return outcome.reply
 
     async def adopt(
         self,
         stream: StreamName,
-        choose_records: Callable[[Acceptor], tuple[AcceptorRecord, ...]],
+        select_records: Callable[[Acceptor], tuple[AcceptorRecord, ...]],
     ) -> None:
-        """Take in what another replica held of a stream, and make it durable.
+        """Add records of another replica to a stream, and make them durable.
 
         Args:
             stream: The stream.
-            choose_records: Returns the records that this replica lacks.
+            select_records: Returns the records that the acceptor lacks.
 
         Raises:
             StorageError: The write failed.
         """
         self._require_open()
         acceptor = self._acceptor(stream)
-        records = choose_records(acceptor)
+        records = select_records(acceptor)
         for record in records:
             acceptor.restore(record)
         await self._write(_encode(stream, records))
--- a/drumbay/delivery/replicated_log.py
+++ b/drumbay/delivery/replicated_log.py
@@ -1,4 +1,4 @@
-"""Shell of an owner's side of a stream's replicated log."""
+"""The owner's side of a stream's replicated log: recovery and proposals."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -23,7 +23,7 @@
     StreamPromiseRequest,
     StreamTrimRequest,
 )
-from drumbay.delivery.quorum import ReplicaView, call_majority, granted_or_none
+from drumbay.delivery.quorum import ReplicaView, call_majority, reply_if_granted
 from drumbay.delivery.recovery import ReplicaHistory, recover_log
 from drumbay.delivery.stream_owner import DEFAULT_TRIM_MARGIN, StreamOwner
 from drumbay.identifiers import BootId, Fence, StreamName
@@ -32,21 +32,20 @@
 from drumbay.tasks import TaskOwner
 
 MAX_ENTRY_BYTES = 3 * 1024 * 1024
-"""Limit of an encoded entry; a frame, with its envelope, is limited to 4 MiB."""
+"""Maximum size of an encoded entry; a frame with its envelope is limited to 4 MiB."""
 
-RESTORE_WINDOW_ENTRIES = 16
-"""Entries that a recovery has accepted at once; a batch is at most 2 MiB."""
+REACCEPT_WINDOW_ENTRIES = 16
+"""Number of recovered entries that are sent concurrently, each at most 3 MiB."""
 
 
 class DeliveryParameters(msgspec.Struct, frozen=True, kw_only=True):
     """Timing and retention of the delivery service.
 
     Attributes:
-        call_timeout_seconds: Time limit of one call to a replica; a majority that answers
-            sooner is not held up by the others.
-        pull_poll_seconds: Time between looks at the finished samples during a pull.
+        call_timeout_seconds: Timeout of one call to a replica.
+        pull_poll_seconds: Interval at which a waiting pull checks for finished samples.
         trim_margin: Batches kept below the trainer's checkpointed cursor.
-        max_open_steps: Newest steps that may be unfinished when a batch is composed.
+        max_open_steps: How many of the newest steps may be unfinished when a batch is composed.
     """
 
     call_timeout_seconds: float = DURABLE_REPLY_SECONDS
@@ -56,10 +55,10 @@
 
 
 class OwnedStream:
-    """An owner and the lock that keeps its proposals one at a time."""
+    """The state of an owned stream, with a lock that serializes its proposals."""
 
     def __init__(self, owner: StreamOwner, view: ReplicaView) -> None:
-        """Hold an owner whose log was recovered from ``view``."""
+        """Wrap an owner whose log was recovered from the replica set ``view``."""
         self.owner = owner
         self.view = view
         self.lock = asyncio.Lock()
@@ -71,7 +70,7 @@
 
 
 class ReplicatedLog:
-    """Recovers streams from their replicas and has entries accepted by a majority."""
+    """Recovers streams from their replicas and gets entries accepted by a majority."""
 
     def __init__(
         self,
@@ -81,25 +80,25 @@
         current_view: Callable[[], ReplicaView],
         parameters: DeliveryParameters,
     ) -> None:
-        """Create the owner's side; see :class:`~drumbay.delivery.service.DeliveryService`."""
+        """Create the log; for the arguments see :class:`.service.DeliveryService`."""
         self._transport = transport
         self._tasks = tasks
         self._boot_id = boot_id
         self._current_view = current_view
         self._parameters = parameters
-        self._recoveries = 0
+        self._recovery_count = 0
 
     async def recover(self, stream: StreamName, fence: Fence) -> OwnedStream:
-        """Read the log from a majority and have a majority accept it under a new ballot.
+        """Read the log from a majority and get it accepted under a new ballot.
 
         Raises:
             OwnerDeposedError: A newer owner exists.
-            QuorumUnavailableError: No majority of the replicas answered.
-            LogInvariantError: The replicas' logs contradict each other.
+            QuorumUnavailableError: No majority of the replicas responded.
+            LogInvariantError: The logs of the replicas are inconsistent.
         """
         view = self._current_view()
-        self._recoveries += 1
-        ballot = Ballot(fence, self._boot_id, self._recoveries)
+        self._recovery_count += 1
+        ballot = Ballot(fence, self._boot_id, self._recovery_count)
         histories = await call_majority(
             self._tasks,
             view.members,
@@ -115,9 +114,9 @@
         )
         owned = OwnedStream(owner, view)
         if recovered.snapshot.next_position > 0:
-            # NOTE: a new member of the replica set has no snapshot yet.
+            # NOTE: new members of the replica set may lack the snapshot.
             await self.trim(owned, recovered.snapshot)
-        await self.restore(owned, recovered.entries)
+        await self.reaccept(owned, recovered.entries)
         log_event(
             "stream_recovered",
             stream=stream,
@@ -128,39 +127,39 @@
         )
         return owned
 
-    async def restore(self, owned: OwnedStream, entries: Sequence[bytes]) -> None:
-        """Have a majority accept recovered entries again, and apply them.
+    async def reaccept(self, owned: OwnedStream, entries: Sequence[bytes]) -> None:
+        """Get recovered entries accepted by a majority again, and apply them.
 
-        The entries are fixed, so several are under way at once.
+        The entries are known in advance, so several are sent concurrently.
 
         Raises:
             OwnerDeposedError: A newer owner exists.
-            QuorumUnavailableError: No majority of the replicas answered.
+            QuorumUnavailableError: No majority of the replicas responded.
         """
         first = owned.owner.state.next_position
-        for start in range(0, len(entries), RESTORE_WINDOW_ENTRIES):
-            window = entries[start : start + RESTORE_WINDOW_ENTRIES]
-            accepts = [
+        for start in range(0, len(entries), REACCEPT_WINDOW_ENTRIES):
+            window = entries[start : start + REACCEPT_WINDOW_ENTRIES]
+            accept_calls = [
                 self._accept(owned, first + start + offset, encoded)
                 for offset, encoded in enumerate(window)
             ]
-            for outcome in await asyncio.gather(*accepts, return_exceptions=True):
+            for outcome in await asyncio.gather(*accept_calls, return_exceptions=True):
                 if outcome is not None:
                     raise outcome
         for encoded in entries:
             owned.owner.choose(decode_entry(encoded))
 
     async def propose(self, owned: OwnedStream, entry: LogEntry) -> None:
-        """Have a majority accept an entry at the next position, and apply it.
+        """Get an entry accepted by a majority at the next position, and apply it.
 
         Raises:
             EntryTooLargeError: The entry was not proposed.
             OwnerDeposedError: A newer owner exists.
-            QuorumUnavailableError: The entry may be accepted; it stays ``unresolved``.
+            QuorumUnavailableError: The entry may have been accepted; it stays ``unresolved``.
         """
         encoded = encode_entry(entry)
         if len(encoded) > MAX_ENTRY_BYTES:
-            # NOTE: once proposed it would be proposed again before any other, for ever.
+            # NOTE: an entry that was proposed and cannot be accepted would block the stream.
             raise EntryTooLargeError(f"{len(encoded)} bytes, limit {MAX_ENTRY_BYTES}")
         owned.owner.unresolved = entry
         await self._accept(owned, owned.owner.state.next_position, encoded)
@@ -179,8 +178,8 @@
     async def confirm(self, owned: OwnedStream) -> None:
         """Check with a majority that no newer owner exists.
 
-        As the read index of Raft (Ongaro, 2014, section 6.4): an owner that was paused and
-        replaced must not serve a batch that its successor has refused.
+        Similar to the read index of Raft (Ongaro, 2014, section 6.4): an owner that was paused
+        and replaced must not deliver a batch that its successor has refused.
         """
         request = StreamConfirmRequest(
             stream=owned.stream, epoch=owned.view.epoch, ballot=owned.owner.ballot
@@ -188,7 +187,7 @@
         await self._call_majority(owned, request)
 
     async def trim(self, owned: OwnedStream, snapshot: StreamSnapshot) -> None:
-        """Have a majority replace the entries below a snapshot by it.
+        """Get the entries below a snapshot replaced by it on a majority.
 
         Raises:
             OwnerDeposedError: A newer owner exists.
@@ -206,7 +205,7 @@
     async def _promise_history(
         self, member: Address, stream: StreamName, view: ReplicaView, ballot: Ballot
     ) -> ReplicaHistory | None:
-        """Read all pages of one replica; ``None`` if it refused."""
+        """Read all pages of one replica's promise; ``None`` if it refused."""
         snapshot: bytes | None = None
         entries: list[AcceptedEntry] = []
         from_position: int | None = 0
@@ -214,7 +213,7 @@
             request = StreamPromiseRequest(
                 stream=stream, epoch=view.epoch, ballot=ballot, from_position=from_position
             )
-            reply = granted_or_none(await self._call(member, request))
+            reply = reply_if_granted(await self._call(member, request))
             if not isinstance(reply, StreamPromiseReply):
                 return None
             snapshot = snapshot if reply.snapshot is None else reply.snapshot
@@ -228,6 +227,6 @@
 
     async def _call_majority(self, owned: OwnedStream, request: Message) -> None:
         async def call(member: Address) -> object | None:
-            return granted_or_none(await self._call(member, request))
+            return reply_if_granted(await self._call(member, request))
 
         await call_majority(self._tasks, owned.view.members, call)
--- a/drumbay/delivery/service.py
+++ b/drumbay/delivery/service.py
@@ -1,4 +1,4 @@
-"""Shell of the stream owners of one node."""
+"""Delivers the batches of the streams that a node owns."""
 
 from collections.abc import AsyncIterator, Callable, Iterable
 from contextlib import asynccontextmanager
@@ -17,8 +17,8 @@
 from drumbay.delivery.quorum import ReplicaView
 from drumbay.delivery.replicated_log import DeliveryParameters, OwnedStream, ReplicatedLog
 from drumbay.delivery.stream_owner import (
+    DeliverBatch,
     FixBatch,
-    HandOut,
     RefuseBatch,
 )
 from drumbay.identifiers import BootId, Cursor, Fence, StreamName, WeightVersion
@@ -28,12 +28,12 @@
 
 
 class StreamProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """How far a stream has come.
+    """Progress of a stream.
 
     Attributes:
-        delivered_samples: Samples in batches since this node took the stream over or since
-            the snapshot it started from; only differences mean anything.
-        outstanding_steps: Steps of the samples in no batch, in ascending order.
+        delivered_samples: Samples in batches since the snapshot from which this node recovered
+            the stream; only differences are meaningful.
+        outstanding_steps: Steps of the samples that are not in a batch, in ascending order.
     """
 
     delivered_samples: int
@@ -41,7 +41,7 @@
 
 
 class DeliveryService:
-    """Hands batches of the streams that this node owns to their trainers."""
+    """Delivers batches of the streams that this node owns to their trainers."""
 
     def __init__(
         self,
@@ -59,15 +59,16 @@
         """Create a service that owns no stream.
 
         Args:
-            transport: Reaches the replicas, this node's own included.
+            transport: Sends calls to the replicas, including that of this node.
             clock: Time.
-            tasks: Owner of the calls under way.
-            boot_id: Identity of this run of the process.
-            current_view: Replica set configuration in force.
-            on_work_changed: Called when ``missing`` of a stream may have changed.
-            on_samples_stale: Told how many finished samples of a stream were dropped.
+            tasks: Owner of pending calls.
+            boot_id: Identity of this process run.
+            current_view: Returns the current epoch and members of the replica set.
+            on_work_changed: Called when the missing samples of a stream may have changed.
+            on_samples_stale: Called with the number of finished samples of a stream that were
+                dropped as stale.
             parameters: Timing and retention.
-            log_type: The owner's side of the replicated log.
+            log_type: Class of the replicated log; replaced in tests.
         """
         self._clock = clock
         self._current_view = current_view
@@ -79,12 +80,12 @@
 
     @property
     def owned_streams(self) -> tuple[StreamName, ...]:
-        """Return the streams that this node believes to own."""
+        """Return the streams that this node owns, as far as it knows."""
         return tuple(self._streams)
 
     @property
     def outdated_streams(self) -> tuple[StreamName, ...]:
-        """Return the owned streams whose log must be recovered from a new replica set."""
+        """Return the owned streams whose log must be recovered from a newer replica set."""
         view = self._current_view()
         if not view.members:
             return ()
@@ -92,56 +93,56 @@
         return tuple(stream for stream, each in owned if each.view.epoch != view.epoch)
 
     def release(self, stream: StreamName) -> None:
-        """Stop owning a stream, e.g. after its lease was lost; finished samples are dropped."""
+        """Stop owning a stream, e.g. after its lease was lost, and drop its finished samples."""
         if self._streams.pop(stream, None) is not None:
             log_event("stream_released", stream=stream)
 
     async def take_over(self, stream: StreamName, fence: Fence) -> None:
-        """Recover the log of a stream under a new fence and own the stream.
+        """Become the owner of a stream by recovering its log under a new fence.
 
         Raises:
             OwnerDeposedError: A newer owner exists.
-            QuorumUnavailableError: No majority of the replicas answered.
-            LogInvariantError: The replicas' logs contradict each other.
+            QuorumUnavailableError: No majority of the replicas responded.
+            LogInvariantError: The logs of the replicas are inconsistent.
         """
         self.release(stream)
         self._streams[stream] = await self._log.recover(stream, fence)
         self._on_work_changed(stream)
 
     async def recover_outdated(self, stream: StreamName) -> None:
-        """Recover an owned stream now if the replica set changed.
+        """Recover an owned stream if the replica set has changed.
 
-        Every other operation does so too; this one is for a stream without requests.
+        Other operations do this too; this one is for streams without requests.
 
         Raises:
-            NotOwnerError: This node does not own the stream any more.
-            QuorumUnavailableError: No majority of the new set answered; try again.
+            NotOwnerError: This node no longer owns the stream.
+            QuorumUnavailableError: No majority of the new set responded; try again.
         """
-        async with self._exclusive(stream):
+        async with self._locked_stream(stream):
             return
 
-    async def _recover_again(self, owned: OwnedStream) -> None:
-        """Recover from the replica set in force, which is another than before.
+    async def _recover_from_new_replica_set(self, owned: OwnedStream) -> None:
+        """Recover a stream from the current replica set after a change of it.
 
-        The stream stays owned, with its finished samples, if that does not succeed yet.
+        If the recovery fails, the stream stays owned and keeps its finished samples.
         """
-        renewed = await self._log.recover(owned.stream, owned.owner.ballot.fence)
+        recovered = await self._log.recover(owned.stream, owned.owner.ballot.fence)
         for sample in owned.owner.ready.values():
-            renewed.owner.add_sample(sample)
+            recovered.owner.add_sample(sample)
         if self._streams.get(owned.stream) is owned:
-            self._streams[owned.stream] = renewed
+            self._streams[owned.stream] = recovered
 
     @asynccontextmanager
-    async def _exclusive(self, stream: StreamName) -> AsyncIterator[OwnedStream]:
-        """Hold an owned stream whose replica set is in force and whose log is resolved."""
+    async def _locked_stream(self, stream: StreamName) -> AsyncIterator[OwnedStream]:
+        """Lock a stream after bringing it up to date with its replica set and unresolved entry."""
         while True:
-            owned = self._owned(stream)
+            owned = self._require_owned(stream)
             async with owned.lock:
                 if self._streams.get(stream) is not owned:
                     continue
                 try:
                     if owned.view.epoch != self._current_view().epoch:
-                        await self._recover_again(owned)
+                        await self._recover_from_new_replica_set(owned)
                         continue
                     if owned.owner.unresolved is not None:
                         await self._log.propose(owned, owned.owner.unresolved)
@@ -155,50 +156,50 @@
     async def submit_step(
         self, stream: StreamName, step: int, prompts: Iterable[RolloutPrompt]
     ) -> None:
-        """Record the prompts of a trainer's step durably; repeating it has no effect.
+        """Record the prompts of a trainer's step durably; idempotent.
 
         Raises:
             NotOwnerError: This node does not own the stream.
             StepOutOfOrderError: An earlier step was not submitted.
-            QuorumUnavailableError: The step may be recorded; submit it again.
+            QuorumUnavailableError: The step may have been recorded; submit it again.
         """
-        async with self._exclusive(stream) as owned:
+        async with self._locked_stream(stream) as owned:
             entry = owned.owner.decide_submit(step, prompts)
             if entry is not None:
                 await self._log.propose(owned, entry)
         self._on_work_changed(stream)
 
     def add_sample(self, stream: StreamName, sample: Sample) -> bool:
-        """Hold a finished sample for the next batch; ``False`` for a duplicate.
+        """Add a finished sample for a later batch; return ``False`` for a duplicate.
 
         Raises:
             NotOwnerError: This node does not own the stream.
         """
-        return self._owned(stream).owner.add_sample(sample)
+        return self._require_owned(stream).owner.add_sample(sample)
 
     def recorded_floor(self, stream: StreamName) -> WeightVersion:
-        """Return the oldest accepted version that the stream's log records.
+        """Return the oldest accepted version recorded in the stream's log.
 
         Raises:
             NotOwnerError: This node does not own the stream.
         """
-        return self._owned(stream).owner.state.oldest_accepted_version
+        return self._require_owned(stream).owner.state.oldest_accepted_version
 
     def missing(self, stream: StreamName) -> tuple[OutstandingSample, ...]:
-        """Return the samples of a stream that have still to be generated.
+        """Return the samples of a stream that must still be generated.
 
         Raises:
             NotOwnerError: This node does not own the stream.
         """
-        return self._owned(stream).owner.missing()
+        return self._require_owned(stream).owner.missing()
 
     def progress(self, stream: StreamName) -> StreamProgress:
-        """Return how far a stream has come.
+        """Return the progress of a stream.
 
         Raises:
             NotOwnerError: This node does not own the stream.
         """
-        state = self._owned(stream).owner.state
+        state = self._require_owned(stream).owner.state
         return StreamProgress(
             delivered_samples=state.delivered_samples,
             outstanding_steps=tuple(sorted(key.step for key in state.outstanding)),
@@ -214,23 +215,23 @@
         min_samples: int = 1,
         wait_seconds: float = 0.0,
     ) -> Batch:
-        """Return the batch at a cursor; the same one for every pull.
+        """Return the batch at a cursor, which is the same for every pull.
 
         Args:
             stream: The trainer's stream.
             cursor: Position of the batch.
-            max_samples: Most samples, if the batch is composed now.
+            max_samples: Maximum number of samples, if the batch is composed by this pull.
             oldest_version: Oldest weight version that the trainer accepts now.
-            min_samples: Fewest samples, if the batch is composed now.
+            min_samples: Minimum number of samples, if the batch is composed by this pull.
             wait_seconds: How long to wait for enough samples.
 
         Raises:
             NotOwnerError: Another node owns the stream.
-            StaleBatchError: The trainer must go on with the next cursor.
+            StaleBatchError: The trainer must continue with the next cursor.
             CursorAheadError: An earlier batch was not pulled yet.
             CursorTrimmedError: The batch was deleted.
             NothingReadyError: Too few samples became ready in time.
-            QuorumUnavailableError: Pull again; the batch may be fixed already.
+            QuorumUnavailableError: The batch may have been recorded; pull again.
         """
         deadline = self._clock.monotonic() + wait_seconds
         while True:
@@ -251,7 +252,7 @@
         oldest_version: WeightVersion,
         min_samples: int,
     ) -> Batch:
-        async with self._exclusive(stream) as owned:
+        async with self._locked_stream(stream) as owned:
             stale = owned.owner.drop_stale(oldest_version)
             if stale:
                 self._on_samples_stale(stream, len(stale))
@@ -260,7 +261,7 @@
                 cursor, max_samples, oldest_version, min_samples=min_samples
             )
             match decision:
-                case HandOut(batch=batch):
+                case DeliverBatch(batch=batch):
                     await self._log.confirm(owned)
                     return batch
                 case FixBatch(entry=fixed):
@@ -278,18 +279,18 @@
         self._on_work_changed(stream)
 
     async def checkpointed(self, stream: StreamName, cursor: Cursor) -> None:
-        """Trim the log after the trainer stored ``cursor`` as its next one in a checkpoint.
+        """Trim the log after the trainer stored ``cursor`` as its next cursor in a checkpoint.
 
         Raises:
             NotOwnerError: This node does not own the stream.
-            QuorumUnavailableError: Some replicas may not have trimmed; a later call will.
+            QuorumUnavailableError: Some replicas may not have trimmed; a later call trims them.
         """
-        async with self._exclusive(stream) as owned:
+        async with self._locked_stream(stream) as owned:
             trim = owned.owner.decide_trim(cursor)
             if trim is not None:
                 await self._log.trim(owned, trim.snapshot)
 
-    def _owned(self, stream: StreamName) -> OwnedStream:
+    def _require_owned(self, stream: StreamName) -> OwnedStream:
         owned = self._streams.get(stream)
         if owned is None:
             raise NotOwnerError(f"stream {stream} is not owned here")
--- a/drumbay/delivery/state_copy.py
+++ b/drumbay/delivery/state_copy.py
@@ -1,8 +1,8 @@
-"""The coordinator's side: brings stream logs to the members of the next epoch.
+"""Copies stream logs to the members of the next epoch on behalf of a coordinator.
 
-An entry that was chosen in the old epoch is held by a majority of its members, and so by a
-sealed one. After the copy every new member holds it, or one with a higher ballot that then has
-the same content (Lamport, "Paxos Made Simple" (2001), section 2.2).
+An entry that was chosen in the old epoch is stored by a majority of its members, and therefore by
+a sealed one. After the copy, every new member has it or the same entry with a higher ballot
+(Lamport, "Paxos Made Simple" (2001), section 2.2).
 """
 
 import asyncio
@@ -15,41 +15,41 @@
 from drumbay.delivery.messages import NO_BALLOT
 from drumbay.delivery.transfer_messages import (
     AdoptStream,
-    HeldEntry,
+    EntrySummary,
     ListStreams,
     ReadStream,
-    StreamHolding,
     StreamRead,
     StreamsListed,
+    StreamSummary,
 )
 from drumbay.storage.interface import DURABLE_REPLY_SECONDS
 
 CALL_TIMEOUT_SECONDS = 5.0
-"""Time limit of a call that is answered from memory; a page may be large."""
+"""Timeout of a call that is answered from memory; a page may be large."""
 
-PAGE_BYTES = 1024 * 1024
-"""One page ends with the entry that reaches this size."""
+MAX_PAGE_BYTES = 1024 * 1024
+"""A page ends with the entry that reaches this size."""
 
 
-class _Missing(msgspec.Struct, frozen=True, kw_only=True):
-    """What a target lacks of one stream of a source."""
+class _MissingParts(msgspec.Struct, frozen=True, kw_only=True):
+    """The parts of one stream that a target lacks."""
 
-    entries: tuple[HeldEntry, ...]
+    entries: tuple[EntrySummary, ...]
     snapshot: bool
     promise: bool
 
 
 class StreamStateCopier:
-    """Copies only what each target lacks, so that a repeated copy is short."""
+    """Copies the parts of streams that each target lacks, so that a repeated copy is fast."""
 
     def __init__(self, transport: Transport) -> None:
-        """Reach replicas through ``transport``."""
+        """Create a copier that calls replicas through ``transport``."""
         self._transport = transport
 
     async def copy(
         self, sources: tuple[ReplicaMember, ...], target: tuple[ReplicaMember, ...]
     ) -> None:
-        """Bring every stream of the sources to every target member.
+        """Copy every stream of the sources to every target member.
 
         Raises:
             UnavailableError: A member failed during the copy.
@@ -59,32 +59,32 @@
             await asyncio.gather(*(self._copy_to(source, other) for other in others))
 
     async def _copy_to(self, source: ReplicaMember, target: ReplicaMember) -> None:
-        held = {holding.stream: holding for holding in await self._list(target)}
-        for holding in await self._list(source):
-            missing = _missing(holding, held.get(holding.stream))
-            if missing.entries or missing.snapshot or missing.promise:
-                await self._copy_stream(source, target, holding, missing)
+        existing = {summary.stream: summary for summary in await self._list(target)}
+        for summary in await self._list(source):
+            missing_parts = _missing_parts(summary, existing.get(summary.stream))
+            if missing_parts.entries or missing_parts.snapshot or missing_parts.promise:
+                await self._copy_stream(source, target, summary, missing_parts)
 
     async def _copy_stream(
         self,
         source: ReplicaMember,
         target: ReplicaMember,
-        holding: StreamHolding,
-        missing: _Missing,
+        summary: StreamSummary,
+        missing_parts: _MissingParts,
     ) -> None:
-        with_snapshot = missing.snapshot
-        for positions in _pages(missing.entries):
+        with_snapshot = missing_parts.snapshot
+        for positions in _pages(missing_parts.entries):
             request = ReadStream(
-                stream=holding.stream, positions=positions, with_snapshot=with_snapshot
+                stream=summary.stream, positions=positions, with_snapshot=with_snapshot
             )
             reply = await self._call(source, request)
             if not isinstance(reply, StreamRead):
                 raise UnexpectedReplyError(type(reply).__name__)
-            adopt = AdoptStream(stream=holding.stream, part=reply.part)
+            adopt = AdoptStream(stream=summary.stream, part=reply.part)
             await self._call(target, adopt, timeout_seconds=DURABLE_REPLY_SECONDS)
             with_snapshot = False
 
-    async def _list(self, member: ReplicaMember) -> tuple[StreamHolding, ...]:
+    async def _list(self, member: ReplicaMember) -> tuple[StreamSummary, ...]:
         reply = await self._call(member, ListStreams())
         if not isinstance(reply, StreamsListed):
             raise UnexpectedReplyError(type(reply).__name__)
@@ -100,30 +100,30 @@
         return await self._transport.call(member.address, request, timeout_seconds=timeout_seconds)
 
 
-def _missing(source: StreamHolding, target: StreamHolding | None) -> _Missing:
-    """Compare what two replicas hold of one stream."""
+def _missing_parts(source: StreamSummary, target: StreamSummary | None) -> _MissingParts:
+    """Return the parts of a source's stream that a target lacks."""
     below_position = source.below_position
     if target is not None:
         below_position = max(below_position, target.below_position)
-    held = {} if target is None else {each.position: each.ballot for each in target.entries}
-    return _Missing(
+    existing = {} if target is None else {each.position: each.ballot for each in target.entries}
+    return _MissingParts(
         entries=tuple(
             entry
             for entry in source.entries
             if entry.position >= below_position
-            and entry.ballot > held.get(entry.position, NO_BALLOT)
+            and entry.ballot > existing.get(entry.position, NO_BALLOT)
         ),
         snapshot=source.below_position > (0 if target is None else target.below_position),
         promise=target is None or source.promised > target.promised,
     )
 
 
-def _pages(entries: tuple[HeldEntry, ...]) -> list[tuple[int, ...]]:
-    """Split positions into pages; there is at least one, for the promise and the snapshot."""
+def _pages(entries: tuple[EntrySummary, ...]) -> list[tuple[int, ...]]:
+    """Split positions into pages; at least one, which carries the promise and the snapshot."""
     pages: list[list[int]] = [[]]
     page_bytes = 0
     for entry in entries:
-        if page_bytes >= PAGE_BYTES:
+        if page_bytes >= MAX_PAGE_BYTES:
             pages.append([])
             page_bytes = 0
         pages[-1].append(entry.position)
--- a/drumbay/delivery/stream_owner.py
+++ b/drumbay/delivery/stream_owner.py
@@ -1,7 +1,7 @@
-"""Decisions of the owner of one stream; the shell performs them.
+"""The state machine of the owner of one stream; it does no input or output.
 
-The owner proposes one entry at a time. An entry whose fate is unknown is kept and must be
-proposed again, unchanged, before another one: under one ballot a position has one value.
+The owner proposes one entry at a time. An entry whose outcome is unknown must be proposed again,
+unchanged, before the next one: with one ballot, a position has only one value.
 """
 
 from collections.abc import Iterable
@@ -29,38 +29,38 @@
 from drumbay.rollout.sample import RolloutPrompt, Sample, SampleKey
 
 DEFAULT_TRIM_MARGIN = 8
-"""Batches kept below the trainer's checkpointed cursor, for a restart from an older one."""
+"""Batches kept below the checkpointed cursor, for a restart from an older checkpoint."""
 
 
-class HandOut(msgspec.Struct, frozen=True, kw_only=True):
-    """Confirm the ballot with a majority, then hand out a batch that was chosen before."""
+class DeliverBatch(msgspec.Struct, frozen=True, kw_only=True):
+    """Confirm the ballot with a majority, then deliver a batch that was chosen before."""
 
     batch: Batch
 
 
 class FixBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Have a majority accept the entry, then hand out its batch."""
+    """Get the entry accepted by a majority, then deliver its batch."""
 
     entry: BatchFixed
 
 
 class RefuseBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Have a majority accept the entry, then answer with :class:`StaleBatchError`."""
+    """Get the entry accepted by a majority, then raise :class:`StaleBatchError`."""
 
     entry: BatchRefused
 
 
-PullDecision = HandOut | FixBatch | RefuseBatch
+PullDecision = DeliverBatch | FixBatch | RefuseBatch
 
 
 class Trim(msgspec.Struct, frozen=True, kw_only=True):
-    """Replace the entries below the snapshot's position on every replica."""
+    """Replace the entries below the snapshot's position on the replicas."""
 
     snapshot: StreamSnapshot
 
 
 class StreamOwner:
-    """State of the one owner of a stream."""
+    """State of the owner of a stream."""
 
     def __init__(
         self,
@@ -71,26 +71,26 @@
         trim_margin: int = DEFAULT_TRIM_MARGIN,
         max_open_steps: int | None = None,
     ) -> None:
-        """Start an ownership at a recovered snapshot; entries follow by ``choose``.
+        """Create an owner at a recovered snapshot; ``choose`` applies the entries after it.
 
         Args:
             stream: The sample stream.
-            ballot: Number of this ownership.
-            snapshot: Where the recovered log starts.
+            ballot: Ballot of this owner.
+            snapshot: Start of the recovered log.
             trim_margin: Batches kept below the trainer's checkpointed cursor.
             max_open_steps: How many of the newest steps may have unfinished samples when
-                a batch is composed; ``None`` for any number. It bounds how long a long
-                sample is put off while shorter ones of later steps overtake it.
+                a batch is composed; ``None`` for any number. It bounds how long a slow
+                sample is delayed in favor of faster ones of later steps.
         """
         self.stream = stream
         self.ballot = ballot
         self.state = StreamState(snapshot)
         self.ready: dict[SampleKey, Sample] = {}
         self.unresolved: LogEntry | None = None
-        # NOTE: a trimmed prefix must become a snapshot at an exact position, so the owner
-        # keeps the state there and the few chosen entries since.
-        self._base = StreamState(snapshot)
-        self._since_base: list[LogEntry] = []
+        # NOTE: a snapshot must match the exact position of a trim, so the owner keeps the state
+        # at the last trim and the entries chosen since.
+        self._trimmed_state = StreamState(snapshot)
+        self._entries_since_trim: list[LogEntry] = []
         self._trim_margin = trim_margin
         self._max_open_steps = max_open_steps
 
@@ -98,15 +98,15 @@
         """Apply an entry that a majority accepted at the next position."""
         self.unresolved = None
         self.state.apply(entry)
-        self._since_base.append(entry)
+        self._entries_since_trim.append(entry)
         for key in [key for key in self.ready if key not in self.state.outstanding]:
             del self.ready[key]
 
     def add_sample(self, sample: Sample) -> bool:
-        """Hold a finished sample until a batch takes it.
+        """Keep a finished sample until it is added to a batch.
 
         Returns:
-            ``False`` if the sample is a duplicate: delivered already, replaced, or held.
+            ``False`` if the sample was delivered, replaced or added before.
         """
         if sample.key not in self.state.outstanding or sample.key in self.ready:
             return False
@@ -114,14 +114,14 @@
         return True
 
     def missing(self) -> tuple[OutstandingSample, ...]:
-        """Return the samples that have still to be generated, earliest step first."""
+        """Return the samples that must still be generated, earliest step first."""
         wanted = sorted(key for key in self.state.outstanding if key not in self.ready)
         return tuple(self.state.outstanding[key] for key in wanted)
 
     def drop_stale(self, oldest_accepted: WeightVersion) -> tuple[SampleKey, ...]:
-        """Drop held samples that no later batch may take; they become missing again."""
-        floor = max(oldest_accepted, self.state.oldest_accepted_version)
-        stale = [key for key, sample in self.ready.items() if not is_fresh(sample, floor)]
+        """Drop finished samples that are too old for a batch; they must be generated again."""
+        oldest_allowed = max(oldest_accepted, self.state.oldest_accepted_version)
+        stale = [key for key, sample in self.ready.items() if not is_fresh(sample, oldest_allowed)]
         for key in stale:
             del self.ready[key]
         return tuple(stale)
@@ -146,13 +146,13 @@
         *,
         min_samples: int = 1,
     ) -> PullDecision:
-        """Decide about a pull of the batch at a cursor.
+        """Return how to serve a pull of the batch at a cursor.
 
         Raises:
             StaleBatchError: The batch was refused before.
             CursorTrimmedError: The batch was deleted.
             CursorAheadError: An earlier batch does not exist yet.
-            NothingReadyError: Fewer than ``min_samples`` fresh samples are held.
+            NothingReadyError: Fewer than ``min_samples`` fresh samples are ready.
         """
         if cursor < self.state.first_cursor:
             raise CursorTrimmedError(f"cursor {cursor}, first kept {self.state.first_cursor}")
@@ -167,7 +167,7 @@
             raise StaleBatchError(f"batch {cursor} was refused")
         batch = self.state.batches[cursor]
         if batch.oldest_version >= oldest_accepted:
-            return HandOut(batch=batch)
+            return DeliverBatch(batch=batch)
         replacements = [
             OutstandingSample(key=sample.key.next_reroll(), prompt=sample.prompt)
             for sample in batch.samples
@@ -186,41 +186,46 @@
         oldest_accepted: WeightVersion,
         min_samples: int,
     ) -> FixBatch:
-        floor = max(oldest_accepted, self.state.oldest_accepted_version)
-        samples = select_samples(self.ready.values(), floor, max_samples)
+        oldest_allowed = max(oldest_accepted, self.state.oldest_accepted_version)
+        samples = select_samples(self.ready.values(), oldest_allowed, max_samples)
         if len(samples) < max(1, min_samples):
             raise NothingReadyError(f"{len(samples)} fresh samples, {min_samples} wanted")
-        overdue = self._overdue_count(floor)
+        overdue = self._overdue_count(oldest_allowed)
         if overdue:
             raise NothingReadyError(f"{overdue} samples of an overdue step are not ready")
         batch = Batch(
-            stream=self.stream, cursor=cursor, oldest_accepted_version=floor, samples=samples
+            stream=self.stream,
+            cursor=cursor,
+            oldest_accepted_version=oldest_allowed,
+            samples=samples,
         )
         return FixBatch(entry=BatchFixed(batch=batch))
 
-    def _overdue_count(self, floor: WeightVersion) -> int:
-        """Return how many samples of steps that must be whole by now are not ready."""
+    def _overdue_count(self, oldest_allowed: WeightVersion) -> int:
+        """Return the number of unfinished samples of steps older than the open steps."""
         if self._max_open_steps is None:
             return 0
         first_open_step = self.state.next_step - self._max_open_steps
         overdue = [key for key in self.state.outstanding if key.step < first_open_step]
         return sum(
-            1 for key in overdue if key not in self.ready or not is_fresh(self.ready[key], floor)
+            1
+            for key in overdue
+            if key not in self.ready or not is_fresh(self.ready[key], oldest_allowed)
         )
 
     def decide_trim(self, checkpointed: Cursor) -> Trim | None:
-        """Return what to trim after the trainer checkpointed a cursor.
+        """Return the trim after the trainer checkpointed a cursor, or ``None``.
 
-        Batches from ``checkpointed - margin`` on are kept.
+        Batches from ``checkpointed - trim_margin`` on are kept.
         """
         first_kept = Cursor(min(checkpointed, self.state.next_cursor) - self._trim_margin)
         if first_kept <= self.state.first_cursor:
             return None
         below_position = self.state.batch_positions[first_kept]
-        count = below_position - self._base.next_position
-        for entry in self._since_base[:count]:
-            self._base.apply(entry)
-        del self._since_base[:count]
-        self._base.forget_below(first_kept)
-        self.state.forget_below(first_kept)
-        return Trim(snapshot=self._base.snapshot())
+        count = below_position - self._trimmed_state.next_position
+        for entry in self._entries_since_trim[:count]:
+            self._trimmed_state.apply(entry)
+        del self._entries_since_trim[:count]
+        self._trimmed_state.drop_below(first_kept)
+        self.state.drop_below(first_kept)
+        return Trim(snapshot=self._trimmed_state.snapshot())
--- a/drumbay/delivery/stream_state.py
+++ b/drumbay/delivery/stream_state.py
@@ -1,4 +1,4 @@
-"""State of a stream as the effect of its chosen log entries, in order of position."""
+"""State of a stream after its chosen log entries were applied in order."""
 
 from drumbay.delivery.batch import Batch, OutstandingSample
 from drumbay.delivery.exceptions import LogInvariantError
@@ -14,22 +14,22 @@
 
 
 class StreamState:
-    """The state machine that the replicated log drives; deterministic."""
+    """Deterministic state machine of the replicated log."""
 
     def __init__(self, snapshot: StreamSnapshot | None = None) -> None:
         """Start from a snapshot, or from the empty stream."""
-        start = StreamSnapshot() if snapshot is None else snapshot
-        self.next_position = start.next_position
-        self.next_cursor = start.next_cursor
-        self.first_cursor = start.next_cursor
-        self.next_step = start.next_step
-        self.oldest_accepted_version = start.oldest_accepted_version
-        self.outstanding = {held.key: held for held in start.outstanding}
+        initial = StreamSnapshot() if snapshot is None else snapshot
+        self.next_position = initial.next_position
+        self.next_cursor = initial.next_cursor
+        self.first_cursor = initial.next_cursor
+        self.next_step = initial.next_step
+        self.oldest_accepted_version = initial.oldest_accepted_version
+        self.outstanding = {sample.key: sample for sample in initial.outstanding}
         self.batches: dict[Cursor, Batch] = {}
         self.batch_positions: dict[Cursor, int] = {}
-        # NOTE: counts from the snapshot on; only differences mean anything.
+        # NOTE: counted since the snapshot, so only differences are meaningful.
         self.delivered_samples = 0
-        self.refused: dict[Cursor, None] = dict.fromkeys(start.refused)
+        self.refused: dict[Cursor, None] = dict.fromkeys(initial.refused)
 
     def apply(self, entry: LogEntry) -> None:
         """Apply the entry at ``next_position``.
@@ -62,19 +62,19 @@
         self.batches[batch.cursor] = batch
         self.batch_positions[batch.cursor] = self.next_position
         self.next_cursor = Cursor(batch.cursor + 1)
-        self._raise_floor(batch.oldest_accepted_version)
+        self._raise_oldest_accepted_version(batch.oldest_accepted_version)
 
     def _apply_refusal(self, entry: BatchRefused) -> None:
         self.refused[entry.cursor] = None
         for replacement in entry.replacements:
             self.outstanding[replacement.key] = replacement
-        self._raise_floor(entry.oldest_accepted_version)
+        self._raise_oldest_accepted_version(entry.oldest_accepted_version)
 
-    def _raise_floor(self, version: WeightVersion) -> None:
+    def _raise_oldest_accepted_version(self, version: WeightVersion) -> None:
         self.oldest_accepted_version = max(self.oldest_accepted_version, version)
 
     def snapshot(self) -> StreamSnapshot:
-        """Return the state below ``next_position``, without the batches themselves."""
+        """Return the state below ``next_position``, without the contents of batches."""
         return StreamSnapshot(
             next_position=self.next_position,
             next_cursor=self.next_cursor,
@@ -84,11 +84,11 @@
             refused=tuple(self.refused),
         )
 
-    def forget_below(self, cursor: Cursor) -> None:
-        """Drop the batches and refusals below a cursor that was trimmed."""
+    def drop_below(self, cursor: Cursor) -> None:
+        """Drop the batches and refusals below a trimmed cursor."""
         self.first_cursor = max(self.first_cursor, cursor)
-        for held in [held for held in self.batches if held < cursor]:
-            del self.batches[held]
-            del self.batch_positions[held]
-        for held in [held for held in self.refused if held < cursor]:
-            del self.refused[held]
+        for outdated in [outdated for outdated in self.batches if outdated < cursor]:
+            del self.batches[outdated]
+            del self.batch_positions[outdated]
+        for outdated in [outdated for outdated in self.refused if outdated < cursor]:
+            del self.refused[outdated]
--- a/drumbay/delivery/transfer.py
+++ b/drumbay/delivery/transfer.py
@@ -1,7 +1,7 @@
-"""The replica's side of a change of the replica set: lists, reads and adopts stream logs.
+"""Serves stream logs to coordinators that copy them to another replica set.
 
-Adopting is monotone: promises only rise, and per position the entry with the higher ballot
-stays. It may therefore happen at any time, in any order and again.
+Adopting records is monotone: promises only increase, and at each position the entry with the
+higher ballot is kept. It is therefore idempotent and safe at any time and in any order.
 """
 
 from drumbay.comm.interface import Message, Transport
@@ -16,14 +16,14 @@
 from drumbay.delivery.replica import DeliveryReplica
 from drumbay.delivery.transfer_messages import (
     AdoptStream,
-    HeldEntry,
+    EntrySummary,
     ListStreams,
     ReadStream,
     StreamAdopted,
-    StreamHolding,
     StreamPart,
     StreamRead,
     StreamsListed,
+    StreamSummary,
 )
 from drumbay.identifiers import StreamName
 
@@ -32,12 +32,12 @@
     """Serves the stream logs of one replica to coordinators of epoch changes."""
 
     def __init__(self, transport: Transport, replica: DeliveryReplica) -> None:
-        """Serve ``replica`` after :meth:`start`."""
+        """Create a server of ``replica``; it starts with :meth:`start`."""
         self._transport = transport
         self._replica = replica
 
     def start(self) -> None:
-        """Begin to serve; the replica must have been started."""
+        """Start to serve requests; the replica must have been started."""
         self._transport.handle_calls(ListStreams, self._list)
         self._transport.handle_calls(ReadStream, self._read)
         self._transport.handle_calls(AdoptStream, self._adopt)
@@ -45,7 +45,7 @@
     async def _list(self, _request: ListStreams) -> Message:
         acceptors = self._replica.acceptors
         return StreamsListed(
-            holdings=tuple(_holding(stream, acceptors[stream]) for stream in sorted(acceptors))
+            holdings=tuple(_summarize(stream, acceptors[stream]) for stream in sorted(acceptors))
         )
 
     async def _read(self, request: ReadStream) -> Message:
@@ -66,21 +66,21 @@
         return StreamAdopted()
 
 
-def _holding(stream: StreamName, acceptor: Acceptor) -> StreamHolding:
+def _summarize(stream: StreamName, acceptor: Acceptor) -> StreamSummary:
     entries = (acceptor.accepted[position] for position in sorted(acceptor.accepted))
-    return StreamHolding(
+    return StreamSummary(
         stream=stream,
         promised=acceptor.promised,
         below_position=acceptor.below_position,
         entries=tuple(
-            HeldEntry(position=entry.position, ballot=entry.ballot, size_bytes=len(entry.entry))
+            EntrySummary(position=entry.position, ballot=entry.ballot, size_bytes=len(entry.entry))
             for entry in entries
         ),
     )
 
 
 def records_to_adopt(acceptor: Acceptor, part: StreamPart) -> tuple[AcceptorRecord, ...]:
-    """Return the records by which an acceptor learns what it lacks of a part."""
+    """Return the records of a part that an acceptor lacks."""
     records: list[AcceptorRecord] = []
     if part.promised > acceptor.promised:
         records.append(PromisedRecord(ballot=part.promised))
@@ -95,5 +95,5 @@
 
 
 def _is_newer(acceptor: Acceptor, entry: AcceptedEntry) -> bool:
-    held = acceptor.accepted.get(entry.position)
-    return held is None or entry.ballot > held.ballot
+    existing = acceptor.accepted.get(entry.position)
+    return existing is None or entry.ballot > existing.ballot
--- a/drumbay/delivery/transfer_messages.py
+++ b/drumbay/delivery/transfer_messages.py
@@ -1,4 +1,4 @@
-"""Messages that carry stream logs from the replicas of one epoch to those of the next."""
+"""Messages that copy stream logs from the replicas of one epoch to those of the next."""
 
 import msgspec
 
@@ -7,42 +7,42 @@
 from drumbay.identifiers import StreamName
 
 
-class HeldEntry(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """An entry that a replica holds, without its content."""
+class EntrySummary(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+    """Position, ballot and size of an entry, without its content."""
 
     position: int
     ballot: Ballot
     size_bytes: int
 
 
-class StreamHolding(msgspec.Struct, frozen=True, kw_only=True):
-    """What a replica holds of one stream.
+class StreamSummary(msgspec.Struct, frozen=True, kw_only=True):
+    """Summary of one stream on a replica, without contents.
 
     Attributes:
         stream: The stream.
         promised: Highest ballot promised.
-        below_position: Positions below it are replaced by a snapshot.
+        below_position: Entries below it were replaced by a snapshot.
         entries: Accepted entries in order of position.
     """
 
     stream: StreamName
     promised: Ballot
     below_position: int
-    entries: tuple[HeldEntry, ...]
+    entries: tuple[EntrySummary, ...]
 
 
 class ListStreams(Message, frozen=True, kw_only=True):
-    """Asks a replica what it holds."""
+    """Requests a summary of the streams of a replica."""
 
 
 class StreamsListed(Message, frozen=True, kw_only=True):
-    """Everything a replica holds, without the contents."""
+    """Summaries of all streams of a replica."""
 
-    holdings: tuple[StreamHolding, ...]
+    holdings: tuple[StreamSummary, ...]
 
 
 class ReadStream(Message, frozen=True, kw_only=True):
-    """Asks a replica for its promise, its snapshot and the entries at some positions."""
+    """Requests the promise, the snapshot and the entries at some positions of a stream."""
 
     stream: StreamName
     positions: tuple[int, ...]
@@ -50,12 +50,12 @@
 
 
 class StreamPart(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of what a replica holds of one stream.
+    """A part of one stream on a replica.
 
     Attributes:
         promised: Highest ballot promised.
-        below_position: Positions that the snapshot replaces; 0 without one.
-        snapshot: Encoded effect of the entries below that position.
+        below_position: Position below which the snapshot replaces entries; 0 without one.
+        snapshot: Encoded snapshot of the entries below that position.
         entries: Accepted entries.
     """
 
@@ -66,17 +66,17 @@
 
 
 class StreamRead(Message, frozen=True, kw_only=True):
-    """The part that was asked for."""
+    """The requested part of a stream."""
 
     part: StreamPart
 
 
 class AdoptStream(Message, frozen=True, kw_only=True):
-    """Gives a replica what another one held, as if it had accepted it itself."""
+    """Transfers a part of a stream to another replica, which adopts the records it lacks."""
 
     stream: StreamName
     part: StreamPart
 
 
 class StreamAdopted(Message, frozen=True, kw_only=True):
-    """The part is durable here."""
+    """The part is durable on this replica."""
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""Exactly-once delivery: each mechanism's absence is reported by the trainer's own log."""
+"""Tests of exactly-once delivery; a recording trainer detects each removed safety mechanism."""
 
 import asyncio
 import contextlib
@@ -37,7 +37,7 @@
 
 
 class UnfencedAcceptor(Acceptor):
-    """Fault: accepts entries of any owner."""
+    """Fault: accepts entries from any owner, regardless of its ballot."""
 
     def accept(self, request: StreamAcceptRequest) -> AcceptorOutcome:
         self.promised = min(self.promised, request.ballot)
@@ -55,8 +55,8 @@
         return self.acceptors.setdefault(stream, UnfencedAcceptor())
 
 
-class EarlyHandOutLog(ReplicatedLog):
-    """Fault: takes an entry as chosen without waiting for a majority."""
+class NoMajorityLog(ReplicatedLog):
+    """Fault: treats an entry as chosen without a majority."""
 
     async def propose(self, owned: OwnedStream, entry: LogEntry) -> None:
         try:
@@ -65,31 +65,31 @@
             owned.owner.choose(entry)
 
 
-class ForgetfulLog(ReplicatedLog):
-    """Fault: a new owner takes over the submitted steps but not the fixed batches."""
+class BatchLosingLog(ReplicatedLog):
+    """Fault: a new owner recovers the submitted steps but not the batches."""
 
-    async def restore(self, owned: OwnedStream, entries: Sequence[bytes]) -> None:
-        kept = [e for e in entries if not isinstance(decode_entry(e), BatchFixed)]
-        await super().restore(owned, kept)
+    async def reaccept(self, owned: OwnedStream, entries: Sequence[bytes]) -> None:
+        remaining = [e for e in entries if not isinstance(decode_entry(e), BatchFixed)]
+        await super().reaccept(owned, remaining)
 
 
 class UnconfirmedLog(ReplicatedLog):
-    """Fault: a known batch is handed out without asking the replicas."""
+    """Fault: delivers a chosen batch without confirming the ballot."""
 
     async def confirm(self, owned: OwnedStream) -> None:
         return
 
 
-class OneBallotLog(ReplicatedLog):
-    """Fault: every recovery of one owner uses the same ballot."""
+class SingleBallotLog(ReplicatedLog):
+    """Fault: all recoveries of one owner use the same ballot."""
 
     async def recover(self, stream: StreamName, fence: Fence) -> OwnedStream:
-        self._recoveries = 0
+        self._recovery_count = 0
         return await super().recover(stream, fence)
 
 
-class TrustingAcceptor(Acceptor):
-    """Fault: takes an entry under a ballot that it knows as the one it holds."""
+class BallotOnlyAcceptor(Acceptor):
+    """Fault: grants an entry whose ballot equals that of the accepted entry."""
 
     def accept(self, request: StreamAcceptRequest) -> AcceptorOutcome:
         held = self.accepted.get(request.position)
@@ -98,15 +98,15 @@
         return super().accept(request)
 
 
-class TrustingReplica(DeliveryReplica):
-    """Fault: the replica's acceptors compare ballots alone."""
+class BallotOnlyReplica(DeliveryReplica):
+    """Fault: the replica's acceptors compare ballots but not entries."""
 
     def _acceptor(self, stream: StreamName) -> Acceptor:
-        return self.acceptors.setdefault(stream, TrustingAcceptor())
+        return self.acceptors.setdefault(stream, BallotOnlyAcceptor())
 
 
-class UncheckedService(DeliveryService):
-    """Fault: staleness is checked when a batch is composed, not when it is handed out."""
+class NoStalenessCheckService(DeliveryService):
+    """Fault: staleness is checked when a batch is composed, not when it is delivered."""
 
     async def pull(
         self,
@@ -118,16 +118,16 @@
         min_samples: int = 1,
         wait_seconds: float = 0.0,
     ) -> Batch:
-        if cursor < self._owned(stream).owner.state.next_cursor:
+        if cursor < self._require_owned(stream).owner.state.next_cursor:
             oldest_version = WeightVersion(0)
         return await super().pull(stream, cursor, max_samples, oldest_version)
 
 
 class DuplicatingService(DeliveryService):
-    """Fault: holds every finished sample, whether or not it was delivered."""
+    """Fault: adds every finished sample, even if it was delivered before."""
 
     def add_sample(self, stream: StreamName, sample: Sample) -> bool:
-        self._owned(stream).owner.ready[sample.key] = sample
+        self._require_owned(stream).owner.ready[sample.key] = sample
         return True
 
 
@@ -146,7 +146,7 @@
             self.assertEqual(first.owned_streams, ())
         return trainer.violations()
 
-    async def test_two_owners(self) -> None:
+    async def test_replaced_owner_cannot_deliver(self) -> None:
         self.assertIn("cursor changed its bytes", await self.two_owners(UnfencedReplica))
         self.assertEqual(await self.two_owners(DeliveryReplica), [])
 
@@ -166,14 +166,14 @@
         await trainer.pull(second, 0, 1)
         return trainer.violations()
 
-    async def test_hand_out_before_majority(self) -> None:
-        red = await self.owner_death(EarlyHandOutLog, cut_replicas=True)
-        self.assertIn("cursor changed its bytes", red)
+    async def test_delivery_requires_a_majority(self) -> None:
+        faulty = await self.owner_death(NoMajorityLog, cut_replicas=True)
+        self.assertIn("cursor changed its bytes", faulty)
         self.assertEqual(await self.owner_death(ReplicatedLog, cut_replicas=True), [])
 
-    async def test_pull_again_after_owner_death(self) -> None:
-        red = await self.owner_death(ForgetfulLog, cut_replicas=False)
-        self.assertIn("cursor changed its bytes", red)
+    async def test_repeated_pull_after_owner_death(self) -> None:
+        faulty = await self.owner_death(BatchLosingLog, cut_replicas=False)
+        self.assertIn("cursor changed its bytes", faulty)
         self.assertEqual(await self.owner_death(ReplicatedLog, cut_replicas=False), [])
 
     async def frozen_owner(self, log_type: type[ReplicatedLog]) -> list[str]:
@@ -190,14 +190,14 @@
             self.assertEqual(frozen.owned_streams, ())
         return trainer.violations()
 
-    async def test_frozen_owner_wakes(self) -> None:
+    async def test_frozen_owner_cannot_deliver_refused_batch(self) -> None:
         self.assertIn("refused batch handed out", await self.frozen_owner(UnconfirmedLog))
         self.assertEqual(await self.frozen_owner(ReplicatedLog), [])
 
     async def two_recoveries(
         self, replica_type: type[DeliveryReplica], log_type: type[ReplicatedLog]
     ) -> list[str]:
-        """An owner's first recovery fails half way; its second reads another majority."""
+        """The first recovery of an owner fails midway; the second one reads another majority."""
         cluster = Cluster(replica_type)
         trainer = RecordingTrainer()
         first = await cluster.owner_with_step("first", 1)
@@ -222,12 +222,14 @@
         await trainer.pull(third, 0, 1)
         return trainer.violations()
 
-    async def test_two_recoveries_of_one_owner(self) -> None:
-        red = await self.two_recoveries(TrustingReplica, OneBallotLog)
-        self.assertIn("cursor changed its bytes", red)
+    async def test_recoveries_of_one_owner_use_different_ballots(self) -> None:
+        faulty = await self.two_recoveries(BallotOnlyReplica, SingleBallotLog)
+        self.assertIn("cursor changed its bytes", faulty)
         self.assertEqual(await self.two_recoveries(DeliveryReplica, ReplicatedLog), [])
 
-    async def later_floor(self, service_type: type[DeliveryService]) -> RecordingTrainer:
+    async def raise_oldest_accepted_version(
+        self, service_type: type[DeliveryService]
+    ) -> RecordingTrainer:
         cluster = Cluster()
         trainer = RecordingTrainer()
         owner = await cluster.owner_with_step("first", 1, service_type)
@@ -240,12 +242,12 @@
                 await trainer.pull(owner, cursor, 2)
         return trainer
 
-    async def test_staleness_is_checked_at_hand_out(self) -> None:
-        red = await self.later_floor(UncheckedService)
-        self.assertIn("tokens older than accepted", red.violations())
-        green = await self.later_floor(DeliveryService)
-        self.assertEqual(green.violations(), [])
-        batches = [entry.batch for entry in green.log if entry.batch and entry.accepted == 2]
+    async def test_staleness_is_checked_at_delivery(self) -> None:
+        faulty = await self.raise_oldest_accepted_version(NoStalenessCheckService)
+        self.assertIn("tokens older than accepted", faulty.violations())
+        correct = await self.raise_oldest_accepted_version(DeliveryService)
+        self.assertEqual(correct.violations(), [])
+        batches = [entry.batch for entry in correct.log if entry.batch and entry.accepted == 2]
         keys = [sample.key for batch in batches for sample in batch.samples]
         rerolled = [SampleKey(0, 0, 1), SampleKey(0, 1, 1), SampleKey(0, 2), SampleKey(0, 3)]
         self.assertEqual(keys, rerolled)
@@ -256,22 +258,22 @@
         owner = await cluster.owner_with_step("first", 1, service_type)
         finish_missing(owner, 1, "first")
         await trainer.pull(owner, 0, 1)
-        # The trainer restarts from a checkpoint before step 0; a retried rollout ends late.
+        # The trainer restarts from a checkpoint before step 0, and a retried rollout finishes late.
         await owner.submit_step(STREAM, 0, prompts(4))
         owner.add_sample(STREAM, finished(SampleKey(0, 0), 1, "retried"))
         await trainer.pull(owner, 0, 1)
         await trainer.pull(owner, 1, 1)
         return trainer.violations()
 
-    async def test_duplicates(self) -> None:
-        red = await self.repeated_rollouts(DuplicatingService)
-        self.assertIn("sample delivered twice", red)
+    async def test_duplicate_samples_are_dropped(self) -> None:
+        faulty = await self.repeated_rollouts(DuplicatingService)
+        self.assertIn("sample delivered twice", faulty)
         self.assertEqual(await self.repeated_rollouts(DeliveryService), [])
 
 
 class DeliveryTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        # The debug mode records a stack per callback, most of the time of random histories.
+        # The debug mode records a stack per callback, which makes random histories slow.
         asyncio.get_running_loop().set_debug(False)
 
     async def test_log_survives_restart_of_all_replicas_and_trims(self) -> None:
@@ -300,7 +302,7 @@
         keys = [s.key for entry in trainer.log if entry.batch for s in entry.batch.samples]
         self.assertEqual(len(set(keys)), 40)
 
-    async def test_typed_refusals(self) -> None:
+    async def test_invalid_requests_raise_specific_errors(self) -> None:
         cluster = Cluster()
         trainer = RecordingTrainer()
         owner = await cluster.owner_with_step("first", 1)
@@ -315,7 +317,7 @@
             await owner.submit_step(STREAM, 1, [large])
         await owner.submit_step(STREAM, 1, prompts(1))
 
-    async def test_replica_set_change_moves_log_and_snapshot_to_the_new_member(self) -> None:
+    async def test_replica_set_change_copies_log_and_snapshot_to_new_member(self) -> None:
         cluster = Cluster()
         trainer = RecordingTrainer()
         owner = await cluster.owner_with_step("first", 1)
@@ -352,8 +354,8 @@
 
     async def test_random_histories(self) -> None:
         seeds = range(40)
-        red = [await self.run_history(random.Random(seed), UnfencedReplica) for seed in seeds]
-        self.assertTrue(any(red))
+        faulty = [await self.run_history(random.Random(seed), UnfencedReplica) for seed in seeds]
+        self.assertTrue(any(faulty))
         for seed in seeds:
             with self.subTest(seed=seed):
                 self.assertEqual(await self.run_history(random.Random(seed), DeliveryReplica), [])
--- a/tests/test_delivery_epochs.py
+++ b/tests/test_delivery_epochs.py
@@ -1,4 +1,4 @@
-"""Stream logs over changes of the replica set and losses of disks."""
+"""Tests of stream logs during changes of the replica set and after losses of disks."""
 
 import unittest
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class StreamWorld(World):
-    """Disk nodes that also keep stream logs."""
+    """A cluster whose disk nodes also store stream logs."""
 
     def __init__(self, *, copies_streams: bool, follows_store: bool, coordinate: bool) -> None:
         super().__init__(settings=Settings(disk_nodes=4, coordinate=coordinate))
@@ -57,7 +57,7 @@
 
     @staticmethod
     def view_epoch(node: Node) -> Callable[[], Epoch]:
-        """Return the epoch that the node believes in, whatever its disk remembers."""
+        """Return a callable for the node's known epoch, regardless of its disk."""
 
         def epoch() -> Epoch:
             view = node.watcher.replica_set()
@@ -77,7 +77,7 @@
         )
 
     async def pull_as_owner(self, name: str, fence: int) -> None:
-        """Take the stream over at a node and hand out its first batch."""
+        """Take over the stream at a node and pull its first batch."""
         node = self.nodes[name]
         owner = self.delivery(node)
 
@@ -90,8 +90,8 @@
         await node.process.spawn(run(), "owner")
 
 
-class HeldOwnership:
-    """Ownership of every stream under one fence, for good."""
+class PermanentOwnership:
+    """Permanent ownership of every stream under one fence."""
 
     def add_listener(self, _listener: object) -> None:
         return
@@ -101,7 +101,7 @@
 
 
 class IdleWorker:
-    """Generates nothing."""
+    """A worker that generates no samples."""
 
     def start_stream(self, stream: StreamName, fence: Fence) -> None:
         return
@@ -119,9 +119,9 @@
         self.addCleanup(logger.enable, "drumbay")
 
     def run_world(self, world: Callable[[], StreamWorld], *, lose_disk: bool) -> list[str]:
-        """Hand out a batch held by d1 and d2 only, lose d1, and hand it out again.
+        """Deliver a batch stored only by d1 and d2, lose d1, and deliver the batch again.
 
-        The second owner hears d3 and either the replacement of d1 or d1 with an empty disk.
+        The second owner reaches d3 and either the replacement of d1 or d1 with an empty disk.
         """
 
         async def main() -> list[str]:
@@ -146,28 +146,28 @@
         return run_simulation(main)
 
     async def start_first_epoch(self, cluster: StreamWorld) -> None:
-        """Let one coordinator make the first set, and none change it later."""
+        """Let one coordinator create the first replica set, which is not changed later."""
         reconfigurator = cluster.nodes["d1"].reconfigurator
         await cluster.nodes["d1"].process.spawn(reconfigurator.step(), "step")
         await cluster.clock.sleep(1.0)
 
-    def test_new_member_gets_the_stream_logs(self) -> None:
+    def test_new_member_receives_stream_logs(self) -> None:
         def world(copies: bool) -> Callable[[], StreamWorld]:
             return lambda: StreamWorld(copies_streams=copies, follows_store=True, coordinate=True)
 
         self.assertEqual(self.run_world(world(True), lose_disk=False), [])
-        without = self.run_world(world(False), lose_disk=False)
-        self.assertIn("cursor changed its bytes", without)
+        faulty = self.run_world(world(False), lose_disk=False)
+        self.assertIn("cursor changed its bytes", faulty)
 
     def test_store_that_lost_its_disk_does_not_vote(self) -> None:
         def world(follows: bool) -> Callable[[], StreamWorld]:
             return lambda: StreamWorld(copies_streams=True, follows_store=follows, coordinate=False)
 
         self.assertEqual(self.run_world(world(True), lose_disk=True), ["refused"])
-        without = self.run_world(world(False), lose_disk=True)
-        self.assertIn("cursor changed its bytes", without)
+        faulty = self.run_world(world(False), lose_disk=True)
+        self.assertIn("cursor changed its bytes", faulty)
 
-    def test_owner_recovers_its_streams_after_a_change(self) -> None:
+    def test_owner_recovers_its_streams_after_replica_set_change(self) -> None:
         async def main() -> None:
             cluster = StreamWorld(copies_streams=True, follows_store=True, coordinate=True)
             await cluster.start_all()
@@ -177,7 +177,7 @@
                 clock=node.clock,
                 transport=node.transport,
                 node_id=NodeId("n1"),
-                ownership=cast(OwnershipManager, HeldOwnership()),
+                ownership=cast(OwnershipManager, PermanentOwnership()),
                 delivery=owner,
                 worker=IdleWorker(),
                 address_of=lambda _node_id: None,
--- a/tests/test_rollout_bench.py
+++ b/tests/test_rollout_bench.py
@@ -1,4 +1,4 @@
-"""The trainer forecast, and the benchmark that runs the policies against the baseline."""
+"""Tests of the trainer forecast and of the benchmark of policies against the baseline."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class TrainerProgressTest(unittest.TestCase):
-    def test_steps_of_a_trainer(self) -> None:
+    def test_forecast_follows_steps_of_trainer(self) -> None:
         progress = TrainerProgress(1, 4, WeightVersion(0))
         progress.observe_pull(WeightVersion(3), 8, 10.0)
         collecting = progress.forecast(10, (5, 5, 6, 6), 11.0)
@@ -39,16 +39,16 @@
             entry = owner.decide_submit(step, prompts(2))
             assert entry is not None
             owner.choose(entry)
-        late, *others = [sample.key for sample in owner.missing()]
+        overdue, *others = [sample.key for sample in owner.missing()]
         for key in others:
             owner.add_sample(finished(key, 1, "engine"))
         with self.assertRaises(NothingReadyError):
             owner.decide_pull(Cursor(0), 4, WeightVersion(1))
-        owner.add_sample(finished(late, 1, "engine"))
+        owner.add_sample(finished(overdue, 1, "engine"))
         decision = owner.decide_pull(Cursor(0), 3, WeightVersion(1))
         assert isinstance(decision, FixBatch)
         keys = [sample.key for sample in decision.entry.batch.samples]
-        self.assertEqual(keys, [late, *others[:2]])
+        self.assertEqual(keys, [overdue, *others[:2]])
 
 
 class RolloutBenchTest(unittest.TestCase):
@@ -59,12 +59,12 @@
             )
             variants = {variant.name: variant for variant in variants_for(deployment)}
             baseline = run_variant(parameters, variants["baseline"], 1)
-            ours = run_variant(parameters, variants["drumbay"], 1)
-            self.assertEqual(ours, run_variant(parameters, variants["drumbay"], 1))
-            self.assertLess(ours.idle_share, baseline.idle_share)
+            drumbay = run_variant(parameters, variants["drumbay"], 1)
+            self.assertEqual(drumbay, run_variant(parameters, variants["drumbay"], 1))
+            self.assertLess(drumbay.idle_share, baseline.idle_share)
             if deployment.objective is RolloutObjective.STALENESS:
-                self.assertLess(ours.mean_staleness_versions, baseline.mean_staleness_versions)
-            self.assertLessEqual(ours.max_staleness_versions, parameters.max_staleness_versions)
+                self.assertLess(drumbay.mean_staleness_versions, baseline.mean_staleness_versions)
+            self.assertLessEqual(drumbay.max_staleness_versions, parameters.max_staleness_versions)
 
 
 if __name__ == "__main__":
