--- a/drumbay/claims/reconfigurator.py
+++ b/drumbay/claims/reconfigurator.py
@@ -24,7 +24,7 @@
     encode_replica_set,
 )
 from drumbay.claims.replica_set_watcher import ReplicaSetWatcher
-from drumbay.claims.state_copy import EpochStatePart, StateCopier
+from drumbay.claims.state_copy import EpochStateCopier, StateCopier
 from drumbay.clock import Clock
 from drumbay.comm.interface import Address, Message, Transport, TransportError
 from drumbay.exceptions import DeadlineExceededError, UnavailableError
@@ -77,7 +77,7 @@
         watcher: ReplicaSetWatcher,
         candidates: CandidatesView,
         policy: ReplacementPolicy,
-        other_parts: tuple[EpochStatePart, ...] = (),
+        other_parts: tuple[EpochStateCopier, ...] = (),
     ) -> None:
         """Create a coordinator.
 
@@ -101,7 +101,7 @@
         self._candidates = candidates
         self._planner = ReplacementPlanner(policy)
         self._copier = StateCopier(transport, random)
-        self._other_parts = other_parts
+        self._other_copiers = other_parts
         self._change_due_since: float | None = None
         self._change_due_revision = Revision(0)
         # The change started by this coordinator, which it finishes without delay.
@@ -179,7 +179,7 @@
         if replica_set is not None and replica_set.is_active:
             await self._copier.copy_preliminary(replica_set, target)
             old_members = tuple(each for each in present if each in replica_set.members)
-            await self._copy_other_parts(old_members, target)
+            await self._copy_other_state(old_members, target)
         changed = begin_change(replica_set, target)
         await self._compare_and_swap(versioned.mod_revision, changed)
         started = self._watcher.versioned
@@ -239,13 +239,13 @@
     async def copy_records(self, sources: tuple[ReplicaMember, ...], current: ReplicaSet) -> None:
         """Copy the records of sealed members to every target member."""
         await self._copier.copy(sources, current)
-        await self._copy_other_parts(sources, current.target)
+        await self._copy_other_state(sources, current.target)
 
-    async def _copy_other_parts(
+    async def _copy_other_state(
         self, sources: tuple[ReplicaMember, ...], target: tuple[ReplicaMember, ...]
     ) -> None:
-        for part in self._other_parts:
-            await part.copy(sources, target)
+        for copier in self._other_copiers:
+            await copier.copy(sources, target)
 
     async def _seal_members(self, current: ReplicaSet) -> tuple[ReplicaMember, ...]:
         """Seal every reachable member and return those sealed.
--- a/drumbay/claims/replica.py
+++ b/drumbay/claims/replica.py
@@ -28,7 +28,7 @@
 REOPEN_INTERVAL_SECONDS = 5.0
 """Time between attempts to reopen a store after a storage failure."""
 
-NO_EPOCH = Epoch(-1)
+NO_VOTING_EPOCH = Epoch(-1)
 """Matches no epoch of a request."""
 
 OpenLog = Callable[[], RecordLog]
@@ -103,13 +103,13 @@
         return self._require_store().acceptor
 
     def voting_epoch(self) -> Epoch:
-        """Return the epoch in which this store may vote; ``NO_EPOCH`` if there is none.
+        """Return the epoch in which this store may vote; ``NO_VOTING_EPOCH`` if there is none.
 
         Other replicas on the same disk use this epoch, so that a seal or a lost disk stops
         them too.
         """
         if self._store is None or self.acceptor.epochs.sealed:
-            return NO_EPOCH
+            return NO_VOTING_EPOCH
         return self.acceptor.epochs.active_epoch
 
     @property
--- a/drumbay/claims/state_copy.py
+++ b/drumbay/claims/state_copy.py
@@ -30,7 +30,7 @@
 JOURNAL_ID_BITS = 64
 
 
-class EpochStatePart(Protocol):
+class EpochStateCopier(Protocol):
     """Copies other state that is stored on the members to those of the next epoch."""
 
     async def copy(
--- a/drumbay/delivery/recovery.py
+++ b/drumbay/delivery/recovery.py
@@ -55,6 +55,6 @@
     positions = range(newest.next_position, end)
     missing = [position for position in positions if position not in entry_by_position]
     if missing:
-        raise LogInvariantError(f"no replica has an entry at position {missing[0]} of {end}")
+        raise LogInvariantError(f"no replica holds position {missing[0]} of {end}")
     entries = tuple(entry_by_position[position].entry for position in positions)
     return RecoveredLog(snapshot=newest, entries=entries)
--- a/drumbay/delivery/replica.py
+++ b/drumbay/delivery/replica.py
@@ -155,7 +155,7 @@
     async def _handle_accept(self, request: StreamAcceptRequest) -> Message:
         outcome = self._acceptor_for(request).accept(request)
         if outcome.is_full:
-            raise LogFullError(f"stream {request.stream} has reached its size limit")
+            raise LogFullError(f"stream {request.stream} holds its limit of bytes")
         return await self._reply_when_durable(request.stream, outcome)
 
     async def _handle_confirm(self, request: StreamConfirmRequest) -> Message:
--- a/tests/claims_world.py
+++ b/tests/claims_world.py
@@ -28,7 +28,7 @@
 )
 from drumbay.claims.replica_set_watcher import ReplicaSetWatcher
 from drumbay.claims.service import ClaimService, Dispatch
-from drumbay.claims.state_copy import EpochStatePart
+from drumbay.claims.state_copy import EpochStateCopier
 from drumbay.comm.interface import Address, Transport
 from drumbay.exceptions import Execution
 from drumbay.identifiers import AttemptId, IdempotencyKey, NodeId
@@ -199,7 +199,7 @@
             for name in self.disks
         )
 
-    def other_parts(self, transport: Transport) -> tuple[EpochStatePart, ...]:
+    def other_parts(self, transport: Transport) -> tuple[EpochStateCopier, ...]:
         """Return the copiers of state other than claims."""
         return ()
 
--- a/tests/test_delivery_epochs.py
+++ b/tests/test_delivery_epochs.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from drumbay.claims.state_copy import EpochStatePart
+from drumbay.claims.state_copy import EpochStateCopier
 from drumbay.comm.interface import Transport
 from drumbay.delivery.exceptions import QuorumUnavailableError
 from drumbay.delivery.quorum import ReplicaView
@@ -33,7 +33,7 @@
         self.follows_store = follows_store
         self.trainer = RecordingTrainer()
 
-    def other_parts(self, transport: Transport) -> tuple[EpochStatePart, ...]:
+    def other_parts(self, transport: Transport) -> tuple[EpochStateCopier, ...]:
         return (StreamStateCopier(transport),) if self.copies_streams else ()
 
     def start(self, name: str) -> None:
