--- a/drumbay/configuration/applied.py
+++ b/drumbay/configuration/applied.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this node: state, view, and who waits for changes."""
+"""The configuration applied on this node: its state, typed view and change callbacks."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,17 +15,17 @@
 from drumbay.exceptions import DeadlineExceededError
 from drumbay.identifiers import Revision
 
-CURRENT_LIMIT_SECONDS = 60.0
-"""Longest time since the last confirmation for a configuration to count as current."""
+MAX_CONFIRMATION_AGE_SECONDS = 60.0
+"""A configuration whose last confirmation is older no longer counts as current."""
 
 ChangeCallback = Callable[[ConfigurationView], None]
 
 
 class AppliedConfiguration:
-    """Holds what is in force and tells those concerned when it changes."""
+    """Holds the applied configuration and notifies callbacks and waiters of changes."""
 
     def __init__(self, clock: Clock, state: ConfigurationState) -> None:
-        """Start empty and not ready."""
+        """Create an empty configuration that is not ready."""
         self._clock = clock
         self._state = state
         self._builder = ViewBuilder()
@@ -58,7 +58,7 @@
 
     @property
     def durable(self) -> bool:
-        """Return whether a majority of the replicas has stored all that is applied."""
+        """Return whether a majority of the replicas has stored the applied revision."""
         return self._durable_revision >= self.revision
 
     def add_callback(self, callback: ChangeCallback) -> None:
@@ -66,10 +66,10 @@
         self._callbacks.append(callback)
 
     def apply(self, update: ConfigurationUpdate, *, durable: bool = True) -> ApplyOutcome:
-        """Put an update in force.
+        """Apply an update and notify callbacks and waiters.
 
         Args:
-            update: The change, or the whole configuration.
+            update: A delta or a snapshot.
             durable: Whether a majority of the replicas has stored it.
         """
         outcome = self._state.apply(update)
@@ -78,26 +78,26 @@
         if durable:
             self._durable_revision = self.revision
         self._view = self._builder.build(self._state)
-        self._wake_waiting()
+        self._notify_waiters()
         for callback in self._callbacks:
             callback(self._view)
         return outcome
 
     def mark_durable(self, revision: Revision) -> None:
-        """Record that a majority of the replicas has stored all up to a revision."""
+        """Record that a majority of the replicas has stored every change up to a revision."""
         self._durable_revision = max(self._durable_revision, revision)
-        self._wake_waiting()
+        self._notify_waiters()
 
-    def _wake_waiting(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
     def mark_loaded(self) -> None:
-        """Record that the start is over."""
+        """Record that the initial configuration has been loaded."""
         self._loaded = True
 
     def confirm(self, at_seconds: float) -> None:
-        """Record that nothing newer than the applied revision was in force then.
+        """Record that the applied revision was the newest at a given time.
 
         Args:
             at_seconds: Time on this node's monotonic clock.
@@ -112,9 +112,11 @@
         return max(0.0, self._clock.monotonic() - self._confirmed_at)
 
     def readiness(self) -> ConfigurationReadiness:
-        """Return what ``/readyz`` says."""
+        """Return the readiness that ``/readyz`` reports."""
         age_seconds = self.confirmed_age_seconds()
-        current = self._loaded and age_seconds is not None and age_seconds <= CURRENT_LIMIT_SECONDS
+        current = (
+            self._loaded and age_seconds is not None and age_seconds <= MAX_CONFIRMATION_AGE_SECONDS
+        )
         if not self._loaded:
             reason = ReadinessReason.STARTING
         elif current:
@@ -130,21 +132,21 @@
         )
 
     async def wait_for_revision(self, revision: Revision, timeout_seconds: float) -> bool:
-        """Wait until ``revision`` is in force here and stored by a majority of the replicas.
+        """Wait until ``revision`` is applied here and stored by a majority of the replicas.
 
         Returns:
-            Whether that came in time.
+            ``False`` if the timeout expired first.
         """
         deadline = self._clock.monotonic() + timeout_seconds
-        while not self._is_accepted(revision):
+        while not self._is_durably_applied(revision):
             remaining_seconds = deadline - self._clock.monotonic()
             if remaining_seconds <= 0:
                 return False
             try:
                 await self._clock.wait_for(self._changed.wait(), remaining_seconds)
             except DeadlineExceededError:
-                return self._is_accepted(revision)
+                return self._is_durably_applied(revision)
         return True
 
-    def _is_accepted(self, revision: Revision) -> bool:
+    def _is_durably_applied(self, revision: Revision) -> bool:
         return min(self.revision, self._durable_revision) >= revision
--- a/drumbay/configuration/dissemination.py
+++ b/drumbay/configuration/dissemination.py
@@ -1,4 +1,4 @@
-"""Exchange of digests and changes with other nodes."""
+"""Gossip of configuration digests, and pulls of newer changes from peers."""
 
 import random
 from collections.abc import Callable
@@ -20,15 +20,15 @@
 from drumbay.tasks import TaskOwner
 
 DIGEST_PERIOD_SECONDS = 2.0
-RUMOUR_REPEAT_SECONDS = 0.5
-"""A second round of digests after a change, so that few nodes wait for the periodic one."""
+DIGEST_REPEAT_SECONDS = 0.5
+"""Delay of the second digest round after a change; few nodes then need the periodic one."""
 
 PULL_TIMEOUT_SECONDS = 2.0
-JITTER_SHARE = 0.25
+JITTER_FRACTION = 0.25
 
 
 class Dissemination:
-    """Spreads the applied configuration to peers and fetches what they have newer."""
+    """Gossips the applied revision to peers and pulls newer ones from them."""
 
     def __init__(
         self,
@@ -40,19 +40,19 @@
         directory: Callable[[], PeerDirectory],
         generator: random.Random,
         task_owner: TaskOwner,
-        accept: Callable[[ConfigurationUpdate], ApplyOutcome],
+        apply_update: Callable[[ConfigurationUpdate], ApplyOutcome],
     ) -> None:
-        """Create the exchange.
+        """Create the service; :meth:`start` starts it.
 
         Args:
             clock: Time.
             transport: Messages to and from peers.
             node_id: This node.
-            applied: Configuration in force here.
+            applied: Configuration applied on this node.
             directory: Returns the live peers.
             generator: Source of random choices.
             task_owner: Owner of the background tasks.
-            accept: Puts an update in force that a peer has in force.
+            apply_update: Applies an update that was pulled from a peer.
         """
         self._clock = clock
         self._transport = transport
@@ -61,7 +61,7 @@
         self._directory = directory
         self._generator = generator
         self._task_owner = task_owner
-        self._accept = accept
+        self._apply_update = apply_update
         self._pulling = False
 
     def start(self) -> None:
@@ -72,30 +72,30 @@
 
     async def _run(self) -> None:
         while True:
-            share = self._generator.uniform(1 - JITTER_SHARE, 1 + JITTER_SHARE)
-            await self._clock.sleep(DIGEST_PERIOD_SECONDS * share)
+            jitter = self._generator.uniform(1 - JITTER_FRACTION, 1 + JITTER_FRACTION)
+            await self._clock.sleep(DIGEST_PERIOD_SECONDS * jitter)
             peer = self._directory().anti_entropy_target(self._generator)
             if peer is not None and self._applied.loaded:
                 self._send_digest(peer.address, is_reply=False)
 
-    def spread(self) -> None:
-        """Tell peers at once that a new revision is in force here."""
-        self._send_rumour()
-        self._task_owner.spawn(self._repeat_rumour(), "configuration rumour")
+    def announce_revision(self) -> None:
+        """Send digests of a newly applied revision to some peers, twice."""
+        self._gossip_digests()
+        self._task_owner.spawn(self._repeat_digests(), "configuration digest repeat")
 
-    async def _repeat_rumour(self) -> None:
+    async def _repeat_digests(self) -> None:
         revision = self._applied.revision
-        await self._clock.sleep(RUMOUR_REPEAT_SECONDS)
+        await self._clock.sleep(DIGEST_REPEAT_SECONDS)
         if self._applied.revision == revision:
-            self._send_rumour()
+            self._gossip_digests()
 
-    def _send_rumour(self) -> None:
-        for peer in self._directory().rumour_targets(self._generator):
+    def _gossip_digests(self) -> None:
+        for peer in self._directory().gossip_targets(self._generator):
             self._send_digest(peer.address, is_reply=False)
 
     def _send_digest(self, address: Address, *, is_reply: bool) -> None:
         if not self._applied.durable:
-            # A peer takes what it pulls for stored by a majority of the replicas.
+            # Peers assume that a majority of the replicas has stored what they pull.
             return
         digest = ConfigurationDigest(
             sender=self._node_id,
@@ -108,15 +108,15 @@
         self._transport.send_datagram(address, digest)
 
     def _handle_digest(self, _source: Address, digest: ConfigurationDigest) -> None:
-        # NOTE: a starting node must not take a peer's configuration: the peer may be
-        # behind what was in force here before the restart.
+        # NOTE: a starting node must not pull from a peer, which may be behind the revision
+        # that was applied here before the restart.
         if not self._applied.loaded:
             return
         state = self._applied.state
         match react_to_digest(digest, state.revision, state.content_hash):
             case DigestReaction.PULL:
                 self._start_pull(digest.reply_to)
-            case DigestReaction.ANSWER:
+            case DigestReaction.REPLY:
                 self._send_digest(digest.reply_to, is_reply=True)
             case DigestReaction.REPORT_DIVERGENCE:
                 log_event(
@@ -127,9 +127,9 @@
                 )
             case DigestReaction.NOTHING:
                 pass
-        self._take_confirmation(digest)
+        self._apply_confirmation(digest)
 
-    def _take_confirmation(self, digest: ConfigurationDigest) -> None:
+    def _apply_confirmation(self, digest: ConfigurationDigest) -> None:
         if digest.confirmed_age_seconds is None or digest.revision > self._applied.revision:
             return
         self._applied.confirm(self._clock.monotonic() - digest.confirmed_age_seconds)
@@ -148,7 +148,7 @@
             )
             update = cast(ConfigurationPullReply, reply).update
             if update is not None:
-                self._accept(update)
+                self._apply_update(update)
         except TransportError as error:
             log_event("configuration_pull_failed", level="DEBUG", error=error.code)
         finally:
--- a/drumbay/configuration/errors.py
+++ b/drumbay/configuration/errors.py
@@ -1,4 +1,4 @@
-"""Failures of the configuration service and of operators' writes."""
+"""Errors of the configuration service and of operators' writes."""
 
 from drumbay.exceptions import ConfigurationError, DrumbayError, UnavailableError
 from drumbay.identifiers import Revision
@@ -10,13 +10,13 @@
     Attributes:
         key: Key of the resource.
         expected_revision: Modification revision the writer expected.
-        found_revision: Modification revision found (0: the key is absent).
+        found_revision: Modification revision of the stored resource (0: the key is absent).
     """
 
     code = "conflict"
 
     def __init__(self, key: str, expected_revision: Revision, found_revision: Revision) -> None:
-        """Store the revision expected and the one found."""
+        """Create the error for a key and the two revisions."""
         super().__init__(f"{key}: expected revision {expected_revision}, found {found_revision}")
         self.key = key
         self.expected_revision = expected_revision
@@ -30,19 +30,19 @@
 
 
 class ConfigurationTooLargeError(ConfigurationError):
-    """The whole configuration would no longer fit into one message between nodes."""
+    """The configuration would no longer fit into one message between nodes."""
 
     code = "configuration_too_large"
 
 
 class ConfigurationNotCurrentError(UnavailableError):
-    """The node cannot know that its configuration is current; it refuses writes."""
+    """The node cannot confirm that its configuration is current, so it refuses writes."""
 
     code = "configuration_not_current"
 
 
 class ReplicaMajorityError(UnavailableError):
-    """Fewer than a majority of the configuration's replicas answered."""
+    """No majority of the configuration's replicas responded."""
 
     code = "replica_majority"
 
@@ -54,6 +54,6 @@
 
 
 class StoreBehindError(UnavailableError):
-    """The key-value service has lost what this node's disk holds, and is not to be believed."""
+    """The key-value service is at a lower revision than this node's disk: it has lost data."""
 
     code = "configuration_store_behind"
--- a/drumbay/configuration/gossip.py
+++ b/drumbay/configuration/gossip.py
@@ -1,9 +1,9 @@
-"""Choice of peers and of the reaction to a digest. Pure: no I/O, no clock.
+"""Selection of gossip peers and handling of digests. Pure: no I/O, no clock.
 
-New revisions spread by rumour mongering and are repaired by anti-entropy, as in Demers et
+New revisions spread by rumor mongering, and anti-entropy repairs what it misses: Demers et
 al., "Epidemic Algorithms for Replicated Database Maintenance" (1987), sections 1.3 and 1.4.
-Only digests are pushed; a node that is behind pulls the missing changes, so each change
-crosses to each node about once.
+Only digests are pushed; a node that is behind pulls the missing changes, so that each change
+is sent to each node about once.
 """
 
 import random
@@ -16,13 +16,13 @@
 from drumbay.identifiers import NodeId, Revision
 
 FANOUT = 3
-"""Peers told of a new revision at once: own zone, own region, any other region."""
+"""Peers that get a digest of a new revision at once."""
 
 WATCHERS_PER_ZONE = 2
 """Nodes of a zone that watch the key-value service."""
 
-SAME_ZONE_SHARE = 0.6
-SAME_REGION_SHARE = 0.3
+SAME_ZONE_PROBABILITY = 0.6
+SAME_REGION_PROBABILITY = 0.3
 
 
 class Distance(StrEnum):
@@ -41,7 +41,7 @@
 
 
 class PeerDirectory:
-    """Peers grouped by distance from one node."""
+    """The peers of a node, grouped by distance."""
 
     def __init__(self, own: PeerView, members: Sequence[PeerView]) -> None:
         """Group ``members`` without ``own``."""
@@ -50,26 +50,26 @@
             if peer.node_id != own.node_id:
                 self.by_distance[distance(own, peer)].append(peer)
 
-    def rumour_targets(self, generator: random.Random) -> list[PeerView]:
-        """Return up to ``FANOUT`` peers, one of each distance, topped up from the near ones."""
+    def gossip_targets(self, generator: random.Random) -> list[PeerView]:
+        """Return up to ``FANOUT`` peers: one of each distance, then random ones, nearest first."""
         targets: list[PeerView] = []
         for level in Distance:
             peers = self.by_distance[level]
             if peers:
                 targets.append(generator.choice(peers))
         for level in Distance:
-            spare = [peer for peer in self.by_distance[level] if peer not in targets]
-            wanted = min(FANOUT - len(targets), len(spare))
+            remaining = [peer for peer in self.by_distance[level] if peer not in targets]
+            wanted = min(FANOUT - len(targets), len(remaining))
             if wanted > 0:
-                targets.extend(generator.sample(spare, wanted))
+                targets.extend(generator.sample(remaining, wanted))
         return targets
 
     def anti_entropy_target(self, generator: random.Random) -> PeerView | None:
-        """Return a random peer, mostly a near one; ``None`` without peers."""
+        """Return a random peer, more likely a near one; ``None`` without peers."""
         draw = generator.random()
-        if draw < SAME_ZONE_SHARE:
+        if draw < SAME_ZONE_PROBABILITY:
             order = (Distance.ZONE, Distance.REGION, Distance.FAR)
-        elif draw < SAME_ZONE_SHARE + SAME_REGION_SHARE:
+        elif draw < SAME_ZONE_PROBABILITY + SAME_REGION_PROBABILITY:
             order = (Distance.REGION, Distance.ZONE, Distance.FAR)
         else:
             order = (Distance.FAR, Distance.REGION, Distance.ZONE)
@@ -80,10 +80,10 @@
 
 
 class DigestReaction(StrEnum):
-    """What to do about a peer's digest."""
+    """Action that a peer's digest calls for."""
 
     PULL = "pull"
-    ANSWER = "answer"
+    REPLY = "answer"
     NOTHING = "nothing"
     REPORT_DIVERGENCE = "report_divergence"
 
@@ -91,28 +91,28 @@
 def react_to_digest(
     digest: ConfigurationDigest, revision: Revision, content_hash: int
 ) -> DigestReaction:
-    """Return what a node at ``revision`` does about a peer's digest."""
+    """Return the action of a node at ``revision`` on a peer's digest."""
     if digest.revision > revision:
         return DigestReaction.PULL
     if digest.revision < revision:
-        return DigestReaction.NOTHING if digest.is_reply else DigestReaction.ANSWER
+        return DigestReaction.NOTHING if digest.is_reply else DigestReaction.REPLY
     if digest.content_hash != content_hash:
         return DigestReaction.REPORT_DIVERGENCE
     return DigestReaction.NOTHING
 
 
-def _weight(zone: str, node_id: NodeId) -> int:
+def _rendezvous_weight(zone: str, node_id: NodeId) -> int:
     return xxhash.xxh3_64_intdigest(f"watch\x00{zone}\x00{node_id}".encode())
 
 
 def is_watcher(own: PeerView, members: Sequence[PeerView]) -> bool:
-    """Tell whether a node watches the key-value service (rendezvous hashing per zone)."""
-    own_weight = _weight(own.zone, own.node_id)
-    heavier = 0
+    """Return whether a node watches the key-value service (rendezvous hashing per zone)."""
+    own_weight = _rendezvous_weight(own.zone, own.node_id)
+    rank = 0
     for peer in members:
         if peer.zone != own.zone or peer.region != own.region or peer.node_id == own.node_id:
             continue
-        peer_weight = _weight(peer.zone, peer.node_id)
+        peer_weight = _rendezvous_weight(peer.zone, peer.node_id)
         if (peer_weight, peer.node_id) > (own_weight, own.node_id):
-            heavier += 1
-    return heavier < WATCHERS_PER_ZONE
+            rank += 1
+    return rank < WATCHERS_PER_ZONE
--- a/drumbay/configuration/messages.py
+++ b/drumbay/configuration/messages.py
@@ -1,4 +1,4 @@
-"""Records of the configuration, and the messages that carry it between nodes."""
+"""Records of the configuration, and the messages that nodes exchange about it."""
 
 from enum import StrEnum
 
@@ -15,7 +15,7 @@
 """Prefix of the operation records: ``/drumbay/operations/<operation id>``."""
 
 REPLICA_SET_KEY = RESOURCE_PREFIX + "ReplicaSet/configuration"
-"""Key that names the nodes which keep the configuration on disk."""
+"""Key of the set of nodes that store the configuration on disk."""
 
 NO_REVISION = Revision(0)
 
@@ -31,7 +31,7 @@
 
 
 class PeerView(msgspec.Struct, frozen=True, kw_only=True):
-    """What the configuration service needs to know of a live node."""
+    """A live node as the configuration service sees it."""
 
     node_id: NodeId
     address: Address
@@ -49,13 +49,13 @@
 
 
 class ReplicaSet(msgspec.Struct, frozen=True, kw_only=True):
-    """Nodes that keep the configuration on disk, sorted by identifier.
+    """Nodes that store the configuration on disk, sorted by identifier.
 
     Attributes:
-        members: The nodes; a majority of them stores a revision before it is in force.
-        previous: Members of the earlier set while a change is under way; a majority of
-            them is needed too. An operator who replaces a set whose majority is lost for
-            good writes a set without previous members.
+        members: The nodes; a majority of them stores a revision before it is applied.
+        previous: Members of the previous set while a change is in progress; a majority of
+            them is needed too. Empty when an operator replaces a set whose majority is
+            permanently lost.
     """
 
     members: tuple[NodeId, ...]
@@ -63,7 +63,7 @@
 
 
 class OperationRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Proof that an operation was committed, or that it never will be."""
+    """Record of an operation that was committed or cancelled."""
 
     key: str
     cancelled: bool = False
@@ -78,12 +78,12 @@
 
 
 class ConfigurationUpdate(msgspec.Struct, frozen=True, kw_only=True):
-    """Every change in ``(base_revision, revision]``, or the whole configuration.
+    """A delta with every change in ``(base_revision, revision]``, or a snapshot.
 
     Attributes:
         revision: The entries are complete up to this revision.
-        base_revision: Revision the update builds on; ``None`` marks a snapshot.
-        entries: Entries by rising modification revision.
+        base_revision: Revision that a delta builds on; ``None`` for a snapshot.
+        entries: Entries by ascending modification revision.
     """
 
     revision: Revision
@@ -92,16 +92,16 @@
 
 
 class ConfigurationDigest(Message, frozen=True, kw_only=True):
-    """Datagram: which configuration a node has applied.
+    """Datagram: the configuration that a node has applied.
 
     Attributes:
         sender: The node.
         reply_to: Address at which the sender serves pulls.
         revision: Applied revision; 0 while the node starts.
         content_hash: Hash over keys and modification revisions.
-        confirmed_age_seconds: Time since this revision was known to be the newest in
-            force; ``None`` if it never was.
-        is_reply: Sent in answer to a digest, so it gets no answer itself.
+        confirmed_age_seconds: Time since this revision was last confirmed to be the newest;
+            ``None`` if it never was.
+        is_reply: Whether this answers another digest; a reply gets no reply.
     """
 
     sender: NodeId
@@ -113,7 +113,7 @@
 
 
 class ConfigurationPull(Message, frozen=True, kw_only=True):
-    """Call: ask for what is newer than ``after_revision``."""
+    """Call: request the changes after ``after_revision``."""
 
     after_revision: Revision
 
@@ -125,32 +125,32 @@
 
 
 class ReplicaStore(Message, frozen=True, kw_only=True):
-    """Call: make an update durable."""
+    """Call: store an update on disk."""
 
     update: ConfigurationUpdate
 
 
 class ReplicaStoreReply(Message, frozen=True, kw_only=True):
-    """Revision that is durable after a store; below the update's if it left a gap."""
+    """Revision on disk after a store; below the update's if changes before it are missing."""
 
     revision: Revision
 
 
 class ReplicaRead(Message, frozen=True, kw_only=True):
-    """Call: ask for the durable configuration if it is newer than ``after_revision``."""
+    """Call: request the configuration on disk if it is newer than ``after_revision``."""
 
     after_revision: Revision
 
 
 class ReplicaReadReply(Message, frozen=True, kw_only=True):
-    """What a replica holds.
+    """The configuration that a replica has on disk.
 
     Attributes:
         node_id: The replica.
         complete: Whether the replica has recovered since its disk was last empty. An
-            incomplete replica may have forgotten what it acknowledged: no vote.
-        revision: Durable revision.
-        update: What is newer than the revision asked for; ``None`` if nothing is.
+            incomplete replica may have lost acknowledged changes, so it has no vote.
+        revision: Revision on disk.
+        update: Changes after the requested revision; ``None`` if there are none.
     """
 
     node_id: NodeId
@@ -160,7 +160,7 @@
 
 
 class ReadinessReason(StrEnum):
-    """Why a node is ready or not, for ``/readyz``."""
+    """Reason of a node's readiness, for ``/readyz``."""
 
     STARTING = "starting"
     CURRENT = "current"
@@ -168,14 +168,14 @@
 
 
 class ConfigurationReadiness(msgspec.Struct, frozen=True, kw_only=True):
-    """What a node knows about its own configuration.
+    """Whether a node has loaded and confirmed its configuration.
 
     Attributes:
-        ready: A configuration has been loaded since the process started.
-        current: It was confirmed to be the newest in force not long ago.
-        reason: Summary of both.
+        ready: Whether a configuration was loaded since the process started.
+        current: Whether it was recently confirmed to be the newest.
+        reason: Summary of ``ready`` and ``current``.
         revision: Applied revision.
-        confirmed_age_seconds: Time since the last confirmation; ``None`` if none.
+        confirmed_age_seconds: Time since the last confirmation; ``None`` if there was none.
     """
 
     ready: bool
--- a/drumbay/configuration/operators.py
+++ b/drumbay/configuration/operators.py
@@ -1,4 +1,4 @@
-"""Operators' writes: compare-and-swap, and outcomes that are never guessed."""
+"""Operators' writes: compare-and-swap with outcomes verified by reading back."""
 
 from enum import StrEnum
 
@@ -42,41 +42,41 @@
 from drumbay.resources.schema import AnyResource
 
 MAX_CONFIGURATION_BYTES = 3 * 1024 * 1024
-"""Largest configuration; a snapshot travels in one message of at most 4 MiB."""
+"""Size limit of the configuration; a snapshot must fit into one message of 4 MiB."""
 
-SETTLE_ATTEMPTS = 4
-"""Read-backs after a lost answer before the outcome is reported as not known yet."""
+RESOLVE_ATTEMPTS = 4
+"""Read-backs after a lost response before the outcome is reported as unknown."""
 
-SETTLE_RETRY_SECONDS = 0.5
-IN_FORCE_TIMEOUT_SECONDS = 10.0
-"""How long a write waits for its revision to be in force on this node."""
+RESOLVE_RETRY_SECONDS = 0.5
+APPLY_TIMEOUT_SECONDS = 10.0
+"""How long a write waits for its revision to be applied on this node."""
 
 OPERATION_RECORD_TTL_SECONDS = 7200.0
-"""How long an operation can be asked about; its record then leaves the store."""
+"""Lifetime of operation records; the status of older operations is lost."""
 
 
-class _Verdict(StrEnum):
+class _OperationStatus(StrEnum):
     COMMITTED = "committed"
     CANCELLED = "cancelled"
     ABSENT = "absent"
 
 
-class _Settled(msgspec.Struct, frozen=True, kw_only=True):
-    verdict: _Verdict
+class _ResolvedOperation(msgspec.Struct, frozen=True, kw_only=True):
+    status: _OperationStatus
     revision: Revision = NO_REVISION
 
 
 class OperatorService:
     """Writes resources for operators.
 
-    A write and its operation record are one transaction. The record is the proof: it
-    exists if and only if the write was committed, whatever happened to the answer.
+    A write and its operation record are committed in one transaction, so the record exists
+    if and only if the write was committed, even if the response was lost.
     """
 
     def __init__(
         self, *, clock: Clock, store: KeyValueStore, configuration: ConfigurationService
     ) -> None:
-        """Write through ``store`` and wait for ``configuration``."""
+        """Create a service that writes to ``store`` and waits for ``configuration`` to apply."""
         self._clock = clock
         self._store = store
         self._configuration = configuration
@@ -90,15 +90,15 @@
 
         Args:
             resource: The new content.
-            expected_revision: Modification revision that is replaced (0: must not exist);
-                ``None`` replaces whatever is there.
+            expected_revision: Modification revision to replace (0: must not exist);
+                ``None`` replaces any revision.
             operation_id: Identifier chosen by the caller, unique for each intended write;
                 repeating a call with the same identifier writes at most once.
 
         Raises:
             ConflictError: The resource has another revision; nothing was written.
-            ConfigurationNotCurrentError: This node must not write now.
-            ConfigurationTooLargeError: The whole configuration would become too large.
+            ConfigurationNotCurrentError: This node's configuration is not current.
+            ConfigurationTooLargeError: The configuration would become too large.
             OperationReusedError: The identifier belongs to a write to another key.
         """
         return await self._write(resource, expected_revision, operation_id, deleted=False)
@@ -110,33 +110,33 @@
         return await self._write(resource, expected_revision, operation_id, deleted=True)
 
     async def operation_status(self, operation_id: str) -> WriteResult:
-        """Settle what became of an operation.
+        """Return the outcome of an operation.
 
-        If it was not committed it is cancelled, so that a write still on its way cannot
-        be committed later; only then is it reported as refused.
+        An operation that was not committed is cancelled, so that a delayed write cannot be
+        committed later, and then reported as refused.
         """
         try:
-            settled = await self._read_operation(operation_id, None)
-            if settled.verdict is _Verdict.ABSENT:
-                settled = await self._cancel(operation_id)
+            resolved = await self._read_operation(operation_id, None)
+            if resolved.status is _OperationStatus.ABSENT:
+                resolved = await self._cancel(operation_id)
         except KeyValueError as error:
             return unknown_yet(operation_id, f"key-value service: {error.code}")
-        return await self._report(operation_id, settled)
+        return await self._report(operation_id, resolved)
 
     async def force_replica_set(self, members: tuple[NodeId, ...]) -> Revision | None:
-        """Replace a replica set whose majority is lost for good.
+        """Replace a replica set whose majority is permanently lost.
 
-        Revisions that only the lost majority stored are not lost: they are in the
-        key-value service. Never use it while a lost replica may come back unchanged.
+        No revision is lost, since the key-value service has all of them. Do not use it while
+        a lost replica may come back with its old disk.
 
         Returns:
-            The revision of the change, or ``None`` if another change came first.
+            The revision of the change, or ``None`` if a concurrent change won.
 
         Raises:
-            KeyValueError: The service did not carry it out, or its answer was lost; it
-                is safe to repeat.
+            KeyValueError: The transaction failed or its response was lost; retrying is
+                safe.
         """
-        expected = await self._found_revision(REPLICA_SET_KEY)
+        expected = await self._current_revision(REPLICA_SET_KEY)
         replica_set = ReplicaSet(members=tuple(sorted(members)))
         result = await self._store.transact(
             (ModRevisionIs(key=REPLICA_SET_KEY, mod_revision=expected),),
@@ -164,7 +164,7 @@
             lease_id = await self._operation_lease()
             expected = expected_revision
             if expected is None:
-                expected = await self._found_revision(key)
+                expected = await self._current_revision(key)
         except KeyValueError as error:
             return refused(operation_id, f"nothing was sent: {error.code}")
         put = Put(key=key, value=value)
@@ -176,20 +176,20 @@
         try:
             result = await self._transact(put, expected, operation_id, lease_id)
         except KeyValueOutcomeUnknownError:
-            return await self._settle(put, expected, operation_id, lease_id)
+            return await self._resolve(put, expected, operation_id, lease_id)
         except (KeyValueUnavailableError, LeaseNotFoundError) as error:
             self._lease_id = None
             return refused(operation_id, f"key-value service: {error.code}")
         if result is not None:
             return await self._report(
-                operation_id, _Settled(verdict=_Verdict.COMMITTED, revision=result)
+                operation_id, _ResolvedOperation(status=_OperationStatus.COMMITTED, revision=result)
             )
-        return await self._settle(put, expected, operation_id, lease_id)
+        return await self._resolve(put, expected, operation_id, lease_id)
 
     async def _transact(
         self, put: Put, expected: Revision, operation_id: str, lease_id: int
     ) -> Revision | None:
-        """Return the commit's revision, or ``None`` if a compare failed."""
+        """Return the revision of the commit, or ``None`` if a compare failed."""
         record = OperationRecord(key=put.key)
         result = await self._store.transact(
             (
@@ -207,53 +207,57 @@
         )
         return result.revision if result.succeeded else None
 
-    async def _settle(
+    async def _resolve(
         self, put: Put, expected: Revision, operation_id: str, lease_id: int
     ) -> WriteResult:
-        """Find out by reading back what became of a write.
+        """Determine the outcome of a write by reading back and resending.
 
         Raises:
             ConflictError: The write can never be committed: its compare no longer holds.
         """
-        for _ in range(SETTLE_ATTEMPTS):
+        for _ in range(RESOLVE_ATTEMPTS):
             try:
-                settled = await self._read_back(put, expected, operation_id)
-                if settled is None:
-                    # NOTE: sending again is safe. The operation record must be absent for
-                    # the commit, so of all copies on their way one at most has an effect.
-                    settled = await self._send_again(put, expected, operation_id, lease_id)
-                if settled is not None:
-                    return await self._report(operation_id, settled)
+                resolved = await self._read_back(put, expected, operation_id)
+                if resolved is None:
+                    # NOTE: resending is safe. The commit requires that the operation record
+                    # is absent, so at most one copy of the write takes effect.
+                    resolved = await self._resend(put, expected, operation_id, lease_id)
+                if resolved is not None:
+                    return await self._report(operation_id, resolved)
             except KeyValueError as error:
                 log_event("operation_not_settled", operation=operation_id, error=error.code)
-            await self._clock.sleep(SETTLE_RETRY_SECONDS)
+            await self._clock.sleep(RESOLVE_RETRY_SECONDS)
         return unknown_yet(operation_id, "the write may still be on its way")
 
-    async def _send_again(
+    async def _resend(
         self, put: Put, expected: Revision, operation_id: str, lease_id: int
-    ) -> _Settled | None:
+    ) -> _ResolvedOperation | None:
         revision = await self._transact(put, expected, operation_id, lease_id)
         if revision is None:
             return None
-        return _Settled(verdict=_Verdict.COMMITTED, revision=revision)
+        return _ResolvedOperation(status=_OperationStatus.COMMITTED, revision=revision)
 
-    async def _read_back(self, put: Put, expected: Revision, operation_id: str) -> _Settled | None:
-        """Return what is certain about a write; ``None`` if it may still be committed.
+    async def _read_back(
+        self, put: Put, expected: Revision, operation_id: str
+    ) -> _ResolvedOperation | None:
+        """Return the final status of a write; ``None`` if it may still be committed.
 
         Raises:
             ConflictError: The write can never be committed.
         """
-        # NOTE: the resource is read first. Once its revision differs from the expected one
-        # the write cannot be committed any more, so the later look at the record is final.
-        found = await self._found_revision(put.key)
-        settled = await self._read_operation(operation_id, put.key)
-        if settled.verdict is not _Verdict.ABSENT:
-            return settled
-        if found != expected:
-            raise ConflictError(put.key, expected, found)
+        # NOTE: the resource is read before the record. Once its revision differs from the
+        # expected one the write can no longer be committed, so the record is final.
+        current = await self._current_revision(put.key)
+        resolved = await self._read_operation(operation_id, put.key)
+        if resolved.status is not _OperationStatus.ABSENT:
+            return resolved
+        if current != expected:
+            raise ConflictError(put.key, expected, current)
         return None
 
-    async def _read_operation(self, operation_id: str, expected_key: str | None) -> _Settled:
+    async def _read_operation(
+        self, operation_id: str, expected_key: str | None
+    ) -> _ResolvedOperation:
         """Read the operation record.
 
         Raises:
@@ -261,15 +265,15 @@
         """
         item = await self._read_key(operation_key(operation_id))
         if item is None:
-            return _Settled(verdict=_Verdict.ABSENT)
+            return _ResolvedOperation(status=_OperationStatus.ABSENT)
         record = msgspec.msgpack.decode(item.value, type=OperationRecord)
         if record.cancelled:
-            return _Settled(verdict=_Verdict.CANCELLED)
+            return _ResolvedOperation(status=_OperationStatus.CANCELLED)
         if expected_key is not None and record.key != expected_key:
             raise OperationReusedError(f"{operation_id} wrote {record.key}")
-        return _Settled(verdict=_Verdict.COMMITTED, revision=item.mod_revision)
+        return _ResolvedOperation(status=_OperationStatus.COMMITTED, revision=item.mod_revision)
 
-    async def _cancel(self, operation_id: str) -> _Settled:
+    async def _cancel(self, operation_id: str) -> _ResolvedOperation:
         key = operation_key(operation_id)
         record = OperationRecord(key="", cancelled=True)
         lease_id = await self._operation_lease()
@@ -278,29 +282,29 @@
             (Put(key=key, value=msgspec.msgpack.encode(record), lease_id=lease_id),),
         )
         if result.succeeded:
-            return _Settled(verdict=_Verdict.CANCELLED)
+            return _ResolvedOperation(status=_OperationStatus.CANCELLED)
         return await self._read_operation(operation_id, None)
 
-    async def _report(self, operation_id: str, settled: _Settled) -> WriteResult:
-        if settled.verdict is not _Verdict.COMMITTED:
+    async def _report(self, operation_id: str, resolved: _ResolvedOperation) -> WriteResult:
+        if resolved.status is not _OperationStatus.COMMITTED:
             return refused(operation_id, "cancelled before it was committed")
-        in_force = await self._configuration.applied.wait_for_revision(
-            settled.revision, IN_FORCE_TIMEOUT_SECONDS
+        is_applied = await self._configuration.applied.wait_for_revision(
+            resolved.revision, APPLY_TIMEOUT_SECONDS
         )
-        if in_force:
+        if is_applied:
             return WriteResult(
                 outcome=WriteOutcome.ACCEPTED,
                 operation_id=operation_id,
-                committed_revision=settled.revision,
+                committed_revision=resolved.revision,
             )
         return WriteResult(
             outcome=WriteOutcome.UNKNOWN_YET,
             operation_id=operation_id,
-            committed_revision=settled.revision,
+            committed_revision=resolved.revision,
             detail="committed, but not yet known to be stored by a majority of the replicas",
         )
 
-    async def _found_revision(self, key: str) -> Revision:
+    async def _current_revision(self, key: str) -> Revision:
         item = await self._read_key(key)
         return NO_REVISION if item is None else item.mod_revision
 
@@ -312,7 +316,7 @@
         return None
 
     async def _operation_lease(self) -> int:
-        """Return a lease with at least half its life left; renewed by replacement."""
+        """Return a lease with at least half its lifetime left, granting a new one if needed."""
         now = self._clock.monotonic()
         age_seconds = now - self._lease_granted_at
         if self._lease_id is None or age_seconds > OPERATION_RECORD_TTL_SECONDS / 2:
--- a/drumbay/configuration/outcomes.py
+++ b/drumbay/configuration/outcomes.py
@@ -1,4 +1,4 @@
-"""What an operator is told about a write."""
+"""Results of operators' writes."""
 
 from enum import StrEnum
 
@@ -8,26 +8,26 @@
 
 
 class WriteOutcome(StrEnum):
-    """What an operator is told about a write."""
+    """Outcome of a write as reported to the operator."""
 
     ACCEPTED = "accepted"
-    """Committed, stored by a majority of the replicas, and in force on this node."""
+    """Committed, stored by a majority of the replicas, and applied on this node."""
 
     REFUSED = "refused"
-    """Certainly not committed, now or later."""
+    """Not committed, and never will be."""
 
     UNKNOWN_YET = "unknown_yet"
-    """Ask again with the operation identifier."""
+    """Not known yet; query the status with the operation identifier."""
 
 
 class WriteResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of an operator's write.
+    """Result of an operator's write.
 
     Attributes:
-        outcome: What is known.
-        operation_id: Identifier to ask again with.
-        committed_revision: Revision of the commit, if it is known to have happened.
-        detail: One sentence for a person.
+        outcome: The outcome.
+        operation_id: Identifier to query the status with.
+        committed_revision: Revision of the commit, if one is known.
+        detail: Human-readable explanation.
     """
 
     outcome: WriteOutcome
@@ -37,10 +37,10 @@
 
 
 def refused(operation_id: str, detail: str) -> WriteResult:
-    """Return the result of a write that certainly has no effect."""
+    """Return the result of a write that has and will have no effect."""
     return WriteResult(outcome=WriteOutcome.REFUSED, operation_id=operation_id, detail=detail)
 
 
 def unknown_yet(operation_id: str, detail: str) -> WriteResult:
-    """Return the result of a write that must be asked about again."""
+    """Return the result of a write whose outcome is not known yet."""
     return WriteResult(outcome=WriteOutcome.UNKNOWN_YET, operation_id=operation_id, detail=detail)
--- a/drumbay/configuration/replica.py
+++ b/drumbay/configuration/replica.py
@@ -1,4 +1,4 @@
-"""The durable configuration of a node with a disk, and its file."""
+"""The replica of the configuration on a node with a disk, and its file."""
 
 import asyncio
 import os
@@ -25,11 +25,11 @@
 
 
 class ReplicaContent(msgspec.Struct, frozen=True, kw_only=True):
-    """What the file holds.
+    """Content of the file.
 
     Attributes:
-        complete: The replica has recovered since its disk was last empty.
-        snapshot: The whole configuration.
+        complete: Whether the replica has recovered since its disk was last empty.
+        snapshot: Snapshot of the configuration.
     """
 
     complete: bool
@@ -43,7 +43,7 @@
 
 
 class ReplicaFile:
-    """One file that is replaced atomically; a write that returned survives a crash."""
+    """File that is replaced atomically and durably."""
 
     def __init__(self, data_folder: Path) -> None:
         """Use ``configuration.msgpack`` in ``data_folder``."""
@@ -71,7 +71,7 @@
         """Replace the file durably.
 
         Raises:
-            OSError: The disk refused; the earlier content is still there.
+            OSError: The write failed; the previous content is kept.
         """
         encoded = msgspec.msgpack.encode(content)
         envelope = _FileEnvelope(
@@ -86,7 +86,7 @@
             stream.flush()
             os.fsync(stream.fileno())
         temporary.replace(self._path)
-        # NOTE: without this the rename itself may be lost in a power failure.
+        # NOTE: without syncing the folder, a power failure may undo the rename.
         folder = os.open(self._path.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -95,27 +95,26 @@
 
 
 class ConfigurationReplica:
-    """Keeps the newest configuration it was given on disk and serves it to others.
+    """Stores the newest configuration on disk and serves it to other nodes.
 
-    The replica may hold a revision that is not in force yet; the node's own applied
-    configuration is separate.
+    The replica may hold a revision that this node has not applied yet.
     """
 
     def __init__(
         self, node_id: NodeId, file: ReplicaFile, run_blocking: RunBlocking = run_inline
     ) -> None:
-        """Load the file; a damaged one counts as an empty disk.
+        """Load the file; a corrupt one is treated as an empty disk.
 
         Args:
             node_id: This node.
-            file: Holds the configuration.
-            run_blocking: Does what waits for the disk.
+            file: File of the configuration.
+            run_blocking: Runs blocking disk operations.
         """
         self._node_id = node_id
         self._file = file
         self._run_blocking = run_blocking
-        # One write builds on the one before it.
-        self._writing = asyncio.Lock()
+        # Serializes writes: each builds on the previous one.
+        self._write_lock = asyncio.Lock()
         self._state = ConfigurationState()
         self._complete = False
         try:
@@ -129,16 +128,16 @@
 
     @property
     def revision(self) -> Revision:
-        """Return the durable revision."""
+        """Return the revision on disk."""
         return self._state.revision
 
     async def store(self, request: ReplicaStore) -> ReplicaStoreReply:
-        """Make an update durable and return the revision that is durable now.
+        """Store an update on disk and return the resulting revision.
 
         Raises:
-            OSError: The disk refused; the earlier revision is still held.
+            OSError: The write failed; the previous revision is kept.
         """
-        async with self._writing:
+        async with self._write_lock:
             if self._state.classify(request.update) is ApplyOutcome.APPLIED:
                 candidate = self._state.copy()
                 candidate.apply(request.update)
@@ -151,7 +150,7 @@
         await self._run_blocking(lambda: self._file.save(content))
 
     def read(self, request: ReplicaRead) -> ReplicaReadReply:
-        """Return what is held beyond the revision asked for."""
+        """Return the changes after the requested revision."""
         return ReplicaReadReply(
             node_id=self._node_id,
             complete=self._complete,
@@ -160,16 +159,16 @@
         )
 
     async def mark_complete(self, recovered: ConfigurationUpdate) -> None:
-        """Record that the replica holds all that it ever acknowledged.
+        """Record that the replica holds every change that it ever acknowledged.
 
         Args:
             recovered: Snapshot read from the key-value service or a majority of replicas.
 
         Raises:
-            OSError: The disk refused; the replica stays incomplete.
+            OSError: The write failed; the replica stays incomplete.
         """
         await self.store(ReplicaStore(update=recovered))
-        async with self._writing:
+        async with self._write_lock:
             if not self._complete:
                 await self._save(self._state, complete=True)
                 self._complete = True
--- a/drumbay/configuration/replica_set.py
+++ b/drumbay/configuration/replica_set.py
@@ -1,9 +1,9 @@
 """Majorities of replicas, and changes of the replica set. Pure.
 
 A set changes in two steps, as in joint consensus (Ongaro and Ousterhout, "In Search of an
-Understandable Consensus Algorithm", 2014, section 6): first to the new members together
-with the earlier ones, where both majorities are needed, and once that is in force to the
-new members alone. Two majorities that follow each other thus always meet in one replica.
+Understandable Consensus Algorithm", 2014, section 6): first to the new and the previous
+members together, where both majorities are needed, and once that is applied to the new
+members alone. Successive majorities therefore always share a replica.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -13,7 +13,7 @@
 
 MAX_REPLICAS = 7
 REMOVE_AFTER_SECONDS = 120.0
-"""How long a replica must be out of the membership before it is replaced."""
+"""How long a replica must be absent from the membership before it is replaced."""
 
 
 def _is_majority(members: Sequence[NodeId], voters: Collection[NodeId]) -> bool:
@@ -22,7 +22,7 @@
 
 
 def has_majority(replica_set: ReplicaSet, voters: Collection[NodeId]) -> bool:
-    """Tell whether ``voters`` decide for a replica set; an empty set needs nobody."""
+    """Return whether ``voters`` include a majority; an empty set needs no voters."""
     if not replica_set.members:
         return True
     if replica_set.previous and not _is_majority(replica_set.previous, voters):
@@ -35,12 +35,12 @@
     live_with_disk: Collection[NodeId],
     absent_seconds: Mapping[NodeId, float],
 ) -> ReplicaSet | None:
-    """Return the set that should be proposed; ``None`` to keep the current one.
+    """Return the set to propose; ``None`` to keep the current one.
 
     Args:
-        current: The set in force.
+        current: The applied set.
         live_with_disk: Live members that have a data folder.
-        absent_seconds: For current replicas out of the membership: since how long.
+        absent_seconds: How long each absent replica has been out of the membership.
     """
     if current.previous:
         return ReplicaSet(members=current.members)
@@ -49,12 +49,12 @@
         for node_id in current.members
         if absent_seconds.get(node_id, 0.0) < REMOVE_AFTER_SECONDS
     ]
-    # NOTE: a node on the small side of a cut must propose nothing. Its set could never
-    # come in force, and it would hold back every later revision until the cut heals.
+    # NOTE: a node in the minority partition must not propose a set. No majority could store
+    # it, and it would block every later revision until the partition heals.
     if not has_majority(current, [node_id for node_id in kept if node_id in live_with_disk]):
         return None
-    newcomers = sorted(node_id for node_id in live_with_disk if node_id not in current.members)
-    members = tuple(sorted([*kept, *newcomers[: max(0, MAX_REPLICAS - len(kept))]]))
+    candidates = sorted(node_id for node_id in live_with_disk if node_id not in current.members)
+    members = tuple(sorted([*kept, *candidates[: max(0, MAX_REPLICAS - len(kept))]]))
     if members == current.members:
         return None
     return ReplicaSet(members=members, previous=current.members)
--- a/drumbay/configuration/replica_set_keeper.py
+++ b/drumbay/configuration/replica_set_controller.py
@@ -1,4 +1,4 @@
-"""Proposes the set of the configuration's replicas as disks come and go."""
+"""Reconciles the set of the configuration's replicas with the live nodes that have disks."""
 
 import random
 from collections.abc import Callable
@@ -14,15 +14,15 @@
 from drumbay.observability.logs import log_event
 
 PROPOSAL_PROBABILITY = 0.25
-"""Every watcher may propose, as any of them may be cut off from the service: chance keeps them
-apart, and compare-and-swap lets one win."""
+"""Probability that a watcher proposes; it spreads the proposals of concurrent watchers, of which
+compare-and-swap accepts one."""
 
-FEWEST_REPLICAS = 3
-"""A majority of fewer does not survive the loss of one."""
+MIN_REPLICAS = 3
+"""The smallest set whose majority survives the loss of one replica."""
 
 
-class ReplicaSetKeeper:
-    """Keeps the set to the live nodes with disks, on a node that watches the service."""
+class ReplicaSetController:
+    """Proposes replica sets of live nodes with disks; runs on nodes that watch the service."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         members: Callable[[], tuple[PeerView, ...]],
         generator: random.Random,
     ) -> None:
-        """Create a keeper that has missed nobody.
+        """Create a controller without absent replicas.
 
         Args:
             clock: Time.
-            store: The key-value service, which takes proposals.
-            applied: What is in force, the set included.
+            store: The key-value service, to which proposals are written.
+            applied: Applied configuration, which includes the replica set.
             members: Returns the live members.
-            generator: Source of chance.
+            generator: Source of random choices.
         """
         self._clock = clock
         self._store = store
@@ -50,16 +50,16 @@
         self._absent_since: dict[NodeId, float] = {}
 
     def is_forming(self) -> bool:
-        """Return whether a failure now would find too few replicas.
+        """Return whether the set is too small or still changing.
 
-        Without a replica set nobody can start during an outage of the key-value service, so
-        the set of a young cluster does not wait for the next confirmation.
+        No node can start during an outage of the key-value service without a replica set, so
+        a new cluster forms its set without waiting for the next confirmation.
         """
         replica_set = self._applied.state.replica_set
-        return len(replica_set.members) < FEWEST_REPLICAS or bool(replica_set.previous)
+        return len(replica_set.members) < MIN_REPLICAS or bool(replica_set.previous)
 
     async def propose(self) -> None:
-        """Propose a new set when disks came or went, at times."""
+        """Propose a new set, with some probability, if the live nodes with disks changed."""
         current = self._applied.state.replica_set
         live = sorted(peer.node_id for peer in self._members() if peer.has_data_folder)
         now = self._clock.monotonic()
@@ -80,5 +80,5 @@
                 (Put(key=REPLICA_SET_KEY, value=msgspec.msgpack.encode(planned)),),
             )
         except KeyValueError as error:
-            # NOTE: a lost answer needs no settling: the watch brings what was written.
+            # NOTE: a lost response needs no read-back: the watch delivers a committed write.
             log_event("configuration_replicas_change_failed", level="WARNING", error=error.code)
--- a/drumbay/configuration/replication.py
+++ b/drumbay/configuration/replication.py
@@ -1,4 +1,4 @@
-"""Majority reads and writes of the replicas."""
+"""Majority reads and writes of the configuration's replicas."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -22,14 +22,14 @@
 from drumbay.tasks import TaskOwner
 
 REPLICA_CALL_TIMEOUT_SECONDS = 6.0
-"""Above the round trip of a network that delays seconds: a shorter limit would take such a
-network for a cut and keep a change from ever being stored by a majority."""
+"""Exceeds the round trip of a network with delays of seconds, where changes would otherwise never
+reach a majority."""
 
 ReplyT = TypeVar("ReplyT", bound=Message)
 
 
 class ReplicaClient:
-    """Reads and writes the replicas from one node; its own replica without network."""
+    """Reads and writes the replicas; accesses this node's own replica directly."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         own_replica: ConfigurationReplica | None,
         task_owner: TaskOwner,
     ) -> None:
-        """Use ``members`` to find the replicas' addresses."""
+        """Create a client that finds the replicas' addresses in ``members``."""
         self._node_id = node_id
         self._transport = transport
         self._members = members
@@ -48,10 +48,10 @@
         self._task_owner = task_owner
 
     async def store(self, state: ConfigurationState, update: ConfigurationUpdate) -> None:
-        """Make an update durable on a majority of the replicas.
+        """Store an update on a majority of the replicas.
 
         Args:
-            state: Applied state that the update leads on from.
+            state: Applied state that the update builds on.
             update: An update that ``state`` could apply.
 
         Raises:
@@ -62,17 +62,17 @@
             return
         targets = sorted({*replica_set.members, *replica_set.previous})
         acknowledged = await self._store_until(
-            state, update, targets, lambda voters: self._decides(replica_set, voters)
+            state, update, targets, lambda voters: self._has_majority(replica_set, voters)
         )
-        if not self._decides(replica_set, acknowledged):
+        if not self._has_majority(replica_set, acknowledged):
             raise ReplicaMajorityError(
                 f"revision {update.revision}: {len(acknowledged)} of {len(targets)} stored it"
             )
 
     async def store_on_one(self, state: ConfigurationState, update: ConfigurationUpdate) -> bool:
-        """Make an update durable on one replica at least; return whether one has it.
+        """Store an update on at least one replica; return whether one has stored it.
 
-        Arguments as of :meth:`store`.
+        Arguments as for :meth:`store`.
         """
         replica_set = replica_set_in(update) or state.replica_set
         targets = sorted({*replica_set.members, *replica_set.previous})
@@ -85,28 +85,28 @@
         targets: Sequence[NodeId],
         is_enough: Callable[[Sequence[NodeId]], bool],
     ) -> list[NodeId]:
-        """Store on all targets at once; return those that have it once they are enough."""
+        """Store on all targets concurrently; return the acknowledged ones once they suffice."""
         complete_state = state.copy()
         complete_state.apply(update)
         snapshot = complete_state.snapshot()
         acknowledged: list[NodeId] = []
 
-        async def ask(node_id: NodeId) -> None:
+        async def call_replica(node_id: NodeId) -> None:
             reply = await self._store_on(node_id, update)
             if reply.revision < update.revision:
                 reply = await self._store_on(node_id, snapshot)
             if reply.revision >= update.revision:
                 acknowledged.append(node_id)
 
-        await self._ask_until(targets, ask, lambda: is_enough(acknowledged))
+        await self._call_until(targets, call_replica, lambda: is_enough(acknowledged))
         return acknowledged
 
     async def read(self, state: ConfigurationState) -> ConfigurationUpdate | None:
-        """Return the newest update that a majority of the replicas vouches for.
+        """Return the newest update among the replies of a majority of the replicas.
 
-        What is returned may be held by one replica only; the caller stores it on a
-        majority before it applies it (Attiya, Bar-Noy and Dolev, "Sharing Memory Robustly
-        in Message-Passing Systems", 1995: a reader writes back what it read).
+        Only one replica may hold it, so the caller stores it on a majority before it applies
+        it (Attiya, Bar-Noy and Dolev, "Sharing Memory Robustly in Message-Passing Systems",
+        1995: a reader writes back what it read).
 
         Returns:
             ``None`` if no replica has anything newer than ``state``.
@@ -116,29 +116,33 @@
         """
         replies: list[ReplicaReadReply] = []
 
-        async def ask(node_id: NodeId) -> None:
+        async def call_replica(node_id: NodeId) -> None:
             request = ReplicaRead(after_revision=state.revision)
             replies.append(await self._read_on(node_id, request))
 
         known = {peer.node_id for peer in self._members() if peer.has_data_folder}
         targets = sorted(known | {*state.replica_set.members, *state.replica_set.previous})
-        await self._ask_until(targets, ask, lambda: self._vouch(state, replies))
-        if not self._vouch(state, replies):
+        await self._call_until(
+            targets, call_replica, lambda: self._is_majority_read(state, replies)
+        )
+        if not self._is_majority_read(state, replies):
             raise ReplicaMajorityError(f"{len(replies)} of {len(targets)} replicas answered")
         return _newest_update(replies)
 
-    def _decides(self, replica_set: ReplicaSet, voters: Sequence[NodeId]) -> bool:
+    def _has_majority(self, replica_set: ReplicaSet, voters: Sequence[NodeId]) -> bool:
         return has_majority(replica_set, voters)
 
-    def _vouch(self, state: ConfigurationState, replies: Sequence[ReplicaReadReply]) -> bool:
-        """Tell whether the replies decide for the newest replica set among them."""
+    def _is_majority_read(
+        self, state: ConfigurationState, replies: Sequence[ReplicaReadReply]
+    ) -> bool:
+        """Return whether the replies are a majority of the newest replica set among them."""
         replica_set = state.replica_set
         newest = _newest_update(replies)
         if newest is not None:
             replica_set = replica_set_in(newest) or replica_set
         if not replica_set.members:
             return False
-        return self._decides(replica_set, self._voters(replies))
+        return self._has_majority(replica_set, self._voters(replies))
 
     def _voters(self, replies: Sequence[ReplicaReadReply]) -> list[NodeId]:
         return [reply.node_id for reply in replies if reply.complete]
@@ -162,32 +166,32 @@
                 )
         raise ReplicaMajorityError(f"replica {node_id} is not a live member")
 
-    async def _ask_until(
+    async def _call_until(
         self,
         targets: Sequence[NodeId],
-        ask: Callable[[NodeId], Awaitable[None]],
-        decided: Callable[[], bool],
+        call_replica: Callable[[NodeId], Awaitable[None]],
+        is_done: Callable[[], bool],
     ) -> bool:
-        """Ask all targets at once; return early when decided. A slow one delays nobody."""
+        """Call all targets concurrently; return whether ``is_done`` held before all had ended."""
         finished = asyncio.Event()
-        open_count = len(targets)
+        pending_count = len(targets)
 
-        async def ask_one(node_id: NodeId) -> None:
-            nonlocal open_count
+        async def call_and_count(node_id: NodeId) -> None:
+            nonlocal pending_count
             try:
-                await ask(node_id)
+                await call_replica(node_id)
             except (TransportError, ReplicaMajorityError, OSError):
-                pass  # NOTE: no acknowledgement is the whole meaning; the count decides.
+                pass  # NOTE: a failed call only means one acknowledgement less.
             finally:
-                open_count -= 1
-                if open_count == 0 or decided():
+                pending_count -= 1
+                if pending_count == 0 or is_done():
                     finished.set()
 
         for node_id in targets:
-            self._task_owner.spawn(ask_one(node_id), f"ask replica {node_id}")
+            self._task_owner.spawn(call_and_count(node_id), f"replica call {node_id}")
         if targets:
             await finished.wait()
-        return decided()
+        return is_done()
 
 
 def _newest_update(replies: Sequence[ReplicaReadReply]) -> ConfigurationUpdate | None:
--- a/drumbay/configuration/service.py
+++ b/drumbay/configuration/service.py
@@ -14,7 +14,7 @@
 from drumbay.configuration.dissemination import Dissemination
 from drumbay.configuration.errors import ReplicaMajorityError, StoreBehindError
 from drumbay.configuration.gossip import PeerDirectory, is_watcher
-from drumbay.configuration.lone_node import LoneNode
+from drumbay.configuration.majority_fallback import MajorityFallback
 from drumbay.configuration.messages import (
     RESOURCE_PREFIX,
     ConfigurationReadiness,
@@ -26,7 +26,7 @@
     ReplicaStoreReply,
 )
 from drumbay.configuration.replica import ConfigurationReplica, ReplicaFile
-from drumbay.configuration.replica_set_keeper import ReplicaSetKeeper
+from drumbay.configuration.replica_set_controller import ReplicaSetController
 from drumbay.configuration.replication import ReplicaClient
 from drumbay.configuration.state import ApplyOutcome, ConfigurationState
 from drumbay.configuration.view import ConfigurationView
@@ -37,45 +37,45 @@
 from drumbay.storage.writer_thread import RunBlocking, run_inline
 from drumbay.tasks import TaskOwner
 
-ROLE_PERIOD_SECONDS = 1.0
+ROLE_CHECK_PERIOD_SECONDS = 1.0
 CONFIRM_PERIOD_SECONDS = 5.0
 STORE_CONFIRM_PERIOD_SECONDS = 15.0
-"""Between confirmations by the rate-limited key-value service, without replicas."""
+"""Confirmation period without replicas, when the rate-limited key-value service is read."""
 
 LOAD_RETRY_SECONDS = 0.5
-"""Between the questions of a starting node to the replicas, which are not rate-limited."""
+"""Longest delay between a starting node's reads of the replicas."""
 
-LONE_WAIT_SECONDS = 5.0
-"""How long a node waits for a majority of the replicas before it takes the key-value service's
-word alone: half of the ten seconds in which a change has to be in force."""
+MAJORITY_WAIT_SECONDS = 5.0
+"""How long a node waits for a majority of the replicas before it applies what it reads from the
+key-value service: half of the ten seconds within which a change must be applied."""
 
 
-class _ToldUpdate(msgspec.Struct, frozen=True, kw_only=True):
-    """What the service, or a majority of the replicas, told last.
+class _LastRead(msgspec.Struct, frozen=True, kw_only=True):
+    """The newest configuration last read from the replicas or the key-value service.
 
     Attributes:
-        update: The newest configuration then.
-        asked_at: Monotonic time before it was asked for.
+        update: The configuration.
+        requested_at: Monotonic time before the read.
     """
 
     update: ConfigurationUpdate
-    asked_at: float
+    requested_at: float
 
 
 class ConfigurationService:
-    """Keeps the operators' configuration in force on one node.
+    """Keeps the operators' configuration up to date on one node.
 
-    Start with :meth:`start`; it ends with the task owner. The live members must include
+    :meth:`start` starts it; closing the task owner stops it. The live members must include
     the node itself.
 
     Attributes:
         state_type: Class of the applied state.
         replica_client_type: Class of the client of the replicas.
-        dissemination_type: Class of the exchange with peers.
+        dissemination_type: Class of the gossip service.
         watcher_type: Class of the watch.
-        load_retry_seconds: Longest time between a starting node's questions to the replicas.
+        load_retry_seconds: Longest delay between a starting node's reads of the replicas.
         lone_wait_seconds: How long a node waits for a majority of the replicas before it
-            takes the key-value service's word alone.
+            applies what it reads from the key-value service.
     """
 
     state_type: ClassVar[type[ConfigurationState]] = ConfigurationState
@@ -83,7 +83,7 @@
     dissemination_type: ClassVar[type[Dissemination]] = Dissemination
     watcher_type: ClassVar[type[ConfigurationWatcher]] = ConfigurationWatcher
     load_retry_seconds: ClassVar[float] = LOAD_RETRY_SECONDS
-    lone_wait_seconds: ClassVar[float] = LONE_WAIT_SECONDS
+    lone_wait_seconds: ClassVar[float] = MAJORITY_WAIT_SECONDS
 
     def __init__(
         self,
@@ -98,9 +98,9 @@
         data_folder: Path | None = None,
         run_blocking: RunBlocking = run_inline,
     ) -> None:
-        """Create the service; a node with a data folder is a candidate for a replica.
+        """Create the service; a node with a data folder may become a replica.
 
-        ``run_blocking`` does what waits for the disk.
+        ``run_blocking`` runs blocking disk operations.
         """
         self._clock = clock
         self._transport = transport
@@ -126,21 +126,21 @@
             directory=self._directory,
             generator=generator,
             task_owner=task_owner,
-            accept=self._put_in_force,
+            apply_update=self._apply_update,
         )
-        self._replica_set_keeper = ReplicaSetKeeper(
+        self._replica_set_controller = ReplicaSetController(
             clock=clock, store=store, applied=self._applied, members=members, generator=generator
         )
-        self._lone_node = self._make_lone_node()
-        self._told: _ToldUpdate | None = None
+        self._majority_fallback = self._make_majority_fallback()
+        self._last_read: _LastRead | None = None
         self._watch_task: asyncio.Task[Any] | None = None
-        self._known_members: tuple[PeerView, ...] = ()
-        self._known_directory: PeerDirectory | None = None
-        self._chosen_to_watch = False
+        self._cached_members: tuple[PeerView, ...] = ()
+        self._cached_directory: PeerDirectory | None = None
+        self._should_watch = False
 
     @property
     def applied(self) -> AppliedConfiguration:
-        """Return what is in force, for the operators' service."""
+        """Return the applied configuration, for the operators' service."""
         return self._applied
 
     @property
@@ -149,11 +149,11 @@
         return self._watch_task is not None
 
     def snapshot(self) -> ConfigurationView:
-        """Return the configuration in force on this node."""
+        """Return the typed view of the configuration applied on this node."""
         return self._applied.view
 
     def readiness(self) -> ConfigurationReadiness:
-        """Return what ``/readyz`` says about the configuration."""
+        """Return the readiness that ``/readyz`` reports."""
         return self._applied.readiness()
 
     def on_change(self, callback: ChangeCallback) -> None:
@@ -175,14 +175,14 @@
             return None
         return ConfigurationReplica(self._node_id, ReplicaFile(data_folder), run_blocking)
 
-    def _make_lone_node(self) -> LoneNode:
-        return LoneNode(
+    def _make_majority_fallback(self) -> MajorityFallback:
+        return MajorityFallback(
             clock=self._clock,
             replica=self._replica,
             applied=self._applied,
             replicas=self._replicas,
-            put_in_force=lambda update: self._put_in_force(update, durable=False),
-            on_durable=self._dissemination.spread,
+            apply_update=lambda update: self._apply_update(update, durable=False),
+            on_durable=self._dissemination.announce_revision,
             task_owner=self._task_owner,
             wait_seconds=self.lone_wait_seconds,
             retry_seconds=self.load_retry_seconds,
@@ -190,12 +190,12 @@
 
     def _directory(self) -> PeerDirectory:
         members = self._members()
-        if self._known_directory is None or members is not self._known_members:
-            self._known_members = members
+        if self._cached_directory is None or members is not self._cached_members:
+            self._cached_members = members
             own = self._own_view(members)
-            self._known_directory = PeerDirectory(own, members)
-            self._chosen_to_watch = is_watcher(own, members)
-        return self._known_directory
+            self._cached_directory = PeerDirectory(own, members)
+            self._should_watch = is_watcher(own, members)
+        return self._cached_directory
 
     def _own_view(self, members: tuple[PeerView, ...]) -> PeerView:
         for peer in members:
@@ -215,18 +215,18 @@
         await self._load()
         next_confirmation = self._clock.monotonic()
         while True:
-            self._elect()
+            self._update_watcher()
             is_due = self._clock.monotonic() >= next_confirmation
             if self.watching and is_due:
                 await self._confirm()
                 next_confirmation = self._clock.monotonic() + self._confirm_period_seconds()
             if self.watching and (is_due or self.is_replica_set_forming()):
-                await self._replica_set_keeper.propose()
-            await self._clock.sleep(ROLE_PERIOD_SECONDS)
+                await self._replica_set_controller.propose()
+            await self._clock.sleep(ROLE_CHECK_PERIOD_SECONDS)
 
     def is_replica_set_forming(self) -> bool:
-        """Return whether the replica set must not wait for the next confirmation."""
-        return self._replica_set_keeper.is_forming()
+        """Return whether the replica set is too small or still changing."""
+        return self._replica_set_controller.is_forming()
 
     def _confirm_period_seconds(self) -> float:
         if self._applied.state.replica_set.members:
@@ -234,16 +234,18 @@
         return STORE_CONFIRM_PERIOD_SECONDS
 
     async def _load(self) -> None:
-        """Load the configuration from whoever can vouch for it first."""
-        ways = [
+        """Load the configuration from a majority, or without one after a timeout."""
+        loaders = [
             self._task_owner.spawn(self._load_from_majority(), "configuration load"),
-            self._task_owner.spawn(self._load_alone(), "configuration lone start"),
+            self._task_owner.spawn(
+                self._load_without_majority(), "configuration load without majority"
+            ),
         ]
-        done, others = await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+        done, others = await asyncio.wait(loaders, return_when=asyncio.FIRST_COMPLETED)
         for other in others:
             other.cancel()
-        for way in done:
-            way.result()
+        for loader in done:
+            loader.result()
         self._applied.mark_loaded()
         if self._replica is not None:
             await self._mark_replica_complete(self._replica)
@@ -253,30 +255,33 @@
         backoff = retry_backoff(self._generator)
         next_store_read = self._clock.monotonic()
         while True:
-            # NOTE: replicas come back at any moment, and this node serves nothing before;
-            # only the rate-limited key-value service is spared.
+            # NOTE: the replicas are polled often, since the node serves nothing until they are
+            # back; only reads of the rate-limited key-value service back off.
             reads_store = self._clock.monotonic() >= next_store_read
             if await self._confirm(reads_store=reads_store):
                 break
             if reads_store:
                 next_store_read = self._clock.monotonic() + backoff.next_delay_seconds()
-            share = self._generator.uniform(0.5, 1.0)
-            await self._clock.sleep(share * self.load_retry_seconds)
+            jitter = self._generator.uniform(0.5, 1.0)
+            await self._clock.sleep(jitter * self.load_retry_seconds)
 
-    async def _load_alone(self) -> None:
-        """Start on the key-value service's word if no majority can be had for long.
+    async def _load_without_majority(self) -> None:
+        """Load from the key-value service if no majority has responded in time.
 
-        It is the word that the other way to load has asked for: the service is rate-limited.
+        It uses the configuration that the concurrent load has read, since the service is
+        rate-limited.
         """
         await self._clock.sleep(self.lone_wait_seconds)
-        while not await self._take_told():
+        while not await self._apply_last_read():
             await self._clock.sleep(self.load_retry_seconds)
 
-    async def _take_told(self) -> bool:
-        told = self._told
-        if told is None or not await self._lone_node.take(told.update):
+    async def _apply_last_read(self) -> bool:
+        last_read = self._last_read
+        if last_read is None or not await self._majority_fallback.apply_from_one_disk(
+            last_read.update
+        ):
             return False
-        self._applied.confirm(told.asked_at)
+        self._applied.confirm(last_read.requested_at)
         return True
 
     async def _mark_replica_complete(self, replica: ConfigurationReplica) -> None:
@@ -286,24 +291,24 @@
             log_event("configuration_store_failed", level="ERROR", detail=str(error))
 
     async def _confirm(self, *, reads_store: bool = True) -> bool:
-        """Learn whether anything newer is in force, put it in force, and report success.
+        """Read and apply the newest configuration; return whether that succeeded.
 
-        A majority of the replicas is asked first, which costs the rate-limited key-value
-        service nothing; it is read when no majority answers.
+        A majority of the replicas is read first, to spare the rate-limited key-value service,
+        which is read only if no majority responds.
 
         Args:
-            reads_store: Whether the key-value service may be read at all.
+            reads_store: Whether the key-value service may be read.
         """
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             update = await self._read_newest(reads_store=reads_store)
             if update is not None:
-                self._told = _ToldUpdate(update=update, asked_at=asked_at)
+                self._last_read = _LastRead(update=update, requested_at=requested_at)
                 await self._commit(update)
         except (ReplicaMajorityError, KeyValueError, StoreBehindError) as error:
             log_event("configuration_unconfirmed", level="WARNING", detail=str(error))
             return False
-        self._applied.confirm(asked_at)
+        self._applied.confirm(requested_at)
         return True
 
     async def _read_newest(self, *, reads_store: bool) -> ConfigurationUpdate | None:
@@ -313,22 +318,24 @@
             if not reads_store:
                 raise
             update = await self._read_store()
-        return None if self._has_content_of(update) else update
+        return None if self._has_same_content(update) else update
 
     async def _read_store(self) -> ConfigurationUpdate:
         """Read the whole configuration from the key-value service.
 
         Raises:
-            KeyValueError: The service did not answer.
-            StoreBehindError: It has lost what this node's disk holds.
+            KeyValueError: The service did not respond.
+            StoreBehindError: It is at a lower revision than this node's disk.
         """
         update = update_from_range(await self._store.range_prefix(RESOURCE_PREFIX))
-        held = self._lone_node.held_revision
-        if update.revision < held:
-            raise StoreBehindError(f"the service is at {update.revision}, the disk at {held}")
+        stored_revision = self._majority_fallback.stored_revision
+        if update.revision < stored_revision:
+            raise StoreBehindError(
+                f"the service is at {update.revision}, the disk at {stored_revision}"
+            )
         return update
 
-    def _has_content_of(self, update: ConfigurationUpdate) -> bool:
+    def _has_same_content(self, update: ConfigurationUpdate) -> bool:
         if not self._applied.loaded:
             return False
         fresh = ConfigurationState()
@@ -336,32 +343,34 @@
         return fresh.content_hash == self._applied.state.content_hash
 
     async def _commit(self, update: ConfigurationUpdate) -> None:
-        """Store an update on a majority of the replicas, then put it in force.
+        """Store an update on a majority of the replicas, then apply it.
 
         Raises:
-            ReplicaMajorityError: It is not durable; the configuration is unchanged.
+            ReplicaMajorityError: No majority stored it; the configuration is unchanged.
         """
         if self._applied.state.classify(update) is not ApplyOutcome.APPLIED:
             return
         await self._replicas.store(self._applied.state, update)
-        self._put_in_force(update)
+        self._apply_update(update)
 
     async def _commit_watched(self, update: ConfigurationUpdate) -> None:
-        """Put a change in force that the watch brought; without a majority, after a wait.
+        """Commit a change from the watch; after a while, apply it without a majority.
 
         Raises:
-            ReplicaMajorityError: It is not durable; the configuration is unchanged.
+            ReplicaMajorityError: No majority stored it; the configuration is unchanged.
         """
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         try:
             await self._commit(update)
         except ReplicaMajorityError:
-            if not self._lone_node.is_due(asked_at) or not await self._lone_node.take(update):
+            if not self._majority_fallback.should_fall_back(
+                requested_at
+            ) or not await self._majority_fallback.apply_from_one_disk(update):
                 raise
         else:
-            self._lone_node.note_majority()
+            self._majority_fallback.record_majority()
 
-    def _put_in_force(self, update: ConfigurationUpdate, *, durable: bool = True) -> ApplyOutcome:
+    def _apply_update(self, update: ConfigurationUpdate, *, durable: bool = True) -> ApplyOutcome:
         outcome = self._applied.apply(update, durable=durable)
         if outcome is not ApplyOutcome.APPLIED:
             return outcome
@@ -371,11 +380,11 @@
             node=self._node_id,
             revision=self._applied.revision,
         )
-        self._catch_up_own_replica()
-        self._dissemination.spread()
+        self._update_own_replica()
+        self._dissemination.announce_revision()
         return outcome
 
-    def _catch_up_own_replica(self) -> None:
+    def _update_own_replica(self) -> None:
         replica = self._replica
         if replica is None or replica.revision >= self._applied.revision:
             return
@@ -392,9 +401,9 @@
         except OSError as error:
             log_event("configuration_store_failed", level="ERROR", detail=str(error))
 
-    def _elect(self) -> None:
+    def _update_watcher(self) -> None:
         self._directory()
-        chosen = self._chosen_to_watch
+        chosen = self._should_watch
         if self._watch_task is not None and self._watch_task.done():
             self._watch_task = None
         if chosen and self._watch_task is None:
--- a/drumbay/configuration/state.py
+++ b/drumbay/configuration/state.py
@@ -1,4 +1,4 @@
-"""The configuration applied on one node: entries, log of changes and digest. No I/O."""
+"""The configuration applied on one node: entries, change log and digest. No I/O."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -17,11 +17,11 @@
 from drumbay.identifiers import Revision
 
 DELTA_LOG_ENTRIES = 1024
-"""Changes kept for peers that lag; a peer further behind gets a snapshot."""
+"""Changes kept for lagging peers; a peer further behind gets a snapshot."""
 
 
 class ApplyOutcome(StrEnum):
-    """What became of an update."""
+    """Result of applying an update."""
 
     APPLIED = "applied"
     OLD = "old"
@@ -44,7 +44,7 @@
 
 
 def replica_set_in(update: ConfigurationUpdate) -> ReplicaSet | None:
-    """Return the replica set that an update sets; ``None`` if it leaves it as it is."""
+    """Return the replica set in an update; ``None`` if the update does not change it."""
     newest: ConfigurationEntry | None = None
     for entry in update.entries:
         if entry.key == REPLICA_SET_KEY:
@@ -58,7 +58,7 @@
     """Entries that are complete up to one revision, which never decreases.
 
     The revision is that of the key-value service: every change of the prefix up to it is
-    applied, and every entry at or below it that arrives later is old and ignored.
+    applied, and later entries at or below it are ignored as old.
     """
 
     def __init__(self, log_entries: int = DELTA_LOG_ENTRIES) -> None:
@@ -88,7 +88,7 @@
 
     @property
     def replica_set(self) -> ReplicaSet:
-        """Return the nodes that keep this configuration on disk."""
+        """Return the nodes that store this configuration on disk."""
         return decode_replica_set(self._entries.get(REPLICA_SET_KEY))
 
     def entry(self, key: str) -> ConfigurationEntry | None:
@@ -100,7 +100,7 @@
         return tuple(self._entries[key] for key in sorted(self._entries))
 
     def classify(self, update: ConfigurationUpdate) -> ApplyOutcome:
-        """Tell what :meth:`apply` would do with an update."""
+        """Return what :meth:`apply` would do with an update."""
         if update.revision <= self._revision:
             return ApplyOutcome.OLD
         if update.base_revision is not None and update.base_revision > self._revision:
@@ -108,7 +108,7 @@
         return ApplyOutcome.APPLIED
 
     def apply(self, update: ConfigurationUpdate) -> ApplyOutcome:
-        """Apply a delta or a snapshot unless it is old or leaves a gap."""
+        """Apply a delta or a snapshot unless it is old or would leave a gap."""
         outcome = self.classify(update)
         if outcome is not ApplyOutcome.APPLIED:
             return outcome
@@ -131,7 +131,7 @@
         return entry.mod_revision > self._revision
 
     def update_since(self, revision: Revision) -> ConfigurationUpdate | None:
-        """Return what a peer at ``revision`` lacks: a delta if held, else a snapshot."""
+        """Return the changes after ``revision``: a delta if the log has them, else a snapshot."""
         if revision >= self._revision:
             return None
         if revision < self._log_base:
@@ -140,7 +140,7 @@
         return ConfigurationUpdate(revision=self._revision, base_revision=revision, entries=missing)
 
     def snapshot(self) -> ConfigurationUpdate:
-        """Return the whole configuration."""
+        """Return a snapshot of all entries."""
         ordered = sorted(self._entries.values(), key=lambda entry: (entry.mod_revision, entry.key))
         return ConfigurationUpdate(
             revision=self._revision, base_revision=None, entries=tuple(ordered)
--- a/drumbay/configuration/view.py
+++ b/drumbay/configuration/view.py
@@ -1,4 +1,4 @@
-"""The typed view of the configuration that the rest of a node reads."""
+"""Typed view of the configuration for the other services of a node."""
 
 import msgspec
 
@@ -24,12 +24,12 @@
 
 
 class ConfigurationView(msgspec.Struct, frozen=True, kw_only=True):
-    """The operators' resources in force on one node, by name.
+    """The operators' resources applied on one node, by name.
 
     Attributes:
-        revision: Revision of the key-value service they are complete up to.
+        revision: Revision of the key-value service up to which they are complete.
         resource_revisions: Modification revision by ``<Kind>/<name>``, deleted resources
-            included; an operator's write names it as the revision expected.
+            included; the expected revision of an operator's write.
     """
 
     revision: Revision = NO_REVISION
@@ -43,10 +43,10 @@
 
 
 class ViewBuilder:
-    """Builds views; entries that did not change are not decoded again."""
+    """Builds views; unchanged entries are not decoded again."""
 
     def __init__(self) -> None:
-        """Create a builder that has seen no entry."""
+        """Create a builder without cached entries."""
         self._decoded: dict[str, tuple[Revision, StoredRecord | None]] = {}
 
     def build(self, state: ConfigurationState) -> ConfigurationView:
@@ -72,10 +72,10 @@
 
 
 def decode_record(entry: ConfigurationEntry) -> StoredRecord | None:
-    """Return the record of an entry; ``None`` if this version cannot read it.
+    """Return the record of an entry; ``None`` if this version cannot decode it.
 
-    A newer version of drumbay may know kinds or fields that this one does not. The entry
-    still counts towards revision and digest; only the view leaves it out.
+    A newer version of drumbay may use unknown kinds or fields. Such an entry is part of the
+    revision and the digest, but not of the view.
     """
     if entry.value is None:
         return None
--- a/drumbay/configuration/watcher.py
+++ b/drumbay/configuration/watcher.py
@@ -1,4 +1,4 @@
-"""Watch of the key-value service by the few nodes that are chosen for it."""
+"""Watch of the configuration in the key-value service, run by a few nodes per zone."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -22,18 +22,16 @@
 from drumbay.observability.logs import log_event
 
 FIRST_RETRY_SECONDS = 0.2
-LONGEST_RETRY_SECONDS = 5.0
+MAX_RETRY_SECONDS = 5.0
 
 
 def retry_backoff(generator: random.Random) -> Backoff:
-    """Return the delays between tries of what a node needs to act on its configuration."""
-    return Backoff(
-        generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=LONGEST_RETRY_SECONDS
-    )
+    """Return the backoff between attempts to read or store the configuration."""
+    return Backoff(generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS)
 
 
 def update_from_range(result: RangeResult) -> ConfigurationUpdate:
-    """Return the snapshot that a range read of the configuration's prefix gives."""
+    """Return a range read of the configuration's prefix as a snapshot."""
     entries = [
         ConfigurationEntry(key=item.key, mod_revision=item.mod_revision, value=item.value)
         for item in result.items
@@ -43,7 +41,7 @@
 
 
 def update_from_batch(batch: WatchBatch, base_revision: Revision) -> ConfigurationUpdate:
-    """Return the delta that a watch batch gives."""
+    """Return a watch batch as a delta."""
     entries = [
         ConfigurationEntry(
             key=event.key,
@@ -58,7 +56,7 @@
 
 
 class ConfigurationWatcher:
-    """Hands every change of the configuration to ``deliver``, over breaks and compaction."""
+    """Passes every change of the configuration to ``deliver``, across reconnects and compaction."""
 
     def __init__(
         self,
@@ -75,8 +73,8 @@
             clock: Time.
             store: The key-value service.
             generator: Source of jitter.
-            applied_revision: Revision that is applied on this node.
-            deliver: Takes an update; raises ReplicaMajorityError if it must be repeated.
+            applied_revision: Returns the revision applied on this node.
+            deliver: Processes an update; raises ReplicaMajorityError if it must be retried.
         """
         self._clock = clock
         self._store = store
@@ -91,14 +89,14 @@
             try:
                 await self._watch_once()
             except WatchCompactedError:
-                await self._read_whole()
+                await self._read_snapshot()
             except KeyValueError as error:
                 log_event("configuration_watch_broken", level="WARNING", error=error.code)
             await self._clock.sleep(self._backoff.next_delay_seconds())
 
     async def _watch_once(self) -> None:
-        # NOTE: an empty batch moves the watch on but is not delivered, so the base of the
-        # next update is the last revision that was.
+        # NOTE: empty batches are not delivered, so the next update builds on the last
+        # delivered revision.
         base_revision = self._applied_revision()
         start_revision = Revision(base_revision + 1)
         async for batch in self._store.watch_prefix(RESOURCE_PREFIX, start_revision):
@@ -108,7 +106,7 @@
             await self._deliver_until_durable(update_from_batch(batch, base_revision))
             base_revision = batch.revision
 
-    async def _read_whole(self) -> None:
+    async def _read_snapshot(self) -> None:
         log_event("configuration_watch_compacted", revision=self._applied_revision())
         try:
             result = await self._store.range_prefix(RESOURCE_PREFIX)
--- a/tests/configuration_support.py
+++ b/tests/configuration_support.py
@@ -1,4 +1,4 @@
-"""What the tests of the configuration share."""
+"""Shared helpers of the configuration tests."""
 
 from drumbay.resources.schema import Route, RouteKind, Selector
 from drumbay.simulation.host import Location
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere and never reverts: whole clusters."""
+"""An accepted configuration reaches every node and never reverts, in simulated clusters."""
 
 import asyncio
 import shutil
@@ -42,22 +42,22 @@
     logger.remove()
 
 
-class AnyReplicaDecides(ReplicaClient):
-    """Fault: one replica is taken for a majority."""
+class SingleReplicaMajority(ReplicaClient):
+    """Fault: a single replica counts as a majority."""
 
-    def _decides(self, replica_set: ReplicaSet, voters: Sequence[NodeId]) -> bool:
+    def _has_majority(self, replica_set: ReplicaSet, voters: Sequence[NodeId]) -> bool:
         return len(voters) > 0
 
 
-class EmptyDisksVote(ReplicaClient):
-    """Fault: a replica that lost its disk still vouches for what it holds."""
+class IncompleteReplicasVote(ReplicaClient):
+    """Fault: a replica whose disk was emptied still votes."""
 
     def _voters(self, replies: Sequence[ReplicaReadReply]) -> list[NodeId]:
         return [reply.node_id for reply in replies]
 
 
 class UncheckedState(ConfigurationState):
-    """Fault: revisions are not compared; what comes last wins."""
+    """Fault: revisions are not compared; the last update wins."""
 
     def classify(self, update: ConfigurationUpdate) -> ApplyOutcome:
         return ApplyOutcome.APPLIED
@@ -66,38 +66,38 @@
         return True
 
 
-class SilentDissemination(Dissemination):
+class DigestsDisabled(Dissemination):
     """Fault: no digest is sent."""
 
     def _send_digest(self, address: object, *, is_reply: bool) -> None:
         pass
 
 
-class ForgetfulWatcher(ConfigurationWatcher):
-    """Fault: a compacted watch is started anew without reading the whole."""
+class CompactionIgnored(ConfigurationWatcher):
+    """Fault: after a compaction the watch restarts without reading a snapshot."""
 
-    async def _read_whole(self) -> None:
+    async def _read_snapshot(self) -> None:
         pass
 
 
-class OneReplicaService(ConfigurationService):
-    replica_client_type: ClassVar[type[ReplicaClient]] = AnyReplicaDecides
+class SingleReplicaService(ConfigurationService):
+    replica_client_type: ClassVar[type[ReplicaClient]] = SingleReplicaMajority
 
 
-class EmptyDiskService(ConfigurationService):
-    replica_client_type: ClassVar[type[ReplicaClient]] = EmptyDisksVote
+class IncompleteVotesService(ConfigurationService):
+    replica_client_type: ClassVar[type[ReplicaClient]] = IncompleteReplicasVote
 
 
-class UncheckedService(ConfigurationService):
+class UncheckedStateService(ConfigurationService):
     state_type: ClassVar[type[ConfigurationState]] = UncheckedState
 
 
-class SilentService(ConfigurationService):
-    dissemination_type: ClassVar[type[Dissemination]] = SilentDissemination
+class DigestsDisabledService(ConfigurationService):
+    dissemination_type: ClassVar[type[Dissemination]] = DigestsDisabled
 
 
-class ForgetfulService(ConfigurationService):
-    watcher_type: ClassVar[type[ConfigurationWatcher]] = ForgetfulWatcher
+class CompactionIgnoredService(ConfigurationService):
+    watcher_type: ClassVar[type[ConfigurationWatcher]] = CompactionIgnored
 
 
 Scenario = Callable[[ConfigurationCluster], Awaitable[None]]
@@ -132,7 +132,7 @@
             )
             cluster.start_all(service_type)
             await cluster.wait_loaded()
-            # The nodes with disks enter the replica set in two steps.
+            # The nodes with disks join the replica set in two steps.
             await asyncio.sleep(REPLICA_SET_SECONDS)
             await scenario(cluster)
             return cluster
@@ -147,7 +147,7 @@
         assert result.committed_revision is not None
         return result.committed_revision
 
-    def test_restart_without_disk_during_an_outage_keeps_what_was_in_force(self) -> None:
+    def test_restart_without_disk_during_an_outage_keeps_the_applied_revision(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             await cluster.wait_in_force(await self.accept(cluster, 1))
             await cluster.nodes["node-000"].kill()
@@ -160,20 +160,22 @@
             cluster.nodes["node-000"].start(service_type)
             cluster.nodes["node-005"].start(service_type)
             await asyncio.sleep(10)
-            self.stale_ready = cluster.nodes["node-005"].service.readiness().ready
+            self.ready_without_majority = cluster.nodes["node-005"].service.readiness().ready
             cluster.nodes["node-001"].start(service_type)
             await asyncio.sleep(10)
             self.assertTrue(cluster.nodes["node-005"].service.readiness().ready)
 
-        green = self.run_cluster(scenario)
-        self.assertFalse(self.stale_ready)
-        self.assertEqual(find_reversions(green.observations), [])
-        self.assertEqual(green.nodes["node-005"].service.snapshot().routes["consulta"].priority, 2)
-        red = self.run_cluster(scenario, OneReplicaService)
-        self.assertTrue(self.stale_ready)
-        self.assertNotEqual(find_reversions(red.observations), [])
-
-    def test_replica_with_an_emptied_disk_does_not_vouch(self) -> None:
+        correct = self.run_cluster(scenario)
+        self.assertFalse(self.ready_without_majority)
+        self.assertEqual(find_reversions(correct.observations), [])
+        self.assertEqual(
+            correct.nodes["node-005"].service.snapshot().routes["consulta"].priority, 2
+        )
+        faulty = self.run_cluster(scenario, SingleReplicaService)
+        self.assertTrue(self.ready_without_majority)
+        self.assertNotEqual(find_reversions(faulty.observations), [])
+
+    def test_replica_with_an_emptied_disk_does_not_vote(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             service_type = type(cluster.nodes["node-005"].service)
             await cluster.wait_in_force(await self.accept(cluster, 1))
@@ -189,13 +191,13 @@
                 cluster.nodes[name].start(service_type)
             await asyncio.sleep(20)
 
-        green = self.run_cluster(scenario)
-        self.assertFalse(green.nodes["node-005"].service.readiness().ready)
-        self.assertEqual(find_reversions(green.observations), [])
-        red = self.run_cluster(scenario, EmptyDiskService)
-        self.assertNotEqual(find_reversions(red.observations), [])
+        correct = self.run_cluster(scenario)
+        self.assertFalse(correct.nodes["node-005"].service.readiness().ready)
+        self.assertEqual(find_reversions(correct.observations), [])
+        faulty = self.run_cluster(scenario, IncompleteVotesService)
+        self.assertNotEqual(find_reversions(faulty.observations), [])
 
-    def test_slow_watcher_delivers_old_events(self) -> None:
+    def test_old_events_of_a_slow_watcher_are_ignored(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             slow = next(node for node in cluster.nodes.values() if node.service.watching)
             slow.store.batch_delay_seconds = 5.0
@@ -204,14 +206,14 @@
                 await asyncio.sleep(1)
             await asyncio.sleep(40)
 
-        green = self.run_cluster(scenario)
-        self.assertEqual(find_reversions(green.observations), [])
-        for node in green.nodes.values():
+        correct = self.run_cluster(scenario)
+        self.assertEqual(find_reversions(correct.observations), [])
+        for node in correct.nodes.values():
             self.assertEqual(node.service.snapshot().routes["consulta"].priority, 5)
-        red = self.run_cluster(scenario, UncheckedService)
-        self.assertNotEqual(find_reversions(red.observations), [])
+        faulty = self.run_cluster(scenario, UncheckedStateService)
+        self.assertNotEqual(find_reversions(faulty.observations), [])
 
-    def test_cut_region_says_so_refuses_writes_and_catches_up(self) -> None:
+    def test_partitioned_region_is_unconfirmed_refuses_writes_and_catches_up(self) -> None:
         cut = Cut(scope=Scope.REGION, source="nl-oost", target="lima")
 
         async def scenario(cluster: ConfigurationCluster) -> None:
@@ -231,12 +233,12 @@
             cluster.network.heal(cut, both_ways=True)
             self.seconds = await cluster.wait_in_force(accepted, 16.0)
 
-        green = self.run_cluster(scenario, locations=TWO_REGIONS, node_count=9, disk_count=5)
-        self.assertEqual(find_reversions(green.observations), [])
+        correct = self.run_cluster(scenario, locations=TWO_REGIONS, node_count=9, disk_count=5)
+        self.assertEqual(find_reversions(correct.observations), [])
         with self.assertRaises(TimeoutError):
             self.run_cluster(
-                scenario_without_currency(cut),
-                SilentService,
+                region_without_store(cut),
+                DigestsDisabledService,
                 locations=TWO_REGIONS,
                 node_count=9,
                 disk_count=5,
@@ -262,14 +264,14 @@
             cluster.model.set_faults(KeyValueFaults())
             await cluster.wait_in_force(cluster.model.revision, 16.0)
 
-        green = self.run_cluster(scenario, history_limit=3)
-        self.assertEqual(find_reversions(green.observations), [])
+        correct = self.run_cluster(scenario, history_limit=3)
+        self.assertEqual(find_reversions(correct.observations), [])
         with self.assertRaises(TimeoutError):
-            self.run_cluster(scenario, ForgetfulService, history_limit=3)
+            self.run_cluster(scenario, CompactionIgnoredService, history_limit=3)
 
 
-def scenario_without_currency(cut: Cut) -> Scenario:
-    """A cut that heals between nodes while the far region stays without the service."""
+def region_without_store(cut: Cut) -> Scenario:
+    """Heal a partition between nodes while the far region cannot reach the key-value service."""
 
     async def scenario(cluster: ConfigurationCluster) -> None:
         cluster.network.cut(cut, both_ways=True)
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -1,4 +1,4 @@
-"""The configuration document: its examples are valid, and it names every field."""
+"""The configuration document has valid examples and describes every field."""
 
 import tempfile
 import unittest
--- a/tests/test_configuration_operators.py
+++ b/tests/test_configuration_operators.py
@@ -1,4 +1,4 @@
-"""Operators' writes: lost answers, races and operation identifiers."""
+"""Operators' writes: lost responses, races and operation identifiers."""
 
 import asyncio
 import unittest
@@ -30,27 +30,27 @@
     logger.remove()
 
 
-class NoReadBack(OperatorService):
-    """Fault: a write without an answer is taken for one without an effect."""
+class ReadBackDisabled(OperatorService):
+    """Fault: a write without a response is reported as refused."""
 
-    async def _settle(
+    async def _resolve(
         self, put: Put, expected: Revision, operation_id: str, lease_id: int
     ) -> WriteResult:
         return WriteResult(outcome=WriteOutcome.REFUSED, operation_id=operation_id)
 
 
-class BlindWrites(OperatorService):
-    """Fault: the resource's revision is not compared by the write."""
+class UncheckedWrites(OperatorService):
+    """Fault: the write does not compare the resource's revision."""
 
     async def _transact(
         self, put: Put, expected: Revision, operation_id: str, lease_id: int
     ) -> Revision | None:
-        found = await self._found_revision(put.key)
+        found = await self._current_revision(put.key)
         return await super()._transact(put, found, operation_id, lease_id)
 
 
 def committed_operations(model: KeyValueModel) -> Counter[str]:
-    """Read from the service's own log how often each operation was committed."""
+    """Count the commits of each operation in the key-value model's log."""
     counts: Counter[str] = Counter()
     for entry in model.log:
         if not isinstance(entry, LoggedChange):
@@ -62,14 +62,14 @@
     return counts
 
 
-def wrong_verdicts(model: KeyValueModel, results: list[WriteResult]) -> list[WriteResult]:
+def wrong_outcomes(model: KeyValueModel, results: list[WriteResult]) -> list[WriteResult]:
     counts = committed_operations(model)
     wrong = []
     for result in results:
         count = counts[result.operation_id]
-        refused_but_done = result.outcome is WriteOutcome.REFUSED and count > 0
-        accepted_but_not_once = result.outcome is WriteOutcome.ACCEPTED and count != 1
-        if refused_but_done or accepted_but_not_once:
+        refused_but_committed = result.outcome is WriteOutcome.REFUSED and count > 0
+        accepted_but_not_committed_once = result.outcome is WriteOutcome.ACCEPTED and count != 1
+        if refused_but_committed or accepted_but_not_committed_once:
             wrong.append(result)
     return wrong
 
@@ -82,7 +82,7 @@
 
 
 class OperatorTest(unittest.TestCase):
-    def run_lost_answer(self, operators_type: type[OperatorService]) -> list[WriteResult]:
+    def run_lost_response(self, operators_type: type[OperatorService]) -> list[WriteResult]:
         async def main() -> list[WriteResult]:
             cluster = await start_cluster()
             operators = operators_type(
@@ -95,15 +95,15 @@
             results = [await operators.apply(route(2), None, "answer-lost")]
             cluster.model.set_faults(KeyValueFaults(lost_requests=1))
             results.append(await operators.apply(route(3), None, "request-lost"))
-            return wrong_verdicts(cluster.model, results)
+            return wrong_outcomes(cluster.model, results)
 
         return run_simulation(main)
 
-    def test_lost_answer_is_settled_by_reading_back(self) -> None:
-        self.assertEqual(self.run_lost_answer(OperatorService), [])
-        self.assertNotEqual(self.run_lost_answer(NoReadBack), [])
+    def test_outcome_of_a_lost_response_is_read_back(self) -> None:
+        self.assertEqual(self.run_lost_response(OperatorService), [])
+        self.assertNotEqual(self.run_lost_response(ReadBackDisabled), [])
 
-    def test_lost_answer_and_another_operator_on_top(self) -> None:
+    def test_lost_response_followed_by_another_operators_write(self) -> None:
         async def main() -> None:
             cluster = await start_cluster()
             first, second = (cluster.nodes[name].operators for name in ("node-000", "node-001"))
@@ -116,55 +116,57 @@
             await second.apply(route(3), None, "on-top")
             result = await write
             self.assertEqual(result.outcome, WriteOutcome.ACCEPTED)
-            self.assertEqual(wrong_verdicts(cluster.model, [result]), [])
+            self.assertEqual(wrong_outcomes(cluster.model, [result]), [])
 
         run_simulation(main)
 
     def run_race(self, seed: int, operators_type: type[OperatorService]) -> list[int]:
-        """Return how many operators changed the same revision, for each turn."""
+        """Return for each round how many operators replaced the same revision."""
 
         async def main() -> list[int]:
             cluster = await start_cluster(seed)
             nodes = list(cluster.nodes.values())
-            racers = [
+            writers = [
                 operators_type(
                     clock=node.host.clock(), store=node.store, configuration=node.service
                 )
                 for node in nodes
             ]
-            for number, racer in enumerate(racers):
-                await racer.apply(route(0, f"own-{number}"), None, f"own-{number}")
+            for number, writer in enumerate(writers):
+                await writer.apply(route(0, f"own-{number}"), None, f"own-{number}")
             cluster.model.set_faults(
                 KeyValueFaults(lost_answer_probability=0.3, lost_request_probability=0.3)
             )
-            winners = []
-            for turn in range(5):
+            commit_counts = []
+            for round_number in range(5):
                 view = nodes[0].service.snapshot()
                 expected = view.resource_revisions.get("Route/consulta", Revision(0))
                 writes = [
-                    racer.apply(route(turn), expected, f"{turn}-{number}")
-                    for number, racer in enumerate(racers)
+                    writer.apply(route(round_number), expected, f"{round_number}-{number}")
+                    for number, writer in enumerate(writers)
                 ]
                 outcomes = await asyncio.gather(*writes, return_exceptions=True)
                 conflicts = [one for one in outcomes if isinstance(one, ConflictError)]
                 results = [one for one in outcomes if isinstance(one, WriteResult)]
-                self.assertEqual(len(conflicts) + len(results), len(racers))
-                self.assertEqual(wrong_verdicts(cluster.model, results), [])
+                self.assertEqual(len(conflicts) + len(results), len(writers))
+                self.assertEqual(wrong_outcomes(cluster.model, results), [])
                 for conflict in conflicts:
                     self.assertEqual(conflict.expected_revision, expected)
                     self.assertGreater(conflict.found_revision, expected)
                 counts = committed_operations(cluster.model)
-                winners.append(sum(counts[f"{turn}-{number}"] for number in range(len(racers))))
+                commit_counts.append(
+                    sum(counts[f"{round_number}-{number}"] for number in range(len(writers)))
+                )
                 await asyncio.sleep(5)
-            return winners
+            return commit_counts
 
         return run_simulation(main)
 
-    def test_racing_operators_with_lost_answers(self) -> None:
+    def test_concurrent_operators_with_lost_responses(self) -> None:
         for seed in range(5):
             with self.subTest(seed=seed):
                 self.assertLessEqual(max(self.run_race(seed, OperatorService)), 1)
-                self.assertGreater(max(self.run_race(seed, BlindWrites)), 1)
+                self.assertGreater(max(self.run_race(seed, UncheckedWrites)), 1)
 
     def test_operation_identifiers(self) -> None:
         async def main() -> None:
@@ -186,7 +188,7 @@
 
         run_simulation(main)
 
-    def test_outage_is_refused_and_unsettled_is_unknown_yet(self) -> None:
+    def test_outage_is_refused_and_unresolved_write_is_unknown_yet(self) -> None:
         async def main() -> None:
             cluster = await start_cluster()
             node = cluster.nodes["node-000"]
@@ -199,14 +201,14 @@
             self.assertEqual(result.outcome, WriteOutcome.UNKNOWN_YET)
             refused = await node.operators.apply(route(3), None, "in-the-outage")
             self.assertEqual(refused.outcome, WriteOutcome.REFUSED)
-            self.assertEqual(wrong_verdicts(cluster.model, [refused]), [])
+            self.assertEqual(wrong_outcomes(cluster.model, [refused]), [])
             cluster.model.set_faults(KeyValueFaults())
-            settled = await node.operators.operation_status(result.operation_id)
-            self.assertEqual(settled.outcome, WriteOutcome.ACCEPTED)
+            resolved = await node.operators.operation_status(result.operation_id)
+            self.assertEqual(resolved.outcome, WriteOutcome.ACCEPTED)
 
         run_simulation(main)
 
-    def test_configuration_that_would_not_fit_into_a_message_is_refused(self) -> None:
+    def test_configuration_too_large_for_a_message_is_refused(self) -> None:
         async def main() -> None:
             cluster = await start_cluster()
             large = Drain(name="large", selector=Selector(), reason="x" * MAX_CONFIGURATION_BYTES)
--- a/tests/test_configuration_replicas.py
+++ b/tests/test_configuration_replicas.py
@@ -1,4 +1,4 @@
-"""Changes of the replica set in whole clusters."""
+"""Changes of the replica set in simulated clusters."""
 
 import asyncio
 import tempfile
@@ -22,8 +22,8 @@
 from tests.configuration_support import ZONES, route
 
 SETTLE_SECONDS = 60.0
-REPLACED_SECONDS = 240.0
-YOUNG_SECONDS = 12.0
+REPLACEMENT_SECONDS = 240.0
+FIRST_SECONDS = 12.0
 
 Scenario = Callable[[ConfigurationCluster], Awaitable[None]]
 
@@ -32,34 +32,34 @@
     logger.remove()
 
 
-class UnstoredClient(ReplicaClient):
-    """Fault: a revision is put in force before any replica has stored it."""
+class StoreSkippingClient(ReplicaClient):
+    """Fault: a revision is applied before any replica has stored it."""
 
     async def store(self, state: ConfigurationState, update: ConfigurationUpdate) -> None:
         return
 
 
-class UnstoredService(ConfigurationService):
-    replica_client_type: ClassVar[type[ReplicaClient]] = UnstoredClient
+class StoreSkippingService(ConfigurationService):
+    replica_client_type: ClassVar[type[ReplicaClient]] = StoreSkippingClient
 
 
-class LateFormingService(ConfigurationService):
-    """Fault: the replica set of a young cluster waits for the next confirmation."""
+class SlowFormationService(ConfigurationService):
+    """Fault: a new cluster forms its replica set only at the next confirmation."""
 
     def is_replica_set_forming(self) -> bool:
         return False
 
 
-class SlowlyAskingService(ConfigurationService):
-    """Fault: a starting node asks the replicas as seldom as the key-value service."""
+class SlowPollingService(ConfigurationService):
+    """Fault: a starting node reads the replicas as rarely as the key-value service."""
 
     load_retry_seconds: ClassVar[float] = 5.0
 
 
-class ReturningMajorityTest(unittest.TestCase):
-    """A node starts while a majority of the replicas is out, and the majority returns."""
+class MajorityRecoveryTest(unittest.TestCase):
+    """A node starts while a majority of the replicas is down, and the majority recovers."""
 
-    def is_ready_soon(self, service_type: ServiceType) -> bool:
+    def is_ready_after_recovery(self, service_type: ServiceType) -> bool:
         async def main(folder: Path) -> bool:
             cluster = ConfigurationCluster(
                 seed=3, locations=ZONES, node_count=5, disk_count=3, folder=folder
@@ -82,13 +82,13 @@
         with tempfile.TemporaryDirectory() as folder:
             return run_simulation(lambda: main(Path(folder)))
 
-    def test_the_starting_node_is_ready_soon(self) -> None:
-        self.assertFalse(self.is_ready_soon(SlowlyAskingService))
-        self.assertTrue(self.is_ready_soon(ConfigurationService))
+    def test_starting_node_is_ready_soon_after_the_recovery(self) -> None:
+        self.assertFalse(self.is_ready_after_recovery(SlowPollingService))
+        self.assertTrue(self.is_ready_after_recovery(ConfigurationService))
 
 
-class YoungClusterTest(unittest.TestCase):
-    """A node restarts during an outage that begins soon after the first start of all."""
+class ReplicaSetFormationTest(unittest.TestCase):
+    """A node restarts during an outage that begins seconds after the cluster's first start."""
 
     def is_ready_after_restart(self, service_type: ServiceType) -> bool:
         async def main(folder: Path) -> bool:
@@ -97,7 +97,7 @@
             )
             cluster.start_all(service_type)
             await cluster.wait_loaded()
-            await asyncio.sleep(YOUNG_SECONDS)
+            await asyncio.sleep(FIRST_SECONDS)
             cluster.model.set_faults(KeyValueFaults(outage=True))
             restarted = cluster.nodes["node-001"]
             await restarted.kill()
@@ -109,7 +109,7 @@
             return run_simulation(lambda: main(Path(folder)))
 
     def test_replica_set_forms_within_seconds(self) -> None:
-        self.assertFalse(self.is_ready_after_restart(LateFormingService))
+        self.assertFalse(self.is_ready_after_restart(SlowFormationService))
         self.assertTrue(self.is_ready_after_restart(ConfigurationService))
 
 
@@ -144,7 +144,7 @@
         self.assertEqual(state.replica_set.previous, ())
         return state.replica_set.members
 
-    def test_lost_replica_is_replaced_and_its_successor_vouches(self) -> None:
+    def test_lost_replica_is_replaced_and_its_successor_votes(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             service_type = type(cluster.nodes["node-006"].service)
             self.assertEqual(self.members(cluster), ("node-000", "node-001", "node-002"))
@@ -154,13 +154,13 @@
             cluster.set_members(
                 [node for node in cluster.nodes.values() if node.name != "node-000"]
             )
-            await asyncio.sleep(REPLACED_SECONDS)
+            await asyncio.sleep(REPLACEMENT_SECONDS)
             self.assertEqual(self.members(cluster), ("node-001", "node-002", "node-003"))
             self.assertEqual(await self.write(cluster, 2), WriteOutcome.ACCEPTED)
             cluster.model.set_faults(KeyValueFaults(outage=True))
             for name in ("node-001", "node-002", "node-003", "node-006"):
                 await cluster.nodes[name].kill()
-            # The replaced replica is back with its old disk, beside one of the new set.
+            # The replaced replica returns with its old disk, next to one of the new set.
             cluster.set_members(list(cluster.nodes.values()))
             for name in ("node-000", "node-003", "node-006"):
                 cluster.nodes[name].start(service_type)
@@ -188,25 +188,25 @@
                 cluster.nodes[name].start(service_type)
             await asyncio.sleep(20)
 
-        green = self.run_cluster(scenario)
+        correct = self.run_cluster(scenario)
         self.assertEqual(outcomes, [WriteOutcome.UNKNOWN_YET])
-        self.assertEqual(find_reversions(green.observations), [])
-        red = self.run_cluster(scenario, UnstoredService)
+        self.assertEqual(find_reversions(correct.observations), [])
+        faulty = self.run_cluster(scenario, StoreSkippingService)
         self.assertEqual(outcomes[1:], [WriteOutcome.ACCEPTED])
-        self.assertNotEqual(find_reversions(red.observations), [])
+        self.assertNotEqual(find_reversions(faulty.observations), [])
 
     def test_operator_replaces_a_set_whose_majority_is_lost(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             for name in ("node-000", "node-001"):
                 await cluster.nodes[name].kill()
             self.assertEqual(await self.write(cluster, 1), WriteOutcome.UNKNOWN_YET)
-            # The membership has dropped the dead by now; else they would be proposed anew.
+            # Drop the dead nodes from the membership, or they would be proposed again.
             cluster.set_members(cluster.running())
             operators = cluster.nodes["node-006"].operators
             await operators.force_replica_set((NodeId("node-002"),))
             await cluster.wait_in_force(cluster.model.revision, 16.0)
-            settled = await operators.operation_status("set-1")
-            self.assertEqual(settled.outcome, WriteOutcome.ACCEPTED)
+            resolved = await operators.operation_status("set-1")
+            self.assertEqual(resolved.outcome, WriteOutcome.ACCEPTED)
             cluster.model.set_faults(KeyValueFaults(outage=True))
             await cluster.nodes["node-006"].kill()
             cluster.nodes["node-006"].start()
--- a/tests/test_configuration_state.py
+++ b/tests/test_configuration_state.py
@@ -1,4 +1,4 @@
-"""Pure parts of the configuration: state, replica sets, peer choice, replica file."""
+"""Parts of the configuration: state, replica sets, gossip peers and replica file."""
 
 import asyncio
 import random
@@ -44,8 +44,8 @@
 from drumbay.storage.writer_thread import WriterThread
 
 CHANGES = 12
-BUSY_DISK_SECONDS = 5.0
-"""Longest time that a write waits for the event loop, which it must not hold up."""
+SLOW_DISK_SECONDS = 5.0
+"""How long a write waits for the event loop, which it must not block."""
 
 
 def entry(revision: int, key: str, *, removed: bool = False) -> ConfigurationEntry:
@@ -140,7 +140,7 @@
         self.assertTrue(has_majority(changing, ids("bcd")))
         self.assertEqual(plan_replica_set(changing, ids("cde"), {}), ReplicaSet(members=ids("cde")))
 
-    def test_small_side_of_a_cut_proposes_nothing(self) -> None:
+    def test_minority_partition_proposes_nothing(self) -> None:
         absent = dict.fromkeys(ids("bc"), REMOVE_AFTER_SECONDS)
         current = ReplicaSet(members=ids("abc"))
         self.assertIsNone(plan_replica_set(current, ids("a"), absent))
@@ -160,10 +160,10 @@
             chosen = [one for one in members if one.zone == zone and is_watcher(one, members)]
             self.assertEqual(len(chosen), WATCHERS_PER_ZONE)
 
-    def test_rumour_reaches_each_distance(self) -> None:
+    def test_gossip_targets_include_each_distance(self) -> None:
         own = peer("own", "a")
         members = [own, peer("near", "a"), peer("next", "b"), peer("far", "c", "nl-oost")]
-        targets = PeerDirectory(own, members).rumour_targets(random.Random(1))
+        targets = PeerDirectory(own, members).gossip_targets(random.Random(1))
         self.assertEqual({target.node_id for target in targets}, {"near", "next", "far"})
 
     def test_reaction_to_a_digest(self) -> None:
@@ -174,7 +174,7 @@
             content_hash=1,
         )
         self.assertEqual(react_to_digest(digest, Revision(4), 2), DigestReaction.PULL)
-        self.assertEqual(react_to_digest(digest, Revision(6), 2), DigestReaction.ANSWER)
+        self.assertEqual(react_to_digest(digest, Revision(6), 2), DigestReaction.REPLY)
         self.assertEqual(react_to_digest(digest, Revision(5), 1), DigestReaction.NOTHING)
         self.assertEqual(react_to_digest(digest, Revision(5), 2), DigestReaction.REPORT_DIVERGENCE)
 
@@ -205,7 +205,7 @@
         later = ConfigurationUpdate(revision=Revision(9), base_revision=Revision(7), entries=())
         self.assertEqual((await replica.store(ReplicaStore(update=later))).revision, 3)
 
-    async def test_damaged_file_counts_as_an_empty_disk(self) -> None:
+    async def test_corrupt_file_counts_as_an_empty_disk(self) -> None:
         await self.replica().mark_complete(self.snapshot)
         path = self.folder / FILE_NAME
         content = bytearray(path.read_bytes())
@@ -216,7 +216,7 @@
         reply = self.replica().read(ReplicaRead(after_revision=Revision(0)))
         self.assertEqual((reply.complete, reply.revision), (False, 0))
 
-    async def test_disk_that_refuses_is_not_acknowledged(self) -> None:
+    async def test_failed_write_is_not_acknowledged(self) -> None:
         class FullDisk(ReplicaFile):
             def save(self, content: ReplicaContent) -> None:
                 raise OSError("no space left on device")
@@ -226,28 +226,24 @@
             await replica.store(ReplicaStore(update=self.snapshot))
         self.assertEqual(replica.revision, 0)
 
-    async def test_the_event_loop_goes_on_while_the_disk_is_busy(self) -> None:
-        """Beside writers that fill the page cache a small fsync took up to 8.5 s.
+    async def test_slow_disk_does_not_block_the_event_loop(self) -> None:
+        """Guards against an fsync on the event loop, which would delay every request."""
+        loop_ran = threading.Event()
 
-        The file was made durable on the event loop, so that every caller of a node with a disk
-        waited as long at each change of the configuration.
-        """
-        loop_went_on = threading.Event()
-
-        class BusyDisk(ReplicaFile):
+        class SlowDisk(ReplicaFile):
             def save(self, content: ReplicaContent) -> None:
-                self.waited_for_loop = loop_went_on.wait(BUSY_DISK_SECONDS)
+                self.waited_for_loop = loop_ran.wait(SLOW_DISK_SECONDS)
                 super().save(content)
 
-        file = BusyDisk(self.folder)
+        file = SlowDisk(self.folder)
         replica = ConfigurationReplica(NodeId("a"), file, WriterThread("test").run)
         storing = asyncio.ensure_future(replica.store(ReplicaStore(update=self.snapshot)))
         await asyncio.sleep(0)
-        loop_went_on.set()
+        loop_ran.set()
         self.assertEqual((await storing).revision, 3)
         self.assertTrue(file.waited_for_loop)
 
-    async def test_a_cancelled_caller_leaves_the_file_whole_and_later_writes_in_order(self) -> None:
+    async def test_cancelled_store_keeps_the_file_intact_and_later_writes_in_order(self) -> None:
         replica = ConfigurationReplica(
             NodeId("a"), ReplicaFile(self.folder), WriterThread("test").run
         )
