--- a/drumbay/membership/local_health.py
+++ b/drumbay/membership/local_health.py
@@ -1,17 +1,17 @@
-"""How far a node trusts itself.
+"""Local health score of a node.
 
-Lifeguard (Dadgar, Phillips and Currey 2018, section IV.A): a node that misses answers it should
-have got is probably slow itself; it then probes more slowly and waits longer. One difference: a
-failed probe counts against the node only if none of its helpers answered. With one answer the
-node's own path works, and a cut between regions must not slow the probing of the near one.
+Lifeguard (Dadgar, Phillips and Currey 2018, section IV.A): a node that misses expected responses
+is probably slow itself, so it probes less often and with longer timeouts. Unlike in the paper, a
+failed probe counts only if no helper responded. A response shows that the node's own network
+works, and a partition between regions must not slow the probes within the region.
 """
 
 
 class LocalHealth:
-    """Score from 0 (healthy) to the largest score."""
+    """Score from 0 (healthy) to ``max_score``."""
 
     def __init__(self, max_score: int) -> None:
-        """Create with score 0."""
+        """Create a healthy score of 0."""
         self._max_score = max_score
         self._score = 0
 
@@ -22,13 +22,13 @@
 
     @property
     def factor(self) -> int:
-        """Return the factor on probe interval and timeouts."""
+        """Return the multiplier of probe interval and timeouts."""
         return self._score + 1
 
-    def note_success(self) -> None:
-        """A probe was answered."""
+    def record_success(self) -> None:
+        """Record that a probe was acknowledged."""
         self._score = max(0, self._score - 1)
 
-    def note_trouble(self) -> None:
-        """No helper answered, this node had to refute a suspicion, or it was paused."""
+    def record_failure(self) -> None:
+        """Record a probe without any helper response, a refuted suspicion or a pause."""
         self._score = min(self._max_score, self._score + 1)
--- a/drumbay/membership/member_table.py
+++ b/drumbay/membership/member_table.py
@@ -1,8 +1,8 @@
-"""The members that one node knows, the order of news, and digests for anti-entropy.
+"""The members that one node knows, the order of updates, and digests for anti-entropy.
 
-News about a member is ordered by incarnation, then by state (SWIM, section 4.2). Members
-that are not reachable take no part in the digests: nodes forget them at different times,
-and that alone must not make two nodes exchange records.
+Updates about a member are ordered by incarnation, then by state (SWIM, section 4.2). Digests
+exclude unreachable members: nodes purge them at different times, which alone must not cause an
+exchange.
 """
 
 import msgspec
@@ -31,7 +31,7 @@
     return xxhash.xxh64_intdigest(text.encode())
 
 
-def _kind_of_change(previous: Member, member: Member) -> MemberChangeKind | None:
+def _change_kind(previous: Member, member: Member) -> MemberChangeKind | None:
     if member.state is MemberState.LEFT:
         return MemberChangeKind.LEFT
     if member.state is MemberState.DEAD:
@@ -47,13 +47,13 @@
     return None
 
 
-class News(msgspec.Struct, frozen=True, kw_only=True):
-    """News that the table took in.
+class TableChange(msgspec.Struct, frozen=True, kw_only=True):
+    """A change of the table.
 
     Attributes:
-        member: The member as it is now known.
-        previous: The member as it was known before; ``None`` if it was not.
-        kind: What happened; ``None`` for a larger incarnation alone.
+        member: The member after the change.
+        previous: The member before the change; ``None`` if it was not known.
+        kind: Kind of the change; ``None`` if only the incarnation increased.
     """
 
     member: Member
@@ -62,33 +62,33 @@
 
 
 class MemberTable:
-    """All known members, the node itself included, in the order in which they became known."""
+    """All known members, the node itself included, in the order of their discovery."""
 
     def __init__(self, self_member: Member) -> None:
-        """Create a table that knows the node itself."""
+        """Create a table that contains only the node itself."""
         self._self_id = self_member.node_id
         self._members: dict[NodeId, Member] = {}
         self._by_address: dict[Address, NodeId] = {}
         self._reachable: dict[NodeId, None] = {}
-        self._changed_seconds: dict[NodeId, float] = {}
+        self._changed_at: dict[NodeId, float] = {}
         self._digests = [0] * DIGEST_BUCKETS
         self._bucket_members: list[dict[NodeId, None]] = [{} for _ in range(DIGEST_BUCKETS)]
         self._store(0.0, None, self_member)
 
     @property
     def self_member(self) -> Member:
-        """Return the node itself."""
+        """Return the node's own record."""
         return self._members[self._self_id]
 
     def set_self(self, now: float, member: Member) -> None:
-        """Replace the record of the node itself."""
+        """Replace the node's own record."""
         self._store(now, self.self_member, member)
 
     def get(self, node_id: NodeId) -> Member | None:
         """Return a member, or ``None`` if it is not known."""
         return self._members.get(node_id)
 
-    def at_address(self, address: Address) -> Member | None:
+    def find_by_address(self, address: Address) -> Member | None:
         """Return the member last known at an address."""
         node_id = self._by_address.get(address)
         return None if node_id is None else self._members[node_id]
@@ -98,16 +98,16 @@
         return tuple(self._members.values())
 
     def reachable(self) -> list[NodeId]:
-        """Return the other members that are alive or merely suspected."""
+        """Return the other members that are alive or suspect."""
         return list(self._reachable)
 
     @property
     def reachable_count(self) -> int:
-        """Return how many other members are alive or merely suspected."""
+        """Return how many other members are alive or suspect."""
         return len(self._reachable)
 
     def dead(self) -> list[Member]:
-        """Return the members that were declared dead and are still remembered."""
+        """Return the dead members that have not been purged."""
         return [each for each in self._members.values() if each.state is MemberState.DEAD]
 
     def bucket(self, index: int) -> list[Member]:
@@ -118,16 +118,16 @@
         """Return one digest per bucket over its reachable members."""
         return list(self._digests)
 
-    def apply_record(self, now: float, record: Member) -> News | None:
-        """Take in a full record; return it, or ``None`` if it was not news."""
+    def apply_record(self, now: float, record: Member) -> TableChange | None:
+        """Apply a full record; return the change, or ``None`` if there was none."""
         known = self._members.get(record.node_id)
         if known is None:
             if not record.is_reachable:
-                # NOTE: to take these in would keep members alive as dead ones for ever, since
-                # nodes that have forgotten them would learn of them again.
+                # NOTE: accepting these would keep dead members for ever, since nodes that have
+                # purged them would learn of them again.
                 return None
             self._store(now, None, record)
-            return News(member=record, previous=None, kind=MemberChangeKind.JOINED)
+            return TableChange(member=record, previous=None, kind=MemberChangeKind.JOINED)
         if not _overrides(record.incarnation, record.state, known):
             return None
         if record.boot_id == known.boot_id:
@@ -135,8 +135,8 @@
             record = msgspec.structs.replace(record, application_revision=revision)
         return self._change(now, known, record)
 
-    def apply_update(self, now: float, update: StateUpdate) -> News | None:
-        """Take in compact news; return it, or ``None`` if it was not news."""
+    def apply_update(self, now: float, update: StateUpdate) -> TableChange | None:
+        """Apply a compact update; return the change, or ``None`` if there was none."""
         known = self._members.get(update.node_id)
         if known is None or boot_mark_of(known.boot_id) != update.boot_mark:
             return None
@@ -145,28 +145,28 @@
         member = msgspec.structs.replace(known, incarnation=update.incarnation, state=update.state)
         return self._change(now, known, member)
 
-    def note_application_revision(self, node_id: NodeId, revision: int) -> None:
-        """Record what a member itself said about its application."""
+    def record_application_revision(self, node_id: NodeId, revision: int) -> None:
+        """Record the application revision that a member announced."""
         known = self._members.get(node_id)
         if known is not None and known.application_revision != revision:
             self._members[node_id] = msgspec.structs.replace(known, application_revision=revision)
 
-    def forget_before(self, dead_seconds: float, left_seconds: float) -> None:
-        """Forget members that died, or left, before these times."""
+    def purge_before(self, dead_before: float, left_before: float) -> None:
+        """Remove members that died, or left, before these times."""
         for member in list(self._members.values()):
-            limit = left_seconds if member.state is MemberState.LEFT else dead_seconds
-            expired = self._changed_seconds[member.node_id] < limit
+            cutoff = left_before if member.state is MemberState.LEFT else dead_before
+            expired = self._changed_at[member.node_id] < cutoff
             if expired and not member.is_reachable and member.node_id != self._self_id:
                 self._remove(member)
 
-    def _change(self, now: float, known: Member, member: Member) -> News:
+    def _change(self, now: float, known: Member, member: Member) -> TableChange:
         self._store(now, known, member)
-        return News(member=member, previous=known, kind=_kind_of_change(known, member))
+        return TableChange(member=member, previous=known, kind=_change_kind(known, member))
 
     def _store(self, now: float, known: Member | None, member: Member) -> None:
         bucket = bucket_of(member.node_id)
         if known is not None:
-            self._forget_address(known)
+            self._remove_address(known)
             if known.is_reachable:
                 self._digests[bucket] ^= _hash_member(known)
         if member.is_reachable:
@@ -178,15 +178,15 @@
         self._members[member.node_id] = member
         self._by_address[member.address] = member.node_id
         self._bucket_members[bucket][member.node_id] = None
-        self._changed_seconds[member.node_id] = now
+        self._changed_at[member.node_id] = now
 
     def _remove(self, member: Member) -> None:
-        self._forget_address(member)
+        self._remove_address(member)
         del self._members[member.node_id]
-        del self._changed_seconds[member.node_id]
+        del self._changed_at[member.node_id]
         del self._bucket_members[bucket_of(member.node_id)][member.node_id]
 
-    def _forget_address(self, member: Member) -> None:
+    def _remove_address(self, member: Member) -> None:
         if self._by_address.get(member.address) == member.node_id:
             del self._by_address[member.address]
 
--- a/drumbay/membership/messages.py
+++ b/drumbay/membership/messages.py
@@ -8,12 +8,12 @@
 
 
 class MembershipDatagram(Message, frozen=True, kw_only=True, array_like=True):
-    """Base class: every datagram names its sender and carries news (SWIM, section 4.1).
+    """Base class: every datagram names its sender and piggybacks updates (SWIM, section 4.1).
 
     Attributes:
         sender: Node that sent the datagram.
         application_revision: The sender's application revision.
-        updates: News about members known to all.
+        updates: Compact updates about known members.
         records: Full records of members that are new or have restarted.
     """
 
@@ -24,11 +24,11 @@
 
 
 class Ping(MembershipDatagram, frozen=True, kw_only=True, array_like=True):
-    """Asks the target for an acknowledgement.
+    """Requests an acknowledgement.
 
     Attributes:
-        sequence: Number that the acknowledgement repeats.
-        target: Node that should answer; another node at its address stays silent.
+        sequence: Sequence number, repeated in the acknowledgement.
+        target: Node that should acknowledge; another node at its address ignores the ping.
     """
 
     sequence: int
@@ -39,7 +39,7 @@
     """Acknowledges a ping, directly or on behalf of the target of an indirect one.
 
     Attributes:
-        sequence: Number of the ping.
+        sequence: Sequence number of the ping.
         target: Node that is alive.
     """
 
@@ -51,7 +51,7 @@
     """Asks a helper to ping the target (SWIM's ping-req).
 
     Attributes:
-        sequence: Number that the helper's answer repeats.
+        sequence: Sequence number, repeated in the helper's response.
         target: Node to ping.
         target_address: Its address.
     """
@@ -62,25 +62,25 @@
 
 
 class Nack(MembershipDatagram, frozen=True, kw_only=True, array_like=True):
-    """A helper's answer that the target is silent (Lifeguard, section IV.A).
+    """A helper's response that the target did not acknowledge (Lifeguard, section IV.A).
 
     Attributes:
-        sequence: Number of the indirect ping.
+        sequence: Sequence number of the indirect ping.
     """
 
     sequence: int
 
 
 class Gossip(MembershipDatagram, frozen=True, kw_only=True, array_like=True):
-    """Carries news alone."""
+    """Carries only piggybacked updates."""
 
 
 class SyncRequest(MembershipDatagram, frozen=True, kw_only=True, array_like=True):
     """Starts an anti-entropy exchange.
 
     Attributes:
-        record: The sender itself, so that a new node is known at once.
-        digests: One digest for each bucket of members.
+        record: The sender's own record, so that a new node is known at once.
+        digests: One digest per bucket of members.
     """
 
     record: Member
@@ -88,11 +88,11 @@
 
 
 class SyncUpdates(MembershipDatagram, frozen=True, kw_only=True, array_like=True):
-    """Tells, in short, of the members of buckets that differ.
+    """Carries compact updates of the members of buckets that differ.
 
     Attributes:
         bucket_updates: The members' states.
-        wanted_buckets: Buckets whose members the receiver should tell of in return.
+        wanted_buckets: Buckets that the receiver should send in return.
     """
 
     bucket_updates: tuple[StateUpdate, ...]
@@ -100,7 +100,7 @@
 
 
 class SyncWanted(MembershipDatagram, frozen=True, kw_only=True, array_like=True):
-    """Asks for the full records of members that the sender does not know.
+    """Requests the full records of members that the sender does not know.
 
     Attributes:
         node_ids: The members.
@@ -110,7 +110,7 @@
 
 
 class SyncMembers(MembershipDatagram, frozen=True, kw_only=True, array_like=True):
-    """Carries full records that were asked for.
+    """Carries the requested full records.
 
     Attributes:
         members: The members.
--- a/drumbay/membership/outbox.py
+++ b/drumbay/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Datagrams that the state machine wants sent, filled with news."""
+"""Outgoing datagrams of the state machine, with piggybacked updates."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 
 
 class Outbox:
-    """Collects datagrams until the shell takes them."""
+    """Collects datagrams until the membership service sends them."""
 
     def __init__(self, table: MemberTable, queue: DisseminationQueue) -> None:
         """Create an empty outbox."""
@@ -21,10 +21,10 @@
         self._datagrams: list[OutgoingDatagram] = []
 
     def send(self, address: Address, recipient: NodeId | None, message: MembershipDatagram) -> None:
-        """Send a message with news; a recipient hears first what is said against it.
+        """Queue a message with updates, first that about the recipient if it is not alive.
 
-        Telling a member of its own suspicion (Lifeguard's buddy system, section IV.C) lets it
-        refute at once; telling it of its death lets a woken or cut off member return.
+        A member informed of its own suspicion (Lifeguard's buddy system, section IV.C) can
+        refute at once; one informed of its death can rejoin after a pause or a partition.
         """
         revision = self._table.self_member.application_revision
         message = msgspec.structs.replace(message, application_revision=revision)
@@ -37,14 +37,14 @@
         self._datagrams.append(OutgoingDatagram(address=address, message=message))
 
     def send_plain(self, address: Address, message: MembershipDatagram) -> None:
-        """Send a message that has no room for news."""
+        """Queue a message without updates, as it has no room for them."""
         self._datagrams.append(OutgoingDatagram(address=address, message=message))
 
-    def take(self) -> tuple[OutgoingDatagram, ...]:
-        """Return the collected datagrams and start anew."""
-        taken = tuple(self._datagrams)
+    def drain(self) -> tuple[OutgoingDatagram, ...]:
+        """Return and clear the collected datagrams."""
+        datagrams = tuple(self._datagrams)
         self._datagrams.clear()
-        return taken
+        return datagrams
 
     def _accusation_of(self, recipient: NodeId | None) -> StateUpdate | None:
         member = None if recipient is None else self._table.get(recipient)
--- a/drumbay/membership/prober.py
+++ b/drumbay/membership/prober.py
@@ -11,12 +11,12 @@
 from drumbay.membership.probe_schedule import ProbeSchedule
 from drumbay.membership.records import Member, MembershipSettings
 
-HELPER_TIMEOUT_SHARE = 0.8
-"""Share of the timeout after which a helper reports silence, in time for the asker."""
+HELPER_TIMEOUT_FRACTION = 0.8
+"""Fraction of the probe timeout after which a helper sends a nack, so that it arrives in time."""
 
 
 class _Probe:
-    """The probe of the present period."""
+    """The probe of the current period."""
 
     def __init__(self, sequence: int, target: Member, indirect_at: float, ends_at: float) -> None:
         self.sequence = sequence
@@ -25,21 +25,21 @@
         self.ends_at = ends_at
         self.acknowledged = False
         self.helper_count = 0
-        self.helper_answers = 0
+        self.helper_responses = 0
 
 
 class _Relay:
-    """A ping sent for another node."""
+    """A ping sent on behalf of another node."""
 
-    def __init__(self, asker: Member, sequence: int, target: NodeId, ends_at: float) -> None:
-        self.asker = asker
+    def __init__(self, requester: Member, sequence: int, target: NodeId, ends_at: float) -> None:
+        self.requester = requester
         self.sequence = sequence
         self.target = target
         self.ends_at = ends_at
 
 
 class Prober:
-    """Runs one probe per period and relays pings for others."""
+    """Probes one member per period and relays pings for other nodes."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
 
     @property
     def next_deadline(self) -> float:
-        """Return when :meth:`tick` has something to do."""
+        """Return when :meth:`tick` must run next."""
         deadline = self._next_probe_at
         if self._probe is not None and not self._probe.acknowledged:
             deadline = min(deadline, self._probe.indirect_at, self._probe.ends_at)
@@ -71,15 +71,15 @@
         return deadline
 
     def tick(self, now: float) -> Member | None:
-        """Advance the probe; return the target if it did not answer in its period."""
-        self._end_relays(now)
-        silent = self._advance_probe(now)
+        """Advance the probe; return its target if the period ended without an acknowledgement."""
+        self._expire_relays(now)
+        unresponsive = self._advance_probe(now)
         if now >= self._next_probe_at:
             self._start_probe(now)
-        return silent
+        return unresponsive
 
     def abandon(self, now: float) -> None:
-        """Forget the running probe: this process was paused and cannot judge it."""
+        """Discard the running probe, whose timeout is not valid after a pause of this process."""
         self._probe = None
         self._relays.clear()
         self._next_probe_at = now
@@ -105,7 +105,7 @@
             self._probe = None
             return
         sequence = self._next_sequence()
-        # NOTE: half the period at least is left for the indirect probes.
+        # NOTE: leave at least half of the period for the indirect probes.
         timeout = min(self._timeout_seconds(target), period / 2)
         self._probe = _Probe(sequence, target, now + timeout, now + period)
         self._send_ping(sequence, target.node_id, target.address)
@@ -120,8 +120,8 @@
             return None
         if now >= probe.ends_at:
             self._probe = None
-            if probe.helper_answers == 0:
-                self._health.note_trouble()
+            if probe.helper_responses == 0:
+                self._health.record_failure()
             return probe.target
         if now >= probe.indirect_at:
             probe.indirect_at = math.inf
@@ -139,46 +139,46 @@
             )
             self._outbox.send(helper.address, helper.node_id, message)
 
-    def _end_relays(self, now: float) -> None:
+    def _expire_relays(self, now: float) -> None:
         for sequence, relay in list(self._relays.items()):
             if relay.ends_at <= now:
                 del self._relays[sequence]
                 nack = Nack(sender=self._self_id(), sequence=relay.sequence)
-                self._outbox.send(relay.asker.address, relay.asker.node_id, nack)
+                self._outbox.send(relay.requester.address, relay.requester.node_id, nack)
 
     def handle_ping(self, sender: Address, ping: Ping) -> None:
-        """Acknowledge a ping meant for this node."""
+        """Acknowledge a ping if this node is its target."""
         if ping.target != self._self_id():
             return
         ack = Ack(sender=self._self_id(), sequence=ping.sequence, target=self._self_id())
         self._outbox.send(sender, ping.sender, ack)
 
     def handle_indirect_ping(self, now: float, message: IndirectPing) -> None:
-        """Ping a target for another node."""
-        asker = self._table.get(message.sender)
-        if asker is None:
+        """Ping a target on behalf of another node."""
+        requester = self._table.get(message.sender)
+        if requester is None:
             return
         sequence = self._next_sequence()
-        wait = self._settings.probe_timeout_seconds * HELPER_TIMEOUT_SHARE
-        self._relays[sequence] = _Relay(asker, message.sequence, message.target, now + wait)
+        timeout = self._settings.probe_timeout_seconds * HELPER_TIMEOUT_FRACTION
+        self._relays[sequence] = _Relay(requester, message.sequence, message.target, now + timeout)
         self._send_ping(sequence, message.target, message.target_address)
 
     def handle_ack(self, ack: Ack) -> None:
-        """Take in an acknowledgement, for this node's probe or for a relayed one."""
+        """Process an acknowledgement of this node's probe or of a relayed ping."""
         probe = self._probe
         if probe is not None and probe.sequence == ack.sequence:
             if probe.target.node_id == ack.target and not probe.acknowledged:
                 probe.acknowledged = True
-                self._health.note_success()
+                self._health.record_success()
             return
         relay = self._relays.get(ack.sequence)
         if relay is None or relay.target != ack.target:
             return
         del self._relays[ack.sequence]
-        passed_on = Ack(sender=self._self_id(), sequence=relay.sequence, target=ack.target)
-        self._outbox.send(relay.asker.address, relay.asker.node_id, passed_on)
+        forwarded = Ack(sender=self._self_id(), sequence=relay.sequence, target=ack.target)
+        self._outbox.send(relay.requester.address, relay.requester.node_id, forwarded)
 
     def handle_nack(self, nack: Nack) -> None:
-        """Note that a helper is well though the target is silent."""
+        """Record a response of a helper whose ping was not acknowledged."""
         if self._probe is not None and self._probe.sequence == nack.sequence:
-            self._probe.helper_answers += 1
+            self._probe.helper_responses += 1
--- a/drumbay/membership/records.py
+++ b/drumbay/membership/records.py
@@ -1,4 +1,4 @@
-"""Typed records of the membership: members, updates, changes and settings."""
+"""Records of the membership protocol: members, updates, changes and settings."""
 
 from enum import IntEnum, StrEnum
 
@@ -9,7 +9,7 @@
 from drumbay.identifiers import BootId, NodeId
 
 NO_ACCUSER = NodeId("")
-"""Accuser of news that is no suspicion."""
+"""Accuser of an update that is not a suspicion."""
 
 
 class MemberState(IntEnum):
@@ -22,19 +22,19 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What is known about one member.
+    """One member as a node knows it.
 
     Attributes:
-        node_id: Name of the node; kept over restarts.
-        address: Where the node is reached.
+        node_id: Name of the node; stable across restarts.
+        address: Address of the node.
         zone: Failure domain within a region.
         region: Group of zones with short delays between them.
-        boot_id: Run of the process.
-        incarnation: Grows whenever the member overrides what is said about it, and with
-            every new boot.
-        labels: What the node offers, such as ``has_data_folder``.
+        boot_id: Identifies one run of the process.
+        incarnation: Incremented by the member to override updates about it, also those about
+            an earlier boot.
+        labels: Properties of the node, such as ``has_data_folder``.
         state: Alive, suspect, dead or left.
-        application_revision: Number that the application on the node last announced.
+        application_revision: Revision that the application on the node last announced.
     """
 
     node_id: NodeId
@@ -49,20 +49,20 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether the member counts as running: alive, or merely suspected."""
+        """Return whether the member counts as running: alive or suspect."""
         return self.state <= MemberState.SUSPECT
 
 
 class StateUpdate(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Compact news about a member whose full record the receivers hold.
+    """Compact update about a member whose full record the receivers have.
 
     Attributes:
         node_id: The member.
-        boot_mark: Short hash of the member's boot; receivers that know another boot wait
-            for the full record.
-        incarnation: Incarnation of the member that the news is about.
+        boot_mark: Short hash of the member's boot; receivers that know another boot need
+            the full record.
+        incarnation: Incarnation of the member that the update is about.
         state: The state.
-        accuser: Who raised a suspicion; empty for other states.
+        accuser: Node that raised a suspicion; empty for other states.
     """
 
     node_id: NodeId
@@ -78,12 +78,12 @@
 
 
 def boot_mark_of(boot_id: BootId) -> int:
-    """Return the short hash of a boot that compact updates carry."""
+    """Return the short hash of a boot for compact updates."""
     return xxhash.xxh32_intdigest(boot_id.encode())
 
 
 def state_update_of(member: Member, accuser: NodeId = NO_ACCUSER) -> StateUpdate:
-    """Return the compact news of a member's present state."""
+    """Return the compact update of a member's current state."""
     return StateUpdate(
         node_id=member.node_id,
         boot_mark=boot_mark_of(member.boot_id),
@@ -94,7 +94,7 @@
 
 
 class MemberChangeKind(StrEnum):
-    """What happened to a member, as one node sees it."""
+    """Kind of a membership change, as seen by one node."""
 
     JOINED = "joined"
     RESTARTED = "restarted"
@@ -111,8 +111,8 @@
 
     Attributes:
         kind: What happened.
-        member: The member as it is now known.
-        previous: The member as it was known before; ``None`` if it was not.
+        member: The member after the change.
+        previous: The member before the change; ``None`` if it was not known.
     """
 
     kind: MemberChangeKind
@@ -125,21 +125,21 @@
 
     Attributes:
         probe_interval_seconds: Protocol period (SWIM, section 4): one probe starts in each.
-        probe_timeout_seconds: Wait for a direct acknowledgement within the region.
-        remote_timeout_factor: Factor on the wait for members of other regions.
-        indirect_probes: Members asked to probe one that did not answer (SWIM, k).
-        max_remote_probe_share: Largest share of probes that go to other regions.
+        probe_timeout_seconds: Timeout of a direct acknowledgement within the region.
+        remote_timeout_factor: Timeout factor for members of other regions.
+        indirect_probes: Helpers asked to probe an unresponsive member (SWIM, k).
+        max_remote_probe_share: Largest fraction of probes that go to other regions.
         suspicion_multiplier: Shortest suspicion, in periods times log10 of the members.
         suspicion_max_factor: Longest suspicion over the shortest (Lifeguard, beta).
-        suspicion_confirmations: Independent suspicions that bring it to the shortest.
+        suspicion_confirmations: Independent suspicions that reduce it to the shortest.
         retransmit_multiplier: Transmissions of an update over log10 of the members.
-        gossip_interval_seconds: Period of extra gossip while there is fresh news.
-        gossip_fanout: Members that extra gossip goes to.
+        gossip_interval_seconds: Period of extra gossip while updates are queued.
+        gossip_fanout: Members that each round of extra gossip is sent to.
         sync_interval_seconds: Mean time between anti-entropy exchanges.
-        sync_retry_seconds: Mean time to the next exchange after one that brought news.
-        reconnect_interval_seconds: Mean time between contacts to a dead member or a seed.
-        dead_retention_seconds: How long a dead member is remembered and contacted.
-        left_retention_seconds: How long a member that left is remembered.
+        sync_retry_seconds: Mean time to the next exchange after one that changed the table.
+        reconnect_interval_seconds: Mean time between attempts to contact a dead member or seed.
+        dead_retention_seconds: How long a dead member is kept and contacted.
+        left_retention_seconds: How long a member that left is kept.
         max_local_health: Largest local health score (Lifeguard, S).
     """
 
--- a/drumbay/membership/service.py
+++ b/drumbay/membership/service.py
@@ -1,4 +1,4 @@
-"""Runs the membership state machine on a clock and a transport."""
+"""Membership service: runs the SWIM state machine on a clock and a transport."""
 
 import random
 from collections.abc import Callable
@@ -51,7 +51,7 @@
 
 
 class MemberRecordTooLargeError(ConfigurationError):
-    """Names and labels of the node do not fit into membership datagrams."""
+    """The names and labels of the node are too long for membership datagrams."""
 
     code = "member_record_too_large"
 
@@ -63,15 +63,15 @@
 
 
 class MembershipConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """What a node says about itself, and where it finds others.
+    """A node's own record and the seeds through which it joins.
 
     Attributes:
-        node_id: Name of the node; kept over restarts.
-        boot_id: This run of the process.
+        node_id: Name of the node; stable across restarts.
+        boot_id: Identifies this run of the process.
         zone: Failure domain within the region.
         region: Group of zones with short delays between them.
-        labels: What the node offers.
-        seeds: Addresses of some nodes; a node may be among its own seeds.
+        labels: Properties of the node.
+        seeds: Addresses of some nodes of the cluster; may include the node itself.
         settings: Timing and fan-out.
     """
 
@@ -85,7 +85,7 @@
 
 
 class MembershipService:
-    """Membership of this node; ends with its task owner."""
+    """Membership of this node; closing the task owner stops it."""
 
     def __init__(
         self,
@@ -95,14 +95,14 @@
         rng: random.Random,
         task_owner: TaskOwner,
     ) -> None:
-        """Create a service that has not started."""
+        """Create a service; :meth:`start` starts it."""
         self._clock = clock
         self._transport = transport
         self._configuration = configuration
         self._random = rng
         self._task_owner = task_owner
         self._listeners: list[ChangeListener] = []
-        self._swim_or_none: Swim | None = None
+        self._started_swim: Swim | None = None
         self._timer = WakeTimer(clock)
         self._application_revision = 0
 
@@ -125,10 +125,10 @@
         self._listeners.append(listener)
 
     def set_application_revision(self, revision: int) -> None:
-        """Announce a number, such as a configuration revision, in every datagram."""
+        """Set the application's revision, which every datagram announces."""
         self._application_revision = revision
-        if self._swim_or_none is not None:
-            self._swim_or_none.set_application_revision(revision)
+        if self._started_swim is not None:
+            self._started_swim.set_application_revision(revision)
 
     def start(self) -> None:
         """Join the cluster; the transport must be listening, so that its address is known.
@@ -151,13 +151,13 @@
             raise MemberRecordTooLargeError(
                 f"{size_bytes} bytes of names and labels, limit {MAX_RECORD_BYTES}"
             )
-        self._swim_or_none = Swim(member, configuration.seeds, configuration.settings, self._random)
+        self._started_swim = Swim(member, configuration.seeds, configuration.settings, self._random)
         for message_type in DATAGRAM_TYPES:
             self._transport.handle_datagrams(message_type, self._handle_datagram)
         self._task_owner.spawn(self._run(), name="membership")
 
     async def leave(self) -> None:
-        """Announce that this node leaves and wait until the news has spread.
+        """Announce that this node leaves and wait until the update has spread.
 
         Stop the transport afterwards; until then probes are still answered.
         """
@@ -168,9 +168,9 @@
 
     @property
     def _swim(self) -> Swim:
-        if self._swim_or_none is None:
+        if self._started_swim is None:
             raise MembershipNotStartedError("start the membership service first")
-        return self._swim_or_none
+        return self._started_swim
 
     async def _run(self) -> None:
         while True:
@@ -187,13 +187,13 @@
         for datagram in output.datagrams:
             self._transport.send_datagram(datagram.address, datagram.message)
         for change in output.changes:
-            self._report(change)
+            self._notify_listeners(change)
 
-    def _report(self, change: MemberChange) -> None:
-        conflict = change.kind is MemberChangeKind.IDENTITY_CONFLICT
+    def _notify_listeners(self, change: MemberChange) -> None:
+        is_conflict = change.kind is MemberChangeKind.IDENTITY_CONFLICT
         log_event(
             "member_changed",
-            level="WARNING" if conflict else "INFO",
+            level="WARNING" if is_conflict else "INFO",
             change=change.kind.value,
             member=change.member.node_id,
             boot=change.member.boot_id,
@@ -204,7 +204,7 @@
             try:
                 listener(change)
             except Exception as error:
-                # A faulty listener must not stop failure detection.
+                # An exception in a listener must not stop failure detection.
                 log_event(
                     "member_listener_failed",
                     level="ERROR",
--- a/drumbay/membership/hollow.py
+++ b/drumbay/membership/simulated_cluster.py
@@ -1,7 +1,7 @@
-"""Many membership state machines in one process, driven by an event queue on virtual time.
+"""Simulated cluster of membership state machines in one process, on virtual time.
 
-A hollow node is the real state machine with real, authenticated frames; only sockets and
-timers are replaced. Nodes can be killed, restarted, frozen and cut off from each other.
+A simulated node is the real state machine with real, authenticated frames; only sockets and
+timers are replaced. Nodes can be killed, restarted, frozen and partitioned.
 """
 
 import heapq
@@ -27,7 +27,7 @@
 SAME_ZONE_DELAY_SECONDS = 0.00025
 SAME_REGION_DELAY_SECONDS = 0.001
 OTHER_REGION_DELAY_SECONDS = 0.030
-DELAY_JITTER_SHARE = 0.2
+DELAY_JITTER_FRACTION = 0.2
 SOCKET_BUFFER_DATAGRAMS = 200
 SEED_COUNT = 3
 CLUSTER_KEY = b"key of the hollow cluster"
@@ -36,8 +36,8 @@
 ChangeObserver = Callable[[float, NodeId, MemberChange], None]
 
 
-class HollowClock(SystemClock):
-    """Virtual time of a hollow cluster; only readable."""
+class SimulatedClock(SystemClock):
+    """Virtual time of a simulated cluster; read-only."""
 
     def __init__(self) -> None:
         """Start at 0."""
@@ -52,10 +52,10 @@
         return WALL_ORIGIN_SECONDS + self.now
 
 
-class HollowNode:
-    """One node: its state machine and what the event queue must know of it."""
+class SimulatedNode:
+    """One node: its state machine, process state and traffic counters."""
 
-    def __init__(self, member: Member, swim: Swim, clock: HollowClock) -> None:
+    def __init__(self, member: Member, swim: Swim, clock: SimulatedClock) -> None:
         """Create a running node."""
         self.member = member
         self.swim = swim
@@ -64,20 +64,20 @@
         self.is_up = True
         self.frozen_until = 0.0
         self.inbox: list[tuple[Address, bytes]] = []
-        self.tick_at = float("inf")
+        self.next_tick_at = float("inf")
         self.sent_bytes = 0
         self.sent_datagrams = 0
-        self.largest_datagram_bytes = 0
+        self.max_datagram_bytes = 0
 
 
-class HollowCluster:
-    """An event queue over hollow nodes, spread evenly over regions and zones.
+class SimulatedCluster:
+    """An event queue over simulated nodes, spread evenly over regions and zones.
 
     Attributes:
         clock: Virtual time.
         nodes: The nodes, by index; a restarted node keeps its index.
-        loss_rate: Share of datagrams that are lost.
-        is_cut: Tells whether datagrams from one member to another are dropped.
+        loss_rate: Fraction of datagrams that are lost.
+        is_cut: Returns whether datagrams from one member to another are dropped.
         observers: Called for every change that a running node reports.
     """
 
@@ -90,12 +90,12 @@
         region_count: int = 2,
         zones_per_region: int = 3,
     ) -> None:
-        """Create the nodes; they start at random moments of the first second."""
-        self.clock = HollowClock()
+        """Create the nodes; they start at random times within the first second."""
+        self.clock = SimulatedClock()
         self.loss_rate = 0.0
         self.is_cut: Callable[[Member, Member], bool] = lambda sender, receiver: False
         self.observers: list[ChangeObserver] = []
-        self.nodes: list[HollowNode] = []
+        self.nodes: list[SimulatedNode] = []
         self._settings = settings if settings is not None else MembershipSettings()
         self._random = random.Random(seed)
         self._registry = MessageRegistry()
@@ -118,7 +118,6 @@
             self.nodes.append(self._new_node(member))
             self._schedule_tick(self.nodes[index], self._random.random())
 
-    # A node's address, from which others start to know the cluster.
     def _seeds(self) -> tuple[Address, ...]:
         return tuple(self._index_by_address)[:SEED_COUNT]
 
@@ -126,17 +125,17 @@
         self._boot_count += 1
         return BootId(f"{self._boot_count:016x}")
 
-    def _new_node(self, member: Member) -> HollowNode:
+    def _new_node(self, member: Member) -> SimulatedNode:
         rng = random.Random(self._random.random())
         swim = Swim(member, self._seeds(), self._settings, rng)
-        return HollowNode(member, swim, self.clock)
+        return SimulatedNode(member, swim, self.clock)
 
     @property
     def now(self) -> float:
         """Return virtual seconds."""
         return self.clock.now
 
-    def running(self) -> list[HollowNode]:
+    def running(self) -> list[SimulatedNode]:
         """Return the nodes that are up and not frozen."""
         return [each for each in self.nodes if each.is_up and each.frozen_until <= self.now]
 
@@ -152,7 +151,7 @@
     def run_until(
         self, condition: Callable[[], bool], limit_seconds: float, step_seconds: float = 0.1
     ) -> float | None:
-        """Run until a condition holds; return the seconds it took, ``None`` if it did not."""
+        """Run until a condition holds; return the seconds it took, ``None`` at the limit."""
         started = self.now
         while not condition():
             if self.now - started >= limit_seconds:
@@ -161,11 +160,11 @@
         return self.now - started
 
     def kill(self, index: int) -> None:
-        """End a node's process without a word."""
+        """End a node's process abruptly."""
         self.nodes[index].is_up = False
 
     def restart(self, index: int) -> None:
-        """Start a node's process anew, with nothing kept."""
+        """Restart a node's process without any state."""
         self.kill(index)
         member = self.nodes[index].member
         fresh = Member(
@@ -179,17 +178,17 @@
         self._schedule_tick(self.nodes[index], self.now)
 
     def freeze(self, index: int, seconds: float) -> None:
-        """Stop a node's process for a while; its socket buffers some datagrams."""
+        """Pause a node's process for some time; its socket buffers some datagrams."""
         node = self.nodes[index]
         node.frozen_until = self.now + seconds
-        self._schedule(node.frozen_until, lambda: self._wake(node))
+        self._schedule(node.frozen_until, lambda: self._resume(node))
 
     def leave(self, index: int) -> None:
-        """Let a node announce that it leaves; kill it later."""
+        """Make a node announce that it leaves; its process keeps running."""
         node = self.nodes[index]
         self._handle_output(node, node.swim.leave(self.now))
 
-    def _wake(self, node: HollowNode) -> None:
+    def _resume(self, node: SimulatedNode) -> None:
         inbox, node.inbox = node.inbox, []
         self._tick(node)
         for sender, frame in inbox:
@@ -199,24 +198,24 @@
         self._event_count += 1
         heapq.heappush(self._events, (time, self._event_count, action))
 
-    def _schedule_tick(self, node: HollowNode, time: float) -> None:
-        if time >= node.tick_at:
+    def _schedule_tick(self, node: SimulatedNode, time: float) -> None:
+        if time >= node.next_tick_at:
             return
-        node.tick_at = time
+        node.next_tick_at = time
         self._schedule(time, lambda: self._tick_if_due(node, time))
 
-    def _tick_if_due(self, node: HollowNode, time: float) -> None:
-        # An earlier tick has taken this one's place, or the node does not run.
-        if node.tick_at == time and node.is_up and node.frozen_until <= self.now:
+    def _tick_if_due(self, node: SimulatedNode, time: float) -> None:
+        # Skip a tick that was replaced by an earlier one, or whose node is not running.
+        if node.next_tick_at == time and node.is_up and node.frozen_until <= self.now:
             self._tick(node)
 
-    def _tick(self, node: HollowNode) -> None:
+    def _tick(self, node: SimulatedNode) -> None:
         if not node.is_up:
             return
-        node.tick_at = float("inf")
+        node.next_tick_at = float("inf")
         self._handle_output(node, node.swim.tick(self.now))
 
-    def _handle_output(self, node: HollowNode, output: Output) -> None:
+    def _handle_output(self, node: SimulatedNode, output: Output) -> None:
         for datagram in output.datagrams:
             self._send(node, datagram.address, datagram.message)
         for change in output.changes:
@@ -224,12 +223,12 @@
                 observer(self.now, node.member.node_id, change)
         self._schedule_tick(node, output.next_tick_at)
 
-    def _send(self, node: HollowNode, address: Address, message: MembershipDatagram) -> None:
+    def _send(self, node: SimulatedNode, address: Address, message: MembershipDatagram) -> None:
         payload = encode_envelope(FrameKind.DATAGRAM, 0, message)
         frame = node.sealer.seal(f"{address.host}:{address.port}", payload)
         node.sent_datagrams += 1
         node.sent_bytes += len(frame) + IP_AND_UDP_HEADER_BYTES
-        node.largest_datagram_bytes = max(node.largest_datagram_bytes, len(frame))
+        node.max_datagram_bytes = max(node.max_datagram_bytes, len(frame))
         index = self._index_by_address.get(address)
         if index is None or self._random.random() < self.loss_rate:
             return
@@ -237,7 +236,7 @@
         if self.is_cut(node.member, receiver):
             return
         arrival = self.now + self._delay_seconds(node.member, receiver)
-        self._schedule(arrival, lambda: self._arrive(index, node.member.address, frame))
+        self._schedule(arrival, lambda: self._deliver(index, node.member.address, frame))
 
     def _delay_seconds(self, sender: Member, receiver: Member) -> float:
         if sender.region != receiver.region:
@@ -246,9 +245,9 @@
             delay = SAME_REGION_DELAY_SECONDS
         else:
             delay = SAME_ZONE_DELAY_SECONDS
-        return delay * (1.0 + DELAY_JITTER_SHARE * self._random.random())
+        return delay * (1.0 + DELAY_JITTER_FRACTION * self._random.random())
 
-    def _arrive(self, index: int, sender: Address, frame: bytes) -> None:
+    def _deliver(self, index: int, sender: Address, frame: bytes) -> None:
         node = self.nodes[index]
         if not node.is_up:
             return
@@ -258,7 +257,7 @@
             return
         self._receive(node, sender, frame)
 
-    def _receive(self, node: HollowNode, sender: Address, frame: bytes) -> None:
+    def _receive(self, node: SimulatedNode, sender: Address, frame: bytes) -> None:
         own = node.member.address
         try:
             opened = node.opener.open(f"{own.host}:{own.port}", frame)
--- a/drumbay/membership/swim.py
+++ b/drumbay/membership/swim.py
@@ -1,8 +1,9 @@
 """The membership state machine of one node.
 
 SWIM (Das, Gupta and Motivala 2002) with suspicion and incarnations, parts of Lifeguard (Dadgar,
-Phillips and Currey 2018), anti-entropy, and contacts to dead members so that a healed cut closes
-by itself. Pure: time and datagrams come in, datagrams and changes go out.
+Phillips and Currey 2018), anti-entropy, and periodic contact to dead members, which rejoins the
+sides of a healed partition. Pure: its inputs are time and datagrams, its outputs datagrams and
+membership changes.
 """
 
 import math
@@ -29,7 +30,6 @@
     SyncUpdates,
     SyncWanted,
 )
-from drumbay.membership.news import NewsHandler
 from drumbay.membership.outbox import Outbox
 from drumbay.membership.probe_schedule import ProbeSchedule
 from drumbay.membership.prober import Prober
@@ -41,20 +41,21 @@
     MemberState,
 )
 from drumbay.membership.suspicion import SuspicionTimers
+from drumbay.membership.update_handler import UpdateHandler
 
-FORGET_INTERVAL_SECONDS = 60.0
+PURGE_INTERVAL_SECONDS = 60.0
 LEAVE_FANOUT = 8
 EAGER_SYNCS = 3
-"""Exchanges in quick succession after one that brought news, each with another peer."""
+"""Exchanges in quick succession after one that changed the table, with random peers."""
 
 
 class Output(msgspec.Struct, frozen=True, kw_only=True):
-    """What one event led to.
+    """Result of one tick or received datagram.
 
     Attributes:
         datagrams: Datagrams to send.
-        changes: Changes of the membership, in order.
-        next_tick_at: When :meth:`Swim.tick` should run next, in the time of ``now``.
+        changes: Membership changes, in order.
+        next_tick_at: When :meth:`Swim.tick` should run next, on the clock of ``now``.
     """
 
     datagrams: tuple[OutgoingDatagram, ...]
@@ -63,7 +64,7 @@
 
 
 class Swim:
-    """Membership as one node knows it."""
+    """Membership as seen by one node."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         settings: MembershipSettings,
         rng: random.Random,
     ) -> None:
-        """Create a node that knows only itself and the addresses of seeds."""
+        """Create a node that knows only itself and the seeds' addresses."""
         self._settings = settings
         self._random = rng
         self._seeds = tuple(seed for seed in seeds if seed != self_member.address)
@@ -84,20 +85,20 @@
         self._schedule = ProbeSchedule(self._table, settings, rng)
         self._prober = Prober(self._table, self._schedule, self._outbox, self._health, settings)
         self._anti_entropy = AntiEntropy(self._table, self._outbox, rng)
-        self._news = NewsHandler(
+        self._update_handler = UpdateHandler(
             self._table, self._queue, self._suspicions, self._schedule, self._health
         )
         self._next_gossip_at = -math.inf
         self._next_sync_at = -math.inf
-        self._eager_syncs = EAGER_SYNCS
-        self._informed_peer: Address | None = None
+        self._eager_syncs_left = EAGER_SYNCS
+        self._sync_peer: Address | None = None
         self._next_reconnect_at = -math.inf
-        self._next_forget_at = -math.inf
+        self._next_purge_at = -math.inf
         self._expected_tick_at = math.inf
 
     @property
     def self_member(self) -> Member:
-        """Return the node itself, as it announces itself."""
+        """Return the node's own record, as it announces it."""
         return self._table.self_member
 
     @property
@@ -107,12 +108,12 @@
 
     @property
     def reachable_count(self) -> int:
-        """Return how many other members are alive or merely suspected."""
+        """Return how many other members are alive or suspect."""
         return self._table.reachable_count
 
     @property
     def alive_count(self) -> int:
-        """Return how many members are alive and not suspected, the node itself included."""
+        """Return how many members are alive and not suspect, the node itself included."""
         return sum(1 for each in self._table.members() if each.state is MemberState.ALIVE)
 
     def members(self) -> tuple[Member, ...]:
@@ -124,7 +125,7 @@
         return self._table.get(node_id)
 
     def set_application_revision(self, revision: int) -> None:
-        """Set the number that this node's datagrams announce."""
+        """Set the application's revision, which this node's datagrams announce."""
         member = msgspec.structs.replace(self.self_member, application_revision=revision)
         self._table.set_self(0.0, member)
 
@@ -134,69 +135,69 @@
             self._suspicions.next_deadline,
             self._next_sync_at,
             self._next_reconnect_at,
-            self._next_forget_at,
+            self._next_purge_at,
         )
         if len(self._queue) > 0:
             deadline = min(deadline, self._next_gossip_at)
         return deadline
 
     def tick(self, now: float) -> Output:
-        """Do what is due at ``now`` (monotonic seconds)."""
-        self._check_pause(now)
-        silent = self._prober.tick(now)
-        if silent is not None:
-            self._news.suspect(now, silent)
-        self._news.end_suspicions(now)
+        """Run the actions due at ``now`` (monotonic seconds)."""
+        self._handle_pause(now)
+        unresponsive = self._prober.tick(now)
+        if unresponsive is not None:
+            self._update_handler.suspect(now, unresponsive)
+        self._update_handler.expire_suspicions(now)
         self._gossip(now)
         self._sync(now)
         self._reconnect(now)
-        self._forget(now)
-        return self._output(now)
+        self._purge(now)
+        return self._collect_output(now)
 
     def receive(self, now: float, sender: Address, message: MembershipDatagram) -> Output:
-        """Take in a datagram that arrived at ``now`` from the address ``sender``."""
-        self._check_pause(now)
-        self._table.note_application_revision(message.sender, message.application_revision)
+        """Process a datagram that arrived at ``now`` from the address ``sender``."""
+        self._handle_pause(now)
+        self._table.record_application_revision(message.sender, message.application_revision)
         for record in message.records:
-            self._news.merge_record(now, record)
+            self._update_handler.merge_record(now, record)
         for update in message.updates:
-            self._news.merge_update(now, update)
+            self._update_handler.merge_update(now, update)
         self._handle(now, sender, message)
         if self._table.get(message.sender) is None:
-            self._note_incomplete(now, sender)
-        return self._output(now)
+            self._schedule_sync_with(now, sender)
+        return self._collect_output(now)
 
-    def _note_incomplete(self, now: float, informed_peer: Address) -> None:
-        """Members exist that this node does not know, and ``informed_peer`` knows of some.
+    def _schedule_sync_with(self, now: float, sync_peer: Address) -> None:
+        """Schedule eager exchanges, first with ``sync_peer``, which knows unknown members.
 
-        NOTE: an exchange takes four datagrams and keeps no state. With one of them lost, a
-        node that has just started would know hardly anybody until the next exchange.
+        NOTE: an exchange takes four datagrams and keeps no state. If one of them is lost, a
+        new node would know few members until the next exchange.
         """
-        self._informed_peer = informed_peer
-        self._sync_again_soon(now)
+        self._sync_peer = sync_peer
+        self._schedule_eager_syncs(now)
 
     def leave(self, now: float) -> Output:
-        """Announce that this node leaves; it goes on answering until it is stopped."""
-        self._news.announce_left(now)
+        """Announce that this node leaves; it responds to probes until it is stopped."""
+        self._update_handler.announce_leave(now)
         for node_id in self._sample(LEAVE_FANOUT):
             self._send_gossip(node_id)
-        return self._output(now)
+        return self._collect_output(now)
 
-    def _output(self, now: float) -> Output:
-        changes = self._news.take_changes()
+    def _collect_output(self, now: float) -> Output:
+        changes = self._update_handler.drain_changes()
         if any(each.kind is MemberChangeKind.RETURNED for each in changes):
-            self._reconnect_soon(now)
+            self._schedule_reconnect(now)
         self._expected_tick_at = max(now, self._next_deadline())
         return Output(
-            datagrams=self._outbox.take(),
+            datagrams=self._outbox.drain(),
             changes=changes,
             next_tick_at=self._expected_tick_at,
         )
 
-    def _check_pause(self, now: float) -> None:
-        """Notice that this process did not run for a while, and don't blame the others.
+    def _handle_pause(self, now: float) -> None:
+        """Detect that this process was paused, and reset or extend its timers.
 
-        Its timers have run out only because nobody looked at the answers in between.
+        They may have expired only because the process could not read the responses.
         """
         paused_seconds = now - self._expected_tick_at
         if paused_seconds < self._settings.probe_interval_seconds:
@@ -204,8 +205,8 @@
         self._expected_tick_at = now
         self._suspicions.extend(paused_seconds)
         self._prober.abandon(now)
-        self._health.note_trouble()
-        # Ask at once what was said meanwhile: the node may have been declared dead.
+        self._health.record_failure()
+        # Sync at once: the node may have been declared dead in the meantime.
         self._next_sync_at = now
 
     def _handle(self, now: float, sender: Address, message: MembershipDatagram) -> None:
@@ -221,20 +222,20 @@
             self._handle_sync(now, sender, message)
 
     def _handle_sync(self, now: float, sender: Address, message: MembershipDatagram) -> None:
-        any_news = False
+        any_change = False
         if isinstance(message, SyncRequest):
-            self._news.merge_record(now, message.record)
+            self._update_handler.merge_record(now, message.record)
             self._anti_entropy.handle_request(sender, message)
         elif isinstance(message, SyncUpdates):
-            any_news = self._news.merge_synced_updates(now, message.bucket_updates)
+            any_change = self._update_handler.merge_synced_updates(now, message.bucket_updates)
             if self._anti_entropy.handle_updates(sender, message):
-                self._note_incomplete(now, sender)
+                self._schedule_sync_with(now, sender)
         elif isinstance(message, SyncWanted):
             self._anti_entropy.handle_wanted(sender, message)
         elif isinstance(message, SyncMembers):
-            any_news = self._news.merge_synced_members(now, message.members)
-        if any_news:
-            self._sync_again_soon(now)
+            any_change = self._update_handler.merge_synced_members(now, message.members)
+        if any_change:
+            self._schedule_eager_syncs(now)
 
     def _sample(self, count: int) -> list[NodeId]:
         reachable = self._table.reachable()
@@ -260,34 +261,34 @@
     def _sync(self, now: float) -> None:
         if now < self._next_sync_at:
             return
-        informed_peer, self._informed_peer = self._informed_peer, None
+        sync_peer, self._sync_peer = self._sync_peer, None
         interval = self._settings.sync_interval_seconds
-        has_peer = informed_peer is not None or self._table.reachable_count > 0
-        if self._eager_syncs > 0 and has_peer:
+        has_peer = sync_peer is not None or self._table.reachable_count > 0
+        if self._eager_syncs_left > 0 and has_peer:
             interval = self._settings.sync_retry_seconds
-            self._eager_syncs -= 1
+            self._eager_syncs_left -= 1
         self._next_sync_at = now + self._jittered(interval)
-        if informed_peer is not None:
-            # NOTE: it has just been heard; the members that are known may all be gone.
-            self._anti_entropy.start(informed_peer, None)
+        if sync_peer is not None:
+            # NOTE: this peer is known to be up, whereas all known members may be down.
+            self._anti_entropy.start(sync_peer, None)
             return
         for node_id in self._sample(1):
             member = self._table.get(node_id)
             if member is not None:
                 self._anti_entropy.start(member.address, node_id)
 
-    def _sync_again_soon(self, now: float) -> None:
-        self._eager_syncs = EAGER_SYNCS
-        soon = now + self._jittered(self._settings.sync_retry_seconds)
-        self._next_sync_at = min(self._next_sync_at, soon)
+    def _schedule_eager_syncs(self, now: float) -> None:
+        self._eager_syncs_left = EAGER_SYNCS
+        due_at = now + self._jittered(self._settings.sync_retry_seconds)
+        self._next_sync_at = min(self._next_sync_at, due_at)
 
     def _reconnect(self, now: float) -> None:
-        """Contact a dead member or an unknown seed, so that a healed cut is noticed."""
+        """Contact a dead member or an unknown seed, to detect a healed partition."""
         if now < self._next_reconnect_at:
             return
         mean_seconds = self._settings.reconnect_interval_seconds
         if self._table.reachable_count == 0:
-            # A node that knows nobody has nothing else to do.
+            # A node without reachable members retries more often.
             mean_seconds = self._settings.probe_interval_seconds
         self._next_reconnect_at = now + self._jittered(mean_seconds)
         targets: list[tuple[Address, NodeId | None]] = [
@@ -298,19 +299,19 @@
             address, node_id = self._random.choice(targets)
             self._anti_entropy.start(address, node_id)
 
-    def _reconnect_soon(self, now: float) -> None:
-        """A dead member is back: a cut may have healed, and the others are back as well."""
-        soon = now + self._jittered(self._settings.sync_retry_seconds)
-        self._next_reconnect_at = min(self._next_reconnect_at, soon)
+    def _schedule_reconnect(self, now: float) -> None:
+        """Schedule a reconnect after a dead member's return, as a partition may have healed."""
+        due_at = now + self._jittered(self._settings.sync_retry_seconds)
+        self._next_reconnect_at = min(self._next_reconnect_at, due_at)
 
     def _is_known(self, seed: Address) -> bool:
-        return self._table.at_address(seed) is not None
+        return self._table.find_by_address(seed) is not None
 
-    def _forget(self, now: float) -> None:
-        if now < self._next_forget_at:
+    def _purge(self, now: float) -> None:
+        if now < self._next_purge_at:
             return
-        self._next_forget_at = now + FORGET_INTERVAL_SECONDS
-        self._table.forget_before(
+        self._next_purge_at = now + PURGE_INTERVAL_SECONDS
+        self._table.purge_before(
             now - self._settings.dead_retention_seconds,
             now - self._settings.left_retention_seconds,
         )
--- a/drumbay/membership/news.py
+++ b/drumbay/membership/update_handler.py
@@ -1,11 +1,11 @@
-"""Merging of news: what one node comes to believe, what it passes on, what it refutes."""
+"""Handling of membership updates: merging, forwarding and refuting them."""
 
 import msgspec
 
 from drumbay.identifiers import NodeId
 from drumbay.membership.dissemination import DisseminationQueue
 from drumbay.membership.local_health import LocalHealth
-from drumbay.membership.member_table import MemberTable, News
+from drumbay.membership.member_table import MemberTable, TableChange
 from drumbay.membership.probe_schedule import ProbeSchedule
 from drumbay.membership.records import (
     NO_ACCUSER,
@@ -20,8 +20,8 @@
 from drumbay.membership.suspicion import SuspicionTimers
 
 
-class NewsHandler:
-    """Applies news to the table and does what it asks for."""
+class UpdateHandler:
+    """Applies updates to the member table and updates timers, schedule and queue accordingly."""
 
     def __init__(
         self,
@@ -40,95 +40,95 @@
         self._changes: list[MemberChange] = []
         self._foreign_boot_marks: dict[int, None] = {}
 
-    def take_changes(self) -> tuple[MemberChange, ...]:
-        """Return the changes since the last call, in order."""
+    def drain_changes(self) -> tuple[MemberChange, ...]:
+        """Return and clear the pending changes, in order."""
         changes = tuple(self._changes)
         self._changes.clear()
         return changes
 
     def merge_record(self, now: float, record: Member) -> bool:
-        """Take in a full record and pass it on if it is news; return whether it is."""
+        """Apply a full record and forward it if it changed the table; return whether it did."""
         if record.node_id == self._table.self_member.node_id:
-            self._hear_of_self(now, state_update_of(record))
+            self._handle_update_about_self(now, state_update_of(record))
             return False
-        news = self._table.apply_record(now, record)
-        if news is None:
+        change = self._table.apply_record(now, record)
+        if change is None:
             return False
-        self._react(now, news, record.node_id)
+        self._process_change(now, change, record.node_id)
         self._queue.add(record)
         return True
 
     def merge_update(self, now: float, update: StateUpdate) -> None:
-        """Take in compact news, and pass it on if it is news here."""
+        """Apply a compact update and forward it if it changed the table."""
         if update.node_id == self._table.self_member.node_id:
-            self._hear_of_self(now, update)
+            self._handle_update_about_self(now, update)
             return
         if update.state is MemberState.SUSPECT and self._is_known_suspicion(update):
-            self._accuse(now, update.node_id, update.incarnation, update.accuser)
+            self._record_suspicion(now, update.node_id, update.incarnation, update.accuser)
             return
-        news = self._table.apply_update(now, update)
-        if news is not None:
-            self._react(now, news, update.accuser)
+        change = self._table.apply_update(now, update)
+        if change is not None:
+            self._process_change(now, change, update.accuser)
             self._queue.add(update)
         else:
-            self._correct(update)
+            self._requeue_newer_state(update)
 
     def merge_synced_updates(self, now: float, updates: tuple[StateUpdate, ...]) -> bool:
-        """Take in what an anti-entropy exchange tells; return whether any of it was news.
+        """Apply the updates of an anti-entropy exchange; return whether the table changed.
 
-        NOTE: an exchange never accuses. After a cut each side holds the other side's members
-        for dead; if the sides believed each other, everyone would be dead until it refuted.
-        A member that a peer holds for dead is probed next instead.
+        NOTE: deaths and suspicions are not taken over. After a partition each side considers
+        the other dead, and merging both views would declare every member dead. A member that
+        a peer considers dead is probed next instead.
         """
-        any_news = False
+        any_change = False
         for update in updates:
             if update.node_id == self._table.self_member.node_id:
-                self._hear_of_self(now, update)
+                self._handle_update_about_self(now, update)
                 continue
             known = self._table.get(update.node_id)
             if known is not None and known.is_reachable and update.state is MemberState.DEAD:
-                self._schedule.probe_soon(known)
+                self._schedule.probe_next(known)
                 continue
             if update.state is MemberState.SUSPECT:
                 update = msgspec.structs.replace(update, state=MemberState.ALIVE)
-            news = self._table.apply_update(now, update)
-            if news is not None:
-                self._react(now, news, NO_ACCUSER)
+            change = self._table.apply_update(now, update)
+            if change is not None:
+                self._process_change(now, change, NO_ACCUSER)
                 self._queue.add(update)
-                any_news = True
-        return any_news
+                any_change = True
+        return any_change
 
     def merge_synced_members(self, now: float, members: tuple[Member, ...]) -> bool:
-        """Take in records that this node asked for; return whether any was news."""
-        any_news = False
+        """Apply records that this node requested; return whether the table changed."""
+        any_change = False
         for record in members:
             if record.node_id == self._table.self_member.node_id:
-                self._hear_of_self(now, state_update_of(record))
+                self._handle_update_about_self(now, state_update_of(record))
                 continue
             if record.state is MemberState.SUSPECT:
                 record = msgspec.structs.replace(record, state=MemberState.ALIVE)
-            news = self._table.apply_record(now, record)
-            if news is None:
+            change = self._table.apply_record(now, record)
+            if change is None:
                 continue
-            any_news = True
-            self._react(now, news, NO_ACCUSER)
-            if news.previous is not None:
-                # A new member is announced by itself; a restarted one may have been missed.
+            any_change = True
+            self._process_change(now, change, NO_ACCUSER)
+            if change.previous is not None:
+                # New members announce themselves; the announcement of a restart may have been lost.
                 self._queue.add(record)
-        return any_news
+        return any_change
 
     def suspect(self, now: float, target: Member) -> None:
-        """Suspect a member that did not answer this node's probe."""
+        """Suspect a member that did not acknowledge this node's probe."""
         member = self._table.get(target.node_id)
         if member is None or member.incarnation != target.incarnation:
-            # It has announced itself anew since the probe started.
+            # The member has announced a new incarnation since the probe started.
             return
         if member.is_reachable:
             suspect = msgspec.structs.replace(member, state=MemberState.SUSPECT)
             self.merge_update(now, state_update_of(suspect, self._table.self_member.node_id))
 
-    def end_suspicions(self, now: float) -> None:
-        """Declare dead the members whose suspicion has run out."""
+    def expire_suspicions(self, now: float) -> None:
+        """Declare members dead whose suspicion has timed out."""
         for node_id in self._suspicions.expired(now):
             self._suspicions.end(node_id)
             member = self._table.get(node_id)
@@ -136,7 +136,7 @@
                 dead = msgspec.structs.replace(member, state=MemberState.DEAD)
                 self.merge_update(now, state_update_of(dead))
 
-    def announce_left(self, now: float) -> None:
+    def announce_leave(self, now: float) -> None:
         """Announce that this node leaves."""
         own = self._table.self_member
         if own.state is MemberState.LEFT:
@@ -144,8 +144,8 @@
         self._table.set_self(now, msgspec.structs.replace(own, state=MemberState.LEFT))
         self._announce_self(now, own.incarnation + 1, full=False)
 
-    def _correct(self, update: StateUpdate) -> None:
-        """Pass on again what overrides an outdated accusation: somebody has missed it."""
+    def _requeue_newer_state(self, update: StateUpdate) -> None:
+        """Queue the newer alive state again if the sender of an outdated update has missed it."""
         known = self._table.get(update.node_id)
         if (
             known is not None
@@ -167,50 +167,54 @@
             and boot_mark_of(known.boot_id) == update.boot_mark
         )
 
-    def _accuse(self, now: float, node_id: NodeId, incarnation: int, accuser: NodeId) -> None:
-        counts = self._suspicions.accuse(now, node_id, incarnation, accuser, self._member_count())
+    def _record_suspicion(
+        self, now: float, node_id: NodeId, incarnation: int, accuser: NodeId
+    ) -> None:
+        is_counted = self._suspicions.record_suspicion(
+            now, node_id, incarnation, accuser, self._member_count()
+        )
         member = self._table.get(node_id)
-        if counts and member is not None:
+        if is_counted and member is not None:
             self._queue.add(state_update_of(member, accuser))
 
-    def _react(self, now: float, news: News, accuser: NodeId) -> None:
-        """Bring timers, probe schedule and the list of changes in line with news."""
-        member = news.member
+    def _process_change(self, now: float, change: TableChange, accuser: NodeId) -> None:
+        """Update suspicion timers, probe schedule and pending changes after a table change."""
+        member = change.member
         if member.state is MemberState.SUSPECT:
-            self._suspicions.accuse(
+            self._suspicions.record_suspicion(
                 now, member.node_id, member.incarnation, accuser, self._member_count()
             )
         else:
             self._suspicions.end(member.node_id)
-        if news.kind is MemberChangeKind.RESTARTED or not member.is_reachable:
+        if change.kind is MemberChangeKind.RESTARTED or not member.is_reachable:
             self._schedule.remove(member.node_id)
         if member.is_reachable:
             self._schedule.add(member)
-        if news.kind is not None:
+        if change.kind is not None:
             self._changes.append(
-                MemberChange(kind=news.kind, member=member, previous=news.previous)
+                MemberChange(kind=change.kind, member=member, previous=change.previous)
             )
 
-    def _hear_of_self(self, now: float, update: StateUpdate) -> None:
-        """Refute what is said about this node, if it is not what the node announces."""
+    def _handle_update_about_self(self, now: float, update: StateUpdate) -> None:
+        """Refute an update about this node that differs from its own announcement."""
         own = self._table.self_member
         if update.incarnation < own.incarnation:
-            self._correct(update)
+            self._requeue_newer_state(update)
             return
         same_boot = update.boot_mark == boot_mark_of(own.boot_id)
         if same_boot and update.state is own.state and update.incarnation == own.incarnation:
             return
         if not same_boot:
-            self._note_foreign_boot(own, update.boot_mark)
+            self._record_foreign_boot(own, update.boot_mark)
         if update.state is MemberState.SUSPECT:
-            self._health.note_trouble()
+            self._health.record_failure()
         self._announce_self(now, update.incarnation + 1, full=not same_boot)
 
-    def _note_foreign_boot(self, own: Member, boot_mark: int) -> None:
-        """Report another process under this node's name.
+    def _record_foreign_boot(self, own: Member, boot_mark: int) -> None:
+        """Report another running process with this node's name.
 
-        The first time it may be this node's former boot. One that has overridden this node's
-        own announcement is running now.
+        The first update of a foreign boot may be about this node's previous boot. Another one
+        after this node's refutation comes from a process that is still running.
         """
         if boot_mark in self._foreign_boot_marks:
             conflict = MemberChangeKind.IDENTITY_CONFLICT
--- a/drumbay/membership/wake_timer.py
+++ b/drumbay/membership/wake_timer.py
@@ -1,4 +1,4 @@
-"""A wait for a moment that may be brought forward."""
+"""Timer whose deadline can be brought forward."""
 
 import asyncio
 import math
@@ -10,10 +10,10 @@
 
 
 class WakeTimer:
-    """Lets one task wait until a time on a clock, or until it is woken before."""
+    """Lets one task wait until a deadline or an earlier wake-up."""
 
     def __init__(self, clock: Clock) -> None:
-        """Create a timer that nobody waits on."""
+        """Create a timer without a waiting task."""
         self._clock = clock
         self._event = asyncio.Event()
         self._until = math.inf
@@ -22,7 +22,7 @@
         """Wait until ``deadline`` in monotonic seconds, or until woken."""
         self._until = deadline
         self._event.clear()
-        # NOTE: a wait of zero would let a rounded deadline spin without time passing.
+        # NOTE: a wait of zero would busy-loop on a deadline that was rounded down.
         seconds = max(MIN_WAIT_SECONDS, deadline - self._clock.monotonic())
         try:
             await self._clock.wait_for(self._event.wait(), seconds)
@@ -30,6 +30,6 @@
             return
 
     def wake_before(self, deadline: float) -> None:
-        """Wake the waiting task if it waits for longer than ``deadline``."""
+        """Wake the waiting task if its deadline is after ``deadline``."""
         if deadline < self._until:
             self._event.set()
--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -1,4 +1,4 @@
-"""The view of the cluster is worked out again only when the members change."""
+"""The view of the cluster is recomputed only when the members change."""
 
 import unittest
 from typing import cast
@@ -38,14 +38,14 @@
         self.members = Members()
         self.view = ClusterView(cast(MembershipService, self.members))
 
-    def test_news_that_changes_nothing_here_keeps_the_same_tuple(self) -> None:
+    def test_irrelevant_update_keeps_the_same_tuple(self) -> None:
         peers = self.view.peers()
         self.assertIs(self.view.peers(), peers)
         self.members.change(0, incarnation=7)
         self.members.change(1, state=MemberState.SUSPECT)
         self.assertIs(self.view.peers(), peers)
 
-    def test_each_form_follows_the_members(self) -> None:
+    def test_each_accessor_follows_the_members(self) -> None:
         self.assertEqual(self.view.node_ids(), ("a", "b", "c"))
         self.assertEqual([each.node_id for each in self.view.replica_candidates()], ["b"])
         self.members.change(2, state=MemberState.DEAD)
--- a/tests/test_membership_failures.py
+++ b/tests/test_membership_failures.py
@@ -1,4 +1,4 @@
-"""Failures of a cluster on virtual time, each with its mechanism off (red) and on (green)."""
+"""Failures of a simulated cluster, each with its mechanism disabled and enabled."""
 
 import math
 import unittest
@@ -6,8 +6,6 @@
 from unittest import mock
 
 from drumbay.identifiers import NodeId
-from drumbay.membership.hollow import HollowCluster
-from drumbay.membership.news import NewsHandler
 from drumbay.membership.records import (
     MemberChange,
     MemberChangeKind,
@@ -15,16 +13,18 @@
     MemberState,
     StateUpdate,
 )
+from drumbay.membership.simulated_cluster import SimulatedCluster
 from drumbay.membership.swim import Swim
+from drumbay.membership.update_handler import UpdateHandler
 
 JOIN_LIMIT_SECONDS = 30.0
 DETECTION_LIMIT_SECONDS = 40.0
 
 
 class ClusterHistory:
-    """Changes that nodes reported, held against what the cluster truly did."""
+    """Changes that nodes reported, and which of them were false."""
 
-    def __init__(self, cluster: HollowCluster) -> None:
+    def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
         self.changes: list[tuple[float, str, str, str, int]] = []
         self.false_suspicions: list[str] = []
@@ -35,11 +35,11 @@
         member, kind = change.member, change.kind
         self.changes.append((now, observer, kind.value, member.node_id, member.incarnation))
         nodes = {each.member.node_id: each for each in self.cluster.nodes}
-        subject, watcher = nodes[member.node_id], nodes[observer]
-        runs = subject.is_up and subject.frozen_until <= now
-        # The death of a former boot is true, however late it is heard of.
-        runs = runs and subject.member.boot_id == member.boot_id
-        if runs and not self.cluster.is_cut(subject.member, watcher.member):
+        subject, observing_node = nodes[member.node_id], nodes[observer]
+        is_running = subject.is_up and subject.frozen_until <= now
+        # The death of an earlier boot is true, however late it is reported.
+        is_running = is_running and subject.member.boot_id == member.boot_id
+        if is_running and not self.cluster.is_cut(subject.member, observing_node.member):
             if kind is MemberChangeKind.SUSPECTED:
                 self.false_suspicions.append(member.node_id)
             if kind is MemberChangeKind.DIED:
@@ -54,16 +54,16 @@
 
 def joined_cluster(
     node_count: int = 12, settings: MembershipSettings | None = None, seed: int = 7
-) -> tuple[HollowCluster, ClusterHistory]:
-    """Return a cluster in which all nodes know each other, and its history from then on."""
-    cluster = HollowCluster(node_count, seed=seed, settings=settings)
+) -> tuple[SimulatedCluster, ClusterHistory]:
+    """Return a fully joined cluster, and its history from then on."""
+    cluster = SimulatedCluster(node_count, seed=seed, settings=settings)
     if cluster.run_until(lambda: all_alive(cluster), JOIN_LIMIT_SECONDS) is None:
         raise AssertionError("the cluster did not form")
     cluster.run_for(5.0)
     return cluster, ClusterHistory(cluster)
 
 
-def all_hold(cluster: HollowCluster, index: int, state: MemberState) -> bool:
+def all_see(cluster: SimulatedCluster, index: int, state: MemberState) -> bool:
     subject = cluster.nodes[index].member
     for node in cluster.running():
         known = node.swim.member(subject.node_id)
@@ -72,39 +72,39 @@
     return True
 
 
-def all_alive(cluster: HollowCluster) -> bool:
+def all_alive(cluster: SimulatedCluster) -> bool:
     indexes = range(len(cluster.nodes))
-    return all(all_hold(cluster, index, MemberState.ALIVE) for index in indexes)
+    return all(all_see(cluster, index, MemberState.ALIVE) for index in indexes)
 
 
-def without(owner: type, method: str) -> AbstractContextManager[object]:
-    """Switch a mechanism off: the method does nothing."""
+def disabled(owner: type, method: str) -> AbstractContextManager[object]:
+    """Disable a mechanism: the method returns at once."""
 
-    def nothing(*arguments: object, **options: object) -> None:
+    def do_nothing(*arguments: object, **options: object) -> None:
         return None
 
-    return mock.patch.object(owner, method, nothing)
+    return mock.patch.object(owner, method, do_nothing)
 
 
 class FrozenProcessTest(unittest.TestCase):
-    def wake_after_a_minute(self) -> bool:
-        """Return whether all hold the woken node for alive after another minute."""
+    def recovers_after_freeze(self) -> bool:
+        """Return whether all nodes see a node as alive a minute after its pause of a minute."""
         cluster, _ = joined_cluster()
         cluster.freeze(5, 60.0)
         detected = cluster.run_until(
-            lambda: all_hold(cluster, 5, MemberState.DEAD), DETECTION_LIMIT_SECONDS
+            lambda: all_see(cluster, 5, MemberState.DEAD), DETECTION_LIMIT_SECONDS
         )
         self.assertIsNotNone(detected)
         cluster.run_for(60.0)
         return cluster.run_until(lambda: all_alive(cluster), 60.0) is not None
 
-    def test_woken_process_refutes_its_death(self) -> None:
-        with without(NewsHandler, "_hear_of_self"):
-            self.assertFalse(self.wake_after_a_minute())
-        self.assertTrue(self.wake_after_a_minute())
+    def test_resumed_process_refutes_its_death(self) -> None:
+        with disabled(UpdateHandler, "_handle_update_about_self"):
+            self.assertFalse(self.recovers_after_freeze())
+        self.assertTrue(self.recovers_after_freeze())
 
-    def suspicions_by_woken(self) -> int:
-        """Freeze a node while its probe is on the way; count what it then says of others."""
+    def false_reports_after_freeze(self) -> int:
+        """Freeze a node while its probe is pending; count its false reports after it resumes."""
         cluster, history = joined_cluster()
         node = cluster.nodes[5]
 
@@ -117,10 +117,10 @@
         cluster.run_for(90.0)
         return len(history.false_suspicions) + len(history.false_deaths)
 
-    def test_woken_process_does_not_blame_others_for_its_own_pause(self) -> None:
-        with without(Swim, "_check_pause"):
-            self.assertGreater(self.suspicions_by_woken(), 0)
-        self.assertEqual(self.suspicions_by_woken(), 0)
+    def test_resumed_process_does_not_suspect_others(self) -> None:
+        with disabled(Swim, "_handle_pause"):
+            self.assertGreater(self.false_reports_after_freeze(), 0)
+        self.assertEqual(self.false_reports_after_freeze(), 0)
 
 
 class BrokenPathTest(unittest.TestCase):
@@ -132,9 +132,11 @@
         cluster.run_for(120.0)
         return sum(1 for each in history.changes[before:] if each[2] == "suspected")
 
-    def test_indirect_probes_get_round_one_broken_path(self) -> None:
-        red = self.suspicions_over_one_broken_path(MembershipSettings(indirect_probes=0))
-        self.assertGreater(red, 0)
+    def test_indirect_probes_bypass_one_broken_path(self) -> None:
+        without_helpers = self.suspicions_over_one_broken_path(
+            MembershipSettings(indirect_probes=0)
+        )
+        self.assertGreater(without_helpers, 0)
         self.assertEqual(self.suspicions_over_one_broken_path(MembershipSettings()), 0)
 
     def deaths_under_loss(self, loss_rate: float) -> int:
@@ -144,74 +146,76 @@
         self.assertGreater(len(history.false_suspicions), 0)
         return len(history.false_deaths)
 
-    def test_suspicion_gives_time_to_refute_under_tenfold_loss(self) -> None:
-        """At 10 % loss nobody dies; the protocol is meant for 1 %."""
-        with without(NewsHandler, "_hear_of_self"):
+    def test_suspicion_allows_refutation_under_tenfold_loss(self) -> None:
+        """No false deaths at 10 % loss, ten times what the protocol is designed for."""
+        with disabled(UpdateHandler, "_handle_update_about_self"):
             self.assertGreater(self.deaths_under_loss(0.1), 0)
         self.assertEqual(self.deaths_under_loss(0.1), 0)
 
-    def test_correcting_outdated_accusations_saves_most_under_extreme_loss(self) -> None:
-        """At 35 % loss some refutations are missed; the rest must be rare."""
-        with without(NewsHandler, "_correct"):
-            uncorrected = self.deaths_under_loss(0.35)
-        self.assertGreater(uncorrected, 5 * self.deaths_under_loss(0.35))
+    def test_requeued_state_limits_false_deaths_under_extreme_loss(self) -> None:
+        """At 35 % loss some refutations are lost; false deaths must stay rare."""
+        with disabled(UpdateHandler, "_requeue_newer_state"):
+            without_requeue = self.deaths_under_loss(0.35)
+        self.assertGreater(without_requeue, 5 * self.deaths_under_loss(0.35))
 
 
-class RegionCutTest(unittest.TestCase):
-    def heal_after_cut(self) -> tuple[bool, ClusterHistory]:
-        """Cut the regions for 5 minutes; return whether all is well a minute later."""
+class RegionPartitionTest(unittest.TestCase):
+    def recover_after_partition(self) -> tuple[bool, ClusterHistory]:
+        """Partition the regions for 5 minutes; return whether all recover within a minute."""
         cluster, history = joined_cluster()
         cluster.is_cut = lambda one, other: one.region != other.region
         cluster.run_for(300.0)
         self.assertTrue(all(each.swim.reachable_count == 5 for each in cluster.nodes))
         cluster.is_cut = lambda one, other: False
-        healed = cluster.run_until(lambda: all_alive(cluster), 60.0) is not None
-        return healed, history
+        recovered = cluster.run_until(lambda: all_alive(cluster), 60.0) is not None
+        return recovered, history
 
-    def test_cut_heals_by_itself(self) -> None:
+    def test_partition_heals_by_itself(self) -> None:
         original = Swim._reconnect
 
-        # The mechanism also finds the seeds, so it is off only once the cluster has formed.
-        def only_at_first(swim: Swim, now: float) -> None:
+        # The mechanism also contacts the seeds, so disable it only once the cluster has formed.
+        def until_formed(swim: Swim, now: float) -> None:
             original(swim, now)
             if now > 10.0:
                 swim._next_reconnect_at = math.inf
 
-        with mock.patch.object(Swim, "_reconnect", only_at_first):
-            self.assertFalse(self.heal_after_cut()[0])
-        self.assertTrue(self.heal_after_cut()[0])
+        with mock.patch.object(Swim, "_reconnect", until_formed):
+            self.assertFalse(self.recover_after_partition()[0])
+        self.assertTrue(self.recover_after_partition()[0])
 
-    def test_deaths_learned_over_the_healed_cut_are_not_believed(self) -> None:
-        def believe(handler: NewsHandler, now: float, updates: tuple[StateUpdate, ...]) -> bool:
+    def test_deaths_are_not_merged_after_a_healed_partition(self) -> None:
+        def merge_unfiltered(
+            handler: UpdateHandler, now: float, updates: tuple[StateUpdate, ...]
+        ) -> bool:
             for update in updates:
                 handler.merge_update(now, update)
             return False
 
-        with mock.patch.object(NewsHandler, "merge_synced_updates", believe):
-            self.assertGreater(len(self.heal_after_cut()[1].false_deaths), 0)
-        healed, history = self.heal_after_cut()
-        self.assertTrue(healed)
+        with mock.patch.object(UpdateHandler, "merge_synced_updates", merge_unfiltered):
+            self.assertGreater(len(self.recover_after_partition()[1].false_deaths), 0)
+        recovered, history = self.recover_after_partition()
+        self.assertTrue(recovered)
         self.assertEqual(history.false_deaths, [])
 
 
-class LossOfProcessesTest(unittest.TestCase):
-    def test_rack_lost_at_once_is_detected_and_nobody_else_blamed(self) -> None:
+class ProcessFailureTest(unittest.TestCase):
+    def test_lost_rack_is_detected_without_false_deaths(self) -> None:
         cluster, history = joined_cluster(node_count=24)
         zone = cluster.nodes[0].member.zone
         rack = [i for i, node in enumerate(cluster.nodes) if node.member.zone == zone]
         for index in rack:
             cluster.kill(index)
-        took = cluster.run_until(
-            lambda: all(all_hold(cluster, index, MemberState.DEAD) for index in rack),
+        detected = cluster.run_until(
+            lambda: all(all_see(cluster, index, MemberState.DEAD) for index in rack),
             DETECTION_LIMIT_SECONDS,
         )
-        self.assertIsNotNone(took)
+        self.assertIsNotNone(detected)
         self.assertEqual((len(rack), history.false_deaths), (4, []))
         for index in rack:
             cluster.restart(index)
         self.assertIsNotNone(cluster.run_until(lambda: all_alive(cluster), 30.0))
 
-    def restarts_of_a_day(self) -> tuple[bool, ClusterHistory]:
+    def knows_newest_boots_after_restarts(self) -> tuple[bool, ClusterHistory]:
         cluster, history = joined_cluster()
         for number in range(79):
             index = (number * 5) % len(cluster.nodes)
@@ -225,9 +229,9 @@
         return True, history
 
     def test_79_restarts_leave_every_node_with_the_newest_boots(self) -> None:
-        with without(NewsHandler, "_hear_of_self"):
-            self.assertFalse(self.restarts_of_a_day()[0])
-        all_known, history = self.restarts_of_a_day()
+        with disabled(UpdateHandler, "_handle_update_about_self"):
+            self.assertFalse(self.knows_newest_boots_after_restarts()[0])
+        all_known, history = self.knows_newest_boots_after_restarts()
         self.assertTrue(all_known)
         self.assertEqual(history.false_deaths, [])
         self.assertNotIn("identity_conflict", history.kinds())
@@ -238,13 +242,13 @@
         cluster.run_for(2.0)
         cluster.kill(3)
         cluster.run_for(60.0)
-        self.assertTrue(all_hold(cluster, 3, MemberState.LEFT))
+        self.assertTrue(all_see(cluster, 3, MemberState.LEFT))
         self.assertEqual(history.kinds(), {"left": len(cluster.nodes) - 1})
 
 
 class JoinUnderLossTest(unittest.TestCase):
     def longest_join_seconds(self) -> float:
-        """Return how long a node that comes back under 30 % loss lacks a member, at most."""
+        """Return the longest time in which a restarted node learns all members at 30 % loss."""
         longest = 0.0
         for seed in range(30):
             cluster, _ = joined_cluster(6, seed=seed)
@@ -260,7 +264,7 @@
         return longest
 
     def test_a_lost_exchange_is_repeated_soon(self) -> None:
-        with without(Swim, "_note_incomplete"):
+        with disabled(Swim, "_schedule_sync_with"):
             self.assertGreater(self.longest_join_seconds(), 20.0)
         self.assertLess(self.longest_join_seconds(), 12.0)
 
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -1,4 +1,4 @@
-"""Rules of the membership state machine's parts."""
+"""Parts of the membership state machine."""
 
 import math
 import random
@@ -91,29 +91,29 @@
             beliefs.append((table.get(NodeId("node-1")), table.digests()))
         self.assertEqual(beliefs[0], beliefs[1])
 
-    def test_compact_news_of_another_boot_waits_for_the_record(self) -> None:
+    def test_compact_update_of_another_boot_needs_the_full_record(self) -> None:
         table = MemberTable(member_of(0))
         table.apply_record(0.0, member_of(1))
         restarted = member_of(1, boot="second", incarnation=5)
         self.assertIsNone(table.apply_update(0.0, state_update_of(restarted)))
-        news = table.apply_record(0.0, restarted)
-        assert news is not None
-        self.assertIs(news.kind, MemberChangeKind.RESTARTED)
+        change = table.apply_record(0.0, restarted)
+        assert change is not None
+        self.assertIs(change.kind, MemberChangeKind.RESTARTED)
 
-    def test_unknown_dead_member_is_not_taken_in_and_old_ones_are_forgotten(self) -> None:
+    def test_unknown_dead_member_is_ignored_and_old_ones_are_purged(self) -> None:
         table = MemberTable(member_of(0))
         self.assertIsNone(table.apply_record(0.0, member_of(1, state=MemberState.DEAD)))
         table.apply_record(0.0, member_of(2))
         table.apply_update(50.0, state_update_of(member_of(2, state=MemberState.DEAD)))
-        table.forget_before(50.0, 50.0)
+        table.purge_before(50.0, 50.0)
         self.assertEqual(len(table.members()), 2)
-        table.forget_before(50.1, 50.1)
+        table.purge_before(50.1, 50.1)
         self.assertEqual(table.members(), (member_of(0),))
         self.assertEqual(table.digests(), MemberTable(member_of(0)).digests())
 
 
 class DisseminationTest(unittest.TestCase):
-    def test_news_is_sent_a_bounded_number_of_times_and_fits(self) -> None:
+    def test_update_is_sent_a_bounded_number_of_times_and_fits(self) -> None:
         queue = DisseminationQueue(SETTINGS.retransmit_multiplier)
         for number in range(300):
             queue.add(state_update_of(member_of(number)))
@@ -128,7 +128,7 @@
         self.assertEqual(set(sent.values()), {limit})
         self.assertEqual(limit, math.ceil(SETTINGS.retransmit_multiplier * math.log10(301)))
 
-    def test_newer_news_replaces_older(self) -> None:
+    def test_newer_update_replaces_older(self) -> None:
         queue = DisseminationQueue(1.0)
         queue.add(state_update_of(member_of(1, state=MemberState.SUSPECT)))
         queue.add(state_update_of(member_of(1, incarnation=2)))
@@ -142,14 +142,18 @@
         node = NodeId("node-1")
         deadlines = []
         for accuser in range(SETTINGS.suspicion_confirmations + 1):
-            self.assertTrue(timers.accuse(0.0, node, 1, NodeId(f"accuser-{accuser}"), 100))
-            self.assertFalse(timers.accuse(0.0, node, 1, NodeId(f"accuser-{accuser}"), 100))
+            self.assertTrue(
+                timers.record_suspicion(0.0, node, 1, NodeId(f"accuser-{accuser}"), 100)
+            )
+            self.assertFalse(
+                timers.record_suspicion(0.0, node, 1, NodeId(f"accuser-{accuser}"), 100)
+            )
             deadlines.append(timers.next_deadline)
         self.assertEqual(deadlines, sorted(deadlines, reverse=True))
         shortest = 2 * SETTINGS.suspicion_multiplier
         self.assertAlmostEqual(deadlines[0], shortest * SETTINGS.suspicion_max_factor)
         self.assertAlmostEqual(deadlines[-1], shortest)
-        self.assertFalse(timers.accuse(0.0, node, 1, NodeId("one too many"), 100))
+        self.assertFalse(timers.record_suspicion(0.0, node, 1, NodeId("one too many"), 100))
         self.assertEqual(timers.expired(shortest), [node])
         timers.extend(60.0)
         self.assertEqual(timers.expired(shortest), [])
@@ -158,10 +162,10 @@
 class LocalHealthTest(unittest.TestCase):
     def test_score_is_bounded_on_both_sides(self) -> None:
         health = LocalHealth(2)
-        health.note_success()
+        health.record_success()
         self.assertEqual(health.factor, 1)
         for _ in range(5):
-            health.note_trouble()
+            health.record_failure()
         self.assertEqual(health.factor, 3)
 
 
@@ -188,15 +192,15 @@
         counts = self.targets(self.schedule(local=20, remote=0), 60)
         self.assertEqual((len(counts), set(counts.values())), (20, {3}))
 
-    def test_share_of_other_regions_is_bounded_by_setting_and_by_size(self) -> None:
-        for local, remote, share in ((20, 20, 0.25), (190, 10, 0.05), (0, 5, 1.0)):
+    def test_fraction_of_other_regions_is_bounded_by_setting_and_by_size(self) -> None:
+        for local, remote, fraction in ((20, 20, 0.25), (190, 10, 0.05), (0, 5, 1.0)):
             schedule = self.schedule(local, remote)
             remotes = sum(
                 count
                 for node, count in self.targets(schedule, 4000).items()
                 if int(node.removeprefix("node-")) > local
             )
-            self.assertAlmostEqual(remotes / 4000, share, delta=0.02)
+            self.assertAlmostEqual(remotes / 4000, fraction, delta=0.02)
 
     def test_helpers_include_the_targets_zone_and_the_own_region(self) -> None:
         schedule = self.schedule(local=10, remote=10)
@@ -218,7 +222,7 @@
             acks = [each for each in output.datagrams if isinstance(each.message, Ack)]
             self.assertEqual(len(acks), answers)
 
-    def test_second_process_under_one_name_is_reported_and_a_former_boot_is_not(self) -> None:
+    def test_second_process_with_the_same_name_is_reported_and_an_earlier_boot_is_not(self) -> None:
         swim = swim_of(1)
         swim.tick(0.0)
         sender = Address("10.0.0.1", 2)
@@ -257,27 +261,27 @@
                 record=joiner.self_member,
                 digests=tuple(joiner._table.digests()),
             )
-            on_the_way: list[tuple[Address, Address, MembershipDatagram]]
-            on_the_way = [(joiner.self_member.address, seed.self_member.address, request)]
-            while on_the_way:
-                sender, receiver, message = on_the_way.pop(0)
+            in_flight: list[tuple[Address, Address, MembershipDatagram]]
+            in_flight = [(joiner.self_member.address, seed.self_member.address, request)]
+            while in_flight:
+                sender, receiver, message = in_flight.pop(0)
                 self.assertLessEqual(encoded_size_bytes(message), MAX_DATAGRAM_MESSAGE_BYTES)
                 output = swims[receiver].receive(0.0, sender, message)
-                on_the_way += [
+                in_flight += [
                     (receiver, each.address, each.message)
                     for each in output.datagrams
                     if each.address in swims
                 ]
         self.assertEqual(exchanges, DIGEST_BUCKETS // MAX_BUCKETS_PER_EXCHANGE)
 
-    def test_member_that_a_peer_holds_for_dead_is_probed_next_and_not_accused(self) -> None:
+    def test_member_that_a_peer_considers_dead_is_probed_next_and_not_suspected(self) -> None:
         swim = swim_of(1)
         records = tuple(member_of(number) for number in range(2, 100))
         address = Address("10.0.0.1", 2)
         swim.receive(0.0, address, Gossip(sender=NodeId("node-2"), records=records))
         dead = state_update_of(member_of(77, state=MemberState.DEAD))
-        told = SyncUpdates(sender=NodeId("node-2"), bucket_updates=(dead,))
-        self.assertEqual(swim.receive(0.0, address, told).changes, ())
+        message = SyncUpdates(sender=NodeId("node-2"), bucket_updates=(dead,))
+        self.assertEqual(swim.receive(0.0, address, message).changes, ())
         pings = [each.message for each in swim.tick(0.0).datagrams]
         targets = [each.target for each in pings if isinstance(each, Ping)]
         self.assertEqual(targets, [NodeId("node-77")])
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -54,7 +54,7 @@
     async def asyncSetUp(self) -> None:
         self.transports: dict[str, TornadoTransport] = {}
 
-    async def test_nodes_find_each_other_and_hear_of_leaving_and_death(self) -> None:
+    async def test_nodes_discover_each_other_and_detect_leaving_and_death(self) -> None:
         first = await self.start_node("first", (), {"has_data_folder": "true"})
         seeds = (first.self_member.address,)
         seen: dict[tuple[str, MemberChangeKind], asyncio.Event] = {}
@@ -64,7 +64,7 @@
 
         def listen(change: MemberChange) -> None:
             expect(change.member.node_id, change.kind).set()
-            raise ValueError("a faulty listener changes nothing")
+            raise ValueError("listener failed")
 
         first.add_change_listener(listen)
         second = await self.start_node("second", seeds)
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Ending of background tasks, also when a cancellation meets a result."""
+"""Cancellation of background tasks, also when it coincides with a result."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 
 
 class WaitForTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_cancellation_wins_over_a_result_of_the_same_moment(self) -> None:
+    async def test_cancellation_takes_precedence_over_a_simultaneous_result(self) -> None:
         clock = SystemClock()
         result: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         waiting = asyncio.ensure_future(clock.wait_for(result, LIMIT_SECONDS))
@@ -23,14 +23,14 @@
 
 
 class WakeTimerTest(unittest.IsolatedAsyncioTestCase):
-    """The loop of the membership service, woken by a peer's datagram while the node stops."""
+    """Guards against a membership loop that misses its cancellation when woken at the same time."""
 
-    async def test_a_loop_that_is_woken_and_cancelled_in_one_moment_ends(self) -> None:
+    async def test_loop_woken_and_cancelled_at_the_same_time_ends(self) -> None:
         for steps_between in range(4):
             with self.subTest(steps_between=steps_between):
                 clock = SystemClock()
                 timer = WakeTimer(clock)
-                loop = asyncio.ensure_future(_wait_for_ever(timer, clock))
+                loop = asyncio.ensure_future(_wait_forever(timer, clock))
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)
                 timer.wake_before(0.0)
@@ -42,28 +42,28 @@
                 self.assertTrue(loop.done())
 
 
-async def _wait_for_ever(timer: WakeTimer, clock: SystemClock) -> None:
+async def _wait_forever(timer: WakeTimer, clock: SystemClock) -> None:
     while True:
         await timer.wait_until(clock.monotonic() + LIMIT_SECONDS)
 
 
 class TaskOwnerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_task_that_misses_one_cancellation_ends(self) -> None:
+    async def test_task_that_ignores_one_cancellation_ends(self) -> None:
         owner = TaskOwner()
 
-        async def miss_one_cancellation() -> None:
+        async def ignore_one_cancellation() -> None:
             try:
                 await asyncio.Event().wait()
             except asyncio.CancelledError:
                 await asyncio.Event().wait()
 
-        owner.spawn(miss_one_cancellation(), "stubborn")
+        owner.spawn(ignore_one_cancellation(), "ignores-one")
         await asyncio.sleep(0)
         closing = asyncio.ensure_future(owner.close())
         await asyncio.wait((closing,), timeout=LIMIT_SECONDS)
         self.assertTrue(closing.done())
 
-    async def test_a_task_that_never_ends_does_not_hold_up_the_close(self) -> None:
+    async def test_task_that_never_ends_does_not_block_close(self) -> None:
         owner = TaskOwner(close_rounds=2)
         is_released = False
 
@@ -74,7 +74,7 @@
                 except asyncio.CancelledError:
                     continue
 
-        task = owner.spawn(ignore_cancellations(), "deaf")
+        task = owner.spawn(ignore_cancellations(), "never-ends")
         await asyncio.sleep(0)
         await asyncio.wait_for(owner.close(), LIMIT_SECONDS)
         self.assertFalse(task.done())
