--- a/drumbay/resources/__init__.py
+++ b/drumbay/resources/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' resources: schema, checks, and their keys in the key-value service."""
+"""Operators' resources: schema, validation and YAML files."""
--- a/drumbay/resources/checks.py
+++ b/drumbay/resources/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a resource that its types cannot express."""
+"""Validation of resources beyond the types of their fields."""
 
 from drumbay.exceptions import ConfigurationError
 from drumbay.resources.schema import (
@@ -14,16 +14,16 @@
 
 
 class InvalidResourceError(ConfigurationError):
-    """The fields of a resource do not fit together."""
+    """The fields of a resource are inconsistent."""
 
     code = "invalid_resource"
 
 
 def check_resource(resource: AnyResource) -> None:
-    """Check a resource before it is accepted.
+    """Validate a resource.
 
     Raises:
-        InvalidResourceError: Its fields do not fit together.
+        InvalidResourceError: Its fields are inconsistent.
         InvalidSelectorError: A selector is not valid.
     """
     match resource:
--- a/drumbay/resources/files.py
+++ b/drumbay/resources/files.py
@@ -1,4 +1,4 @@
-"""Resources in YAML files: several documents in one file, each checked."""
+"""Loading of resources from YAML files, which may have several documents."""
 
 from pathlib import Path
 
@@ -16,14 +16,14 @@
     Attributes:
         file: The file.
         document: Number of the YAML document, from 1; 0 for the file as a whole.
-        key: Dotted path of the offending key.
-        expected: What was expected there.
+        key: Dotted path of the invalid key.
+        expected: Description of the expected value.
     """
 
     code = "invalid_resource"
 
     def __init__(self, file: Path, document: int, key: str, expected: str) -> None:
-        """Name the file, document, key and what was expected."""
+        """Create the error for a position in a file."""
         super().__init__(f"{file}: document {document}: {key or '(document)'}: {expected}")
         self.file = file
         self.document = document
--- a/drumbay/resources/schema.py
+++ b/drumbay/resources/schema.py
@@ -1,7 +1,7 @@
-"""Typed records of the operators' resources.
+"""Schema of the operators' resources.
 
-An operator writes these as YAML files. Every field is checked on reading: an unknown
-field, a wrong type or a value out of range is one typed error.
+Operators write them as YAML files. Unknown fields, wrong types and values out of range are
+rejected on reading.
 """
 
 from enum import StrEnum
@@ -14,17 +14,17 @@
 from drumbay.identifiers import BackendId, StreamName
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")]
-"""Name of a resource: lower case letters, digits, ``-`` and ``.``; 63 characters at most."""
+"""Name of a resource: lower-case letters, digits, ``-`` and ``.``; at most 63 characters."""
 
 PositiveInteger = Annotated[int, Meta(ge=1)]
 NonNegativeInteger = Annotated[int, Meta(ge=0)]
 PositiveFloat = Annotated[float, Meta(gt=0)]
 NonNegativeFloat = Annotated[float, Meta(ge=0)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 
 
 class SelectorOperator(StrEnum):
-    """Set-based requirement on one label, as in Kubernetes label selectors."""
+    """Operator of a set-based requirement, as in Kubernetes label selectors."""
 
     IN = "In"
     NOT_IN = "NotIn"
@@ -33,7 +33,7 @@
 
 
 class SelectorExpression(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One set-based requirement."""
+    """A set-based requirement on one label."""
 
     key: str
     operator: SelectorOperator
@@ -41,14 +41,14 @@
 
 
 class Selector(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Requirements on labels; all must hold. An empty selector selects everything."""
+    """Requirements on labels, all of which must hold; an empty selector matches everything."""
 
     match_labels: dict[str, str] = {}
     match_expressions: tuple[SelectorExpression, ...] = ()
 
 
 class BackendKind(StrEnum):
-    """What a group of back ends serves."""
+    """Kind of work that a group of back ends serves."""
 
     ENGINE = "engine"
     SCORING = "scoring"
@@ -56,7 +56,7 @@
 
 
 class Backend(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One back end of a group; its labels add to and override the group's."""
+    """One back end of a group; its labels are merged over the group's."""
 
     id: Name
     url: Annotated[str, Meta(pattern=r"^https?://")]
@@ -65,7 +65,7 @@
 
     @property
     def address(self) -> BackendAddress:
-        """Return where the back end is reached."""
+        """Return the address of the back end."""
         return BackendAddress(backend_id=BackendId(self.id), base_url=self.url)
 
 
@@ -85,7 +85,7 @@
 
 
 class RouteKind(StrEnum):
-    """Which kind of work a route carries."""
+    """Kind of work that a route carries."""
 
     LIVE = "live"
     APPLICATION = "application"
@@ -93,19 +93,19 @@
 
 
 class Route(Resource, frozen=True, kw_only=True, tag_field="kind"):
-    """Which work goes to which back ends, and within which limits.
+    """Rule that sends one kind of work to selected back ends, within limits.
 
     Attributes:
         route_kind: Kind of work.
-        model: Model name a live or rollout request must name; ``None`` for applications.
-        path_prefix: Path an application request must start with.
+        model: Model that live and rollout requests must name; ``None`` for applications.
+        path_prefix: Prefix of the path of application requests.
         selector: Back ends that may serve, by group and back-end labels.
-        priority: Larger is served first.
+        priority: Routes with a larger priority are served first.
         max_concurrency: Requests in flight per node.
         max_rate_per_second: Requests started per second per node.
-        timeout_seconds: Longest time for one request, retries included.
-        max_attempts: Most dispatches of one repeatable request.
-        repeatable: Whether requests may run twice when the caller does not say.
+        timeout_seconds: Timeout of a request, retries included.
+        max_attempts: Maximum number of attempts of a repeatable request.
+        repeatable: Whether requests may run twice if the caller does not specify it.
     """
 
     route_kind: RouteKind
@@ -121,7 +121,7 @@
 
 
 class RolloutObjective(StrEnum):
-    """What a deployment weighs more when both cannot be had."""
+    """What to minimize when trainer idle time and sample staleness conflict."""
 
     IDLE_TIME = "idle_time"
     STALENESS = "staleness"
@@ -131,14 +131,14 @@
     """How the engines of a policy are shared between live requests and rollouts.
 
     Attributes:
-        engine_places: Requests that one engine decodes at once.
-        live_weight: Weight of live requests when both ask for more than there is; 0 leaves
-            rollouts all places.
+        engine_places: Slots of one engine: requests that it decodes concurrently.
+        live_weight: Weight of live requests when the demand exceeds the slots; 0 leaves all
+            slots to rollouts.
         rollout_weight: Weight of rollouts.
-        headroom_places: Places kept free for live requests beyond their recent demand, on
+        headroom_places: Slots kept free for live requests beyond their recent demand, on
             engines that serve live requests.
-        preempt: Whether rollouts beyond their share are stopped, and resumed later from
-            their tokens, while live requests wait for a place.
+        preempt: Whether rollouts beyond their share are preempted, and later resumed from
+            their tokens, while live requests wait for a slot.
     """
 
     engine_places: PositiveInteger = 16
@@ -149,17 +149,18 @@
 
 
 class WeightPolicy(Resource, frozen=True, kw_only=True, tag_field="kind"):
-    """How the weights of one model are rolled out and how old samples may be.
+    """Rollout of one model's weights, and limit on the staleness of samples.
 
     Attributes:
         model: Name of the model.
         stream: Sample stream of its trainer.
         selector: Engines that hold the model.
-        max_staleness_versions: Oldest weights of a sample, in versions behind the trainer.
-        objective: Whether trainer idle time or staleness is weighed more.
-        min_serving_share: Share of engines that keeps serving during a rollout.
-        samples_per_step: Samples that make a step whole.
-        sharing: How its engines are shared with live requests.
+        max_staleness_versions: Largest age of a sample's weights, in versions behind the
+            trainer.
+        objective: Whether to minimize trainer idle time or staleness when they conflict.
+        min_serving_share: Fraction of engines that keep serving during a rollout.
+        samples_per_step: Number of samples in a training step.
+        sharing: How the engines are shared between live requests and rollouts.
     """
 
     model: str
@@ -167,19 +168,19 @@
     selector: Selector
     max_staleness_versions: NonNegativeInteger = 1
     objective: RolloutObjective = RolloutObjective.IDLE_TIME
-    min_serving_share: Share = 0.5
+    min_serving_share: Fraction = 0.5
     samples_per_step: PositiveInteger = 64
     sharing: EngineSharing = EngineSharing()
 
 
 class WeightRollback(Resource, frozen=True, kw_only=True, tag_field="kind"):
-    """An operator's rollback: versions of a model that must not be served any more.
+    """An operator's rollback, which withdraws versions of a model from serving.
 
     Attributes:
         model: Name of the model.
-        keep: Newest version that stays allowed; the engines go back to it.
-        withdrawn_through: Versions above ``keep`` up to this one are withdrawn. A version
-            published later is above it and is rolled out as usual.
+        keep: Newest version that may still be served; the engines return to it.
+        withdrawn_through: Versions above ``keep`` up to this one are withdrawn. Versions
+            published later are above it and are rolled out as usual.
     """
 
     model: str
@@ -188,14 +189,14 @@
 
 
 class Drain(Resource, frozen=True, kw_only=True, tag_field="kind"):
-    """An operator's order: the selected back ends get no new work."""
+    """An operator's drain: the selected back ends get no new work."""
 
     selector: Selector
     reason: str = ""
 
 
 class Role(StrEnum):
-    """What the bearer of a token may do."""
+    """Role of the bearer of an access token."""
 
     OPERATOR = "operator"
     CALLER = "caller"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Operators' changes and the planned stop of a node."""
+"""Operators' changes during the planned shutdown of a node."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class SlowOperators:
-    """Changes that take until ``finish`` is set."""
+    """Changes that complete once ``finish`` is set."""
 
     def __init__(self) -> None:
         self.finish = asyncio.Event()
@@ -30,7 +30,7 @@
 
 
 class StoppingNodeTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_change_under_way_is_counted_and_a_new_one_refused(self) -> None:
+    async def test_change_in_flight_is_counted_and_a_new_one_refused(self) -> None:
         operators = SlowOperators()
         operations = ResourceOperations(cast(Any, SimpleNamespace()), cast(Any, operators))
         change = asyncio.create_task(operations.apply(BODY))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and resource files: what is accepted, and the typed error of what is not."""
+"""Loading of settings and resource files, and the errors for invalid ones."""
 
 import tempfile
 import unittest
@@ -69,7 +69,7 @@
         self.assertIn("levle", error.expected)
         self.assertIn("node.toml", str(error))
 
-    def test_wrong_type_names_key_and_expectation(self) -> None:
+    def test_wrong_type_names_key_and_expected_type(self) -> None:
         error = self.error_of(VALID.replace("port = 8080", 'port = "8080"'))
         self.assertEqual(error.key, "http.port")
         self.assertIn("Expected `int`", error.expected)
@@ -80,7 +80,7 @@
     def test_duplicate_address(self) -> None:
         self.assertEqual(self.error_of(VALID.replace("8080", "7080")).key, "peers.port")
 
-    def test_host_name_is_refused(self) -> None:
+    def test_host_name_is_rejected(self) -> None:
         error = self.error_of(VALID.replace("127.0.0.1", "a.example", 1))
         self.assertEqual(error.key, "http.host")
 
@@ -129,7 +129,7 @@
             with self.assertRaises(ResourceFileError):
                 self.load(text)
 
-    def test_fields_that_do_not_fit_together(self) -> None:
+    def test_inconsistent_fields(self) -> None:
         group = BackendGroup(name="engines", backend_kind=BackendKind.ENGINE, backends=())
         route = Route(name="stock", route_kind=RouteKind.APPLICATION, selector=Selector())
         for resource in (group, route):
