--- a/drumbay/machines/freshness.py
+++ b/drumbay/machines/freshness.py
@@ -1,8 +1,7 @@
-"""Whether a process may trust what it learned from outside: not after a pause.
+"""Renewal of cached state after a pause of the process.
 
-A paused process (stopped by the system, starved of processor time) misses what happened
-meanwhile and does not know that it was paused. It notices by its own timer, and asks anew
-before it acts on what it knew.
+A paused process (stopped, or without processor time) misses changes and does not know of the pause.
+It detects the pause with a timer and renews the cached state before using it.
 """
 
 import asyncio
@@ -12,48 +11,48 @@
 
 TICK_SECONDS = 0.5
 PAUSE_LIMIT_SECONDS = 2.5
-"""Knowledge is renewed if the process may not have run for so long."""
+"""The state is renewed if the process may have been paused for longer."""
 
-MOST_RENEWALS = 3
-"""A renewal that a pause interrupts is repeated so often at most."""
+MAX_RENEWALS = 3
+"""Maximum attempts of a renewal that pauses interrupt."""
 
 
-class Freshness:
-    """Renews knowledge after each pause, once for all who wait for it.
+class FreshnessGuard:
+    """Renews state after each pause, once for all concurrent callers.
 
     Args:
         clock: Time.
-        renew: Renews the knowledge as far as that can be done now.
+        renew: Renews the state if possible.
     """
 
     def __init__(self, clock: Clock, renew: Callable[[], Awaitable[None]]) -> None:
-        """Know nothing yet: the first :meth:`ensure` renews."""
+        """Create a guard whose first :meth:`ensure` renews the state."""
         self._clock = clock
         self._renew = renew
         self._fresh_at = float("-inf")
         self._renewal = asyncio.Lock()
 
     async def run(self) -> None:
-        """Notice pauses until cancelled."""
+        """Detect pauses until cancelled."""
         while True:
             await self.ensure()
-            began = self._clock.monotonic()
+            started_at = self._clock.monotonic()
             await self._clock.sleep(TICK_SECONDS)
-            if self._clock.monotonic() - began <= PAUSE_LIMIT_SECONDS:
+            if self._clock.monotonic() - started_at <= PAUSE_LIMIT_SECONDS:
                 self._fresh_at = self._clock.monotonic()
 
     async def ensure(self) -> None:
-        """Return once the knowledge is not from before a pause, or cannot be renewed."""
+        """Renew the state if it is from before a pause; return also if that fails."""
         if self._is_fresh():
             return
         async with self._renewal:
-            for _ in range(MOST_RENEWALS):
+            for _ in range(MAX_RENEWALS):
                 if self._is_fresh():
                     return
-                # NOTE: an answer that was on its way during a pause is as old as its request.
-                began = self._clock.monotonic()
+                # NOTE: the state is as old as its request, as a pause may delay the response.
+                started_at = self._clock.monotonic()
                 await self._renew()
-                self._fresh_at = began
+                self._fresh_at = started_at
 
     def _is_fresh(self) -> bool:
         return self._clock.monotonic() - self._fresh_at <= PAUSE_LIMIT_SECONDS
--- a/drumbay/machines/http.py
+++ b/drumbay/machines/http.py
@@ -1,4 +1,4 @@
-"""Reads the machine list over HTTP: a JSON object whose ``machines`` is an array."""
+"""HTTP client of the machine list, a JSON object with an array ``machines``."""
 
 import msgspec
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
@@ -9,7 +9,7 @@
 
 
 class MachineListPage(msgspec.Struct, frozen=True, kw_only=True):
-    """What the platform answers; other fields, also of a machine, are passed over."""
+    """Response of the platform; unknown fields are ignored, also those of machines."""
 
     machines: tuple[MachineRecord, ...]
 
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, url: str) -> None:
-        """Use the list at ``url``."""
+        """Create a client of the list at ``url``."""
         self._url = url
 
     async def read(self) -> tuple[MachineRecord, ...]:
--- a/drumbay/machines/interface.py
+++ b/drumbay/machines/interface.py
@@ -1,4 +1,4 @@
-"""The machine list as drumbay reads it. It lags behind reality."""
+"""Interface to the platform's machine list, which lags behind the actual state."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -23,7 +23,7 @@
 
 
 class MachineRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One machine; it is named as the back end that runs on it."""
+    """One machine; its name is the identifier of the back end that runs on it."""
 
     name: str
     state: MachineState
--- a/drumbay/machines/messages.py
+++ b/drumbay/machines/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which the readers of the machine list tell the other nodes."""
+"""Messages between the readers of the machine list and the other nodes."""
 
 import msgspec
 
@@ -7,12 +7,12 @@
 
 
 class LeavingReport(msgspec.Struct, frozen=True, kw_only=True):
-    """The back ends that one reader last saw leaving.
+    """The leaving back ends in one reader's last read.
 
     Attributes:
         reader: The node that read the list.
-        boot_id: Run of that node.
-        sequence: Grows with each change that this run saw.
+        boot_id: Identifies the run of that node's process.
+        sequence: Incremented with each change that this run saw.
         leaving: The back ends, sorted.
     """
 
@@ -23,22 +23,22 @@
 
 
 class LeavingChanged(Message, frozen=True, kw_only=True):
-    """A reader saw a change."""
+    """Call: report a change that a reader saw."""
 
     report: LeavingReport
 
 
 class FetchLeaving(Message, frozen=True, kw_only=True):
-    """Asks a reader for what it and the other readers saw.
+    """Call: request the reports of all readers.
 
     Attributes:
-        digest: Digest of the reports that the asking node knows.
+        digest: Digest of the reports that the sender has.
     """
 
     digest: int
 
 
 class KnownLeaving(Message, frozen=True, kw_only=True):
-    """Answer of a node: its reports, or none if the digest fits."""
+    """Reply: the node's reports, or none if the digests are equal."""
 
     reports: tuple[LeavingReport, ...] = ()
--- a/drumbay/machines/readers.py
+++ b/drumbay/machines/readers.py
@@ -1,7 +1,7 @@
-"""Which nodes read the machine list, and when. Pure: no I/O, no clock.
+"""Selection and read schedule of the readers of the machine list. Pure: no I/O, no clock.
 
-The list names every machine, so reading it costs in proportion to the deployment. In a large
-cluster a few nodes of each zone read it in turns, and the others hear from them.
+The cost of a read grows with the number of machines. In a large cluster only a few nodes of each
+zone read the list, in rotation, and notify the others.
 """
 
 from collections.abc import Sequence
@@ -11,17 +11,17 @@
 from drumbay.configuration.messages import PeerView
 from drumbay.identifiers import NodeId
 
-READ_ALL_UP_TO_NODES = 16
-"""Up to so many nodes each one reads the list and nothing is shared."""
+MAX_NODES_WITHOUT_SHARING = 16
+"""Largest cluster in which every node reads the list itself."""
 
 READERS_PER_ZONE = 2
-TURN_SECONDS = 1.0
-"""Time between two reads of the list by the cluster as a whole."""
+READ_PERIOD_SECONDS = 1.0
+"""Time between two reads in the whole cluster."""
 
 
-def readers_of(members: Sequence[PeerView]) -> tuple[NodeId, ...]:
-    """Return the nodes that read the list, sorted (rendezvous hashing per zone)."""
-    if len(members) <= READ_ALL_UP_TO_NODES:
+def select_readers(members: Sequence[PeerView]) -> tuple[NodeId, ...]:
+    """Return the readers, sorted (rendezvous hashing per zone)."""
+    if len(members) <= MAX_NODES_WITHOUT_SHARING:
         return tuple(sorted(peer.node_id for peer in members))
     zones: dict[tuple[str, str], list[NodeId]] = {}
     for peer in members:
@@ -37,13 +37,13 @@
     return xxhash.xxh3_64_intdigest(f"machines\0{node_id}".encode())
 
 
-def seconds_to_turn(rank: int, reader_count: int, wall_seconds: float) -> float:
-    """Return the time until a reader's next turn, at least half a turn away.
+def seconds_until_read(rank: int, reader_count: int, wall_seconds: float) -> float:
+    """Return the time until a reader's next read, at least half a period away.
 
-    Turns follow the wall clock, so that readers stay apart without messages. Clocks that
-    differ only move the turns.
+    Reads are scheduled by the wall clock, so that readers need no messages to rotate. A clock
+    offset only shifts a reader's reads.
     """
-    round_seconds = reader_count * TURN_SECONDS
-    remaining = (rank * TURN_SECONDS - wall_seconds) % round_seconds
-    # NOTE: a timer may fire a little early; the turn that was just taken is not taken twice.
-    return remaining if remaining >= TURN_SECONDS / 2 else remaining + round_seconds
+    rotation_seconds = reader_count * READ_PERIOD_SECONDS
+    remaining = (rank * READ_PERIOD_SECONDS - wall_seconds) % rotation_seconds
+    # NOTE: a timer may fire slightly early, which must not repeat the read just done.
+    return remaining if remaining >= READ_PERIOD_SECONDS / 2 else remaining + rotation_seconds
--- a/drumbay/machines/watcher.py
+++ b/drumbay/machines/watcher.py
@@ -1,8 +1,7 @@
-"""Follows the machine list and tells which back ends are leaving.
+"""Watcher of the machine list, which reports the leaving back ends.
 
-In a small cluster every node reads the list. In a large one a few read it in turns, call
-every other node when something changed, and answer the others' occasional questions, which
-repairs calls that were lost.
+In a small cluster every node reads the list. In a large one a few readers rotate, call every other
+node after a change, and serve the periodic fetches of the others, which repair lost calls.
 """
 
 import asyncio
@@ -13,7 +12,7 @@
 from drumbay.comm.interface import Address, Message, Transport, TransportError
 from drumbay.configuration.messages import PeerView
 from drumbay.identifiers import BackendId, BootId, NodeId
-from drumbay.machines.freshness import Freshness
+from drumbay.machines.freshness import FreshnessGuard
 from drumbay.machines.interface import (
     MachineListClient,
     MachineListUnavailableError,
@@ -27,39 +26,39 @@
     LeavingReport,
 )
 from drumbay.machines.readers import (
-    READ_ALL_UP_TO_NODES,
-    TURN_SECONDS,
-    readers_of,
-    seconds_to_turn,
+    MAX_NODES_WITHOUT_SHARING,
+    READ_PERIOD_SECONDS,
+    seconds_until_read,
+    select_readers,
 )
 from drumbay.observability.logs import log_event
 from drumbay.tasks import TaskOwner
 
 REPAIR_INTERVAL_SECONDS = 10.0
 FIRST_REPAIR_SECONDS = 1.0
-SHORTEST_REPAIR_SHARE = 0.5
+MIN_REPAIR_JITTER = 0.5
 CALL_TIMEOUT_SECONDS = 1.0
 CALL_ATTEMPTS = 2
 CONCURRENT_CALLS = 32
 
 
 class MachineListWatcher:
-    """Keeps the set of leaving back ends fresh.
+    """Keeps the set of leaving back ends up to date.
 
-    While the list cannot be read the last known set stays in force: a back end that was
-    leaving gets no work again just because the list is out.
+    While the list cannot be read the last known set is kept, so that an outage of the list
+    does not return work to a leaving back end.
 
     Args:
         clock: Time.
-        transport: Exchange with other nodes.
-        client: Reads the list.
+        transport: Messages to and from other nodes.
+        client: Client of the list.
         node_id: This node.
-        boot_id: Run of this node.
+        boot_id: Identifies this run of the process.
         members: Returns the live nodes, this one included; the same tuple while they do
             not change.
-        on_leaving: Told of the leaving back ends after each read or report.
+        on_leaving: Called with the leaving back ends after each read or new report.
         random: Source of jitter.
-        task_owner: Owns the tasks.
+        task_owner: Owner of the background tasks.
     """
 
     def __init__(
@@ -87,24 +86,24 @@
         self._task_owner = task_owner
         self._reports = LeavingReports()
         self._sequence = 0
-        self._own: tuple[BackendId, ...] = ()
+        self._own_leaving: tuple[BackendId, ...] = ()
         self._readers: tuple[NodeId, ...] = ()
-        self._readers_of: tuple[PeerView, ...] | None = None
+        self._members_of_readers: tuple[PeerView, ...] | None = None
         self._calls = asyncio.Semaphore(CONCURRENT_CALLS)
-        self._freshness = Freshness(clock, self._renew)
+        self._freshness = FreshnessGuard(clock, self._renew)
 
     def start(self) -> None:
-        """Serve other nodes, and start to read and to ask."""
+        """Register the message handlers and start the background tasks."""
         self._transport.handle_calls(LeavingChanged, self._handle_change)
         self._transport.handle_calls(FetchLeaving, self._handle_fetch)
-        self._task_owner.spawn(self._read_forever(), "machine-list")
-        self._task_owner.spawn(self._repair_forever(), "machine-list-repair")
+        self._task_owner.spawn(self._run_reads(), "machine-list")
+        self._task_owner.spawn(self._run_repairs(), "machine-list-repair")
         self._task_owner.spawn(self._freshness.run(), "machine-list-freshness")
 
     async def ensure_fresh(self) -> None:
-        """Return once what is known is not from before a pause of this process.
+        """Renew the set if it is from before a pause of this process.
 
-        While neither the list nor a reader answers, the last known set stays in force.
+        If neither the list nor a reader responds, the last known set is kept.
         """
         await self._freshness.ensure()
 
@@ -116,29 +115,29 @@
 
     @property
     def is_shared(self) -> bool:
-        """Return whether the cluster is large enough to have readers."""
-        return len(self._members()) > READ_ALL_UP_TO_NODES
+        """Return whether a few readers read the list for the whole cluster."""
+        return len(self._members()) > MAX_NODES_WITHOUT_SHARING
 
     def _current_readers(self) -> tuple[NodeId, ...]:
         members = self._members()
-        if members is not self._readers_of:
-            self._readers_of = members
-            self._readers = readers_of(members)
-            self._reports.keep_only(self._readers)
+        if members is not self._members_of_readers:
+            self._members_of_readers = members
+            self._readers = select_readers(members)
+            self._reports.retain_readers(self._readers)
         return self._readers
 
-    async def _read_forever(self) -> None:
+    async def _run_reads(self) -> None:
         while True:
             if self._node_id in self._current_readers():
                 await self._read()
-            await self._clock.sleep(self._pause_seconds())
+            await self._clock.sleep(self._read_delay_seconds())
 
-    def _pause_seconds(self) -> float:
+    def _read_delay_seconds(self) -> float:
         readers = self._current_readers()
         if not self.is_shared or self._node_id not in readers:
-            return TURN_SECONDS
+            return READ_PERIOD_SECONDS
         rank = readers.index(self._node_id)
-        return seconds_to_turn(rank, len(readers), self._clock.wall())
+        return seconds_until_read(rank, len(readers), self._clock.wall())
 
     async def _read(self) -> None:
         try:
@@ -147,32 +146,32 @@
             log_event("machine_list_unavailable", level="WARNING", detail=str(error))
             return
         leaving = tuple(sorted(leaving_backends(machines)))
-        is_new = self._sequence == 0 or leaving != self._own
-        self._own = leaving
+        is_new = self._sequence == 0 or leaving != self._own_leaving
+        self._own_leaving = leaving
         if is_new:
             self._sequence += 1
         report = self._own_report()
-        self._reports.take(report)
-        self._announce()
+        self._reports.add(report)
+        self._notify_listener()
         if is_new and self.is_shared:
-            self._task_owner.spawn(self._tell_all(report), "machine-list-change")
+            self._task_owner.spawn(self._notify_all(report), "machine-list-change")
 
     def _own_report(self) -> LeavingReport:
         return LeavingReport(
             reader=self._node_id,
             boot_id=self._boot_id,
             sequence=self._sequence,
-            leaving=self._own,
+            leaving=self._own_leaving,
         )
 
-    def _announce(self) -> None:
-        self._on_leaving(self._reports.leaving() if self.is_shared else self._own)
+    def _notify_listener(self) -> None:
+        self._on_leaving(self._reports.leaving() if self.is_shared else self._own_leaving)
 
-    async def _tell_all(self, report: LeavingReport) -> None:
+    async def _notify_all(self, report: LeavingReport) -> None:
         others = [peer for peer in self._members() if peer.node_id != self._node_id]
-        await asyncio.gather(*(self._tell(peer.address, report) for peer in others))
+        await asyncio.gather(*(self._notify(peer.address, report) for peer in others))
 
-    async def _tell(self, peer: Address, report: LeavingReport) -> None:
+    async def _notify(self, peer: Address, report: LeavingReport) -> None:
         for _ in range(CALL_ATTEMPTS):
             async with self._calls:
                 try:
@@ -185,7 +184,7 @@
         return await self._transport.call(peer, request, timeout_seconds=CALL_TIMEOUT_SECONDS)
 
     async def _handle_change(self, request: LeavingChanged) -> KnownLeaving:
-        self._take((request.report,))
+        self._apply_reports((request.report,))
         return KnownLeaving()
 
     async def _handle_fetch(self, request: FetchLeaving) -> KnownLeaving:
@@ -193,26 +192,26 @@
             return KnownLeaving()
         return KnownLeaving(reports=self._reports.sorted())
 
-    def _take(self, reports: tuple[LeavingReport, ...]) -> None:
+    def _apply_reports(self, reports: tuple[LeavingReport, ...]) -> None:
         readers = self._current_readers()
-        taken = [report for report in reports if report.reader in readers]
-        changed = [report for report in taken if self._reports.take(report)]
+        accepted = [report for report in reports if report.reader in readers]
+        changed = [report for report in accepted if self._reports.add(report)]
         if changed and self.is_shared:
-            self._announce()
+            self._notify_listener()
 
-    async def _repair_forever(self) -> None:
+    async def _run_repairs(self) -> None:
         while True:
-            share = self._random.uniform(SHORTEST_REPAIR_SHARE, 1.0)
-            await self._clock.sleep(share * self._repair_interval_seconds())
+            jitter = self._random.uniform(MIN_REPAIR_JITTER, 1.0)
+            await self._clock.sleep(jitter * self._repair_interval_seconds())
             if self.is_shared:
                 await self._repair()
 
     def _repair_interval_seconds(self) -> float:
-        """Return a short time for a node that has joined and knows nothing yet."""
+        """Return the repair interval, which is shorter until the first report."""
         return REPAIR_INTERVAL_SECONDS if self._reports.sorted() else FIRST_REPAIR_SECONDS
 
     async def _repair(self) -> None:
-        """Ask one reader for what it knows."""
+        """Fetch the reports of a random reader."""
         readers = self._current_readers()
         peers = [
             peer
@@ -229,4 +228,4 @@
         except TransportError:
             return
         if isinstance(reply, KnownLeaving):
-            self._take(reply.reports)
+            self._apply_reports(reply.reports)
--- a/tests/test_machine_list.py
+++ b/tests/test_machine_list.py
@@ -1,4 +1,4 @@
-"""A few nodes read the machine list; every node soon knows which back ends are leaving."""
+"""Reading of the machine list and propagation of leaving back ends."""
 
 import asyncio
 import unittest
@@ -18,7 +18,7 @@
 )
 from drumbay.machines.leaving import LeavingReports
 from drumbay.machines.messages import LeavingReport
-from drumbay.machines.readers import readers_of, seconds_to_turn
+from drumbay.machines.readers import seconds_until_read, select_readers
 from drumbay.machines.watcher import MachineListWatcher
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.latency import LatencyModel
@@ -37,41 +37,41 @@
 
 
 class MachineList:
-    """The platform's list; it may be out."""
+    """The platform's list, which may be down."""
 
     def __init__(self) -> None:
         self.reads = 0
-        self.is_out = False
+        self.is_down = False
         self.leaving: tuple[BackendId, ...] = ()
         self.latency_seconds = 0.0
 
     async def read(self) -> tuple[MachineRecord, ...]:
         await asyncio.sleep(self.latency_seconds)
-        if self.is_out:
-            raise MachineListUnavailableError("out")
+        if self.is_down:
+            raise MachineListUnavailableError("down")
         self.reads += 1
         return tuple(MachineRecord(name=name, state=MachineState.LEAVING) for name in self.leaving)
 
 
-class SilentWatcher(MachineListWatcher):
-    """Test-only fault: a reader that sees a change tells nobody."""
+class NotificationsDisabled(MachineListWatcher):
+    """Fault: nodes neither notify each other nor fetch reports."""
 
-    async def _tell_all(self, report: LeavingReport) -> None:
+    async def _notify_all(self, report: LeavingReport) -> None:
         return
 
     async def _repair(self) -> None:
         return
 
 
-class TrustingWatcher(MachineListWatcher):
-    """Test-only fault: what was known before a pause is trusted."""
+class RenewalDisabled(MachineListWatcher):
+    """Fault: state from before a pause is not renewed."""
 
     async def ensure_fresh(self) -> None:
         return
 
 
-class World:
-    """Nodes that run only the machine list watcher."""
+class WatcherCluster:
+    """Simulated nodes that run only the machine list watcher."""
 
     def __init__(self, count: int, watcher_type: type[MachineListWatcher]) -> None:
         self.list = MachineList()
@@ -98,7 +98,7 @@
         self.network.add_host(host)
         process = host.start()
 
-        def take(leaving: tuple[BackendId, ...]) -> None:
+        def record_leaving(leaving: tuple[BackendId, ...]) -> None:
             self.known[peer.node_id] = leaving
 
         watcher = watcher_type(
@@ -108,7 +108,7 @@
             node_id=peer.node_id,
             boot_id=BootId(peer.node_id),
             members=lambda: self.members,
-            on_leaving=take,
+            on_leaving=record_leaving,
             random=Random(peer.node_id),
             task_owner=TaskOwner(),
         )
@@ -117,82 +117,82 @@
         process.run(watcher.start)
 
     async def sends_after_pause(self, node_id: NodeId) -> bool:
-        """Pause a node while the engine starts to leave; return whether it gets work then."""
+        """Return whether a node, paused while the engine starts to leave, then sends work to it."""
         process = self.processes[node_id]
         process.freeze()
         await asyncio.sleep(5.0)
         self.list.leaving = (ENGINE,)
         await asyncio.sleep(15.0)
         process.wake()
-        return await process.spawn(self._decides_to_send(node_id), "request")
+        return await process.spawn(self._would_send(node_id), "request")
 
-    async def _decides_to_send(self, node_id: NodeId) -> bool:
+    async def _would_send(self, node_id: NodeId) -> bool:
         await self.watchers[node_id].ensure_fresh()
         return ENGINE not in self.known[node_id]
 
-    def informed(self) -> int:
+    def informed_count(self) -> int:
         """Return how many nodes know that the engine is leaving."""
         return sum(ENGINE in leaving for leaving in self.known.values())
 
 
 def simulate(
     count: int,
-    scenario: Callable[[World], Awaitable[None]],
+    scenario: Callable[[WatcherCluster], Awaitable[None]],
     watcher_type: type[MachineListWatcher] = MachineListWatcher,
 ) -> None:
     async def main() -> None:
-        await scenario(World(count, watcher_type))
+        await scenario(WatcherCluster(count, watcher_type))
 
     run_simulation(main)
 
 
 class MachineListTest(unittest.TestCase):
-    def test_every_node_knows_within_seconds_and_few_read(self) -> None:
-        async def scenario(world: World) -> None:
-            # Half a turn apart from the reads, which fall on whole seconds.
+    def test_every_node_is_informed_within_seconds_by_few_reads(self) -> None:
+        async def scenario(cluster: WatcherCluster) -> None:
+            # Half a period away from the reads, which are on whole seconds.
             await asyncio.sleep(20.5)
-            reads = world.list.reads
+            reads = cluster.list.reads
             await asyncio.sleep(30.0)
-            self.assertEqual(world.list.reads - reads, 30)
-            world.list.leaving = (ENGINE,)
+            self.assertEqual(cluster.list.reads - reads, 30)
+            cluster.list.leaving = (ENGINE,)
             await asyncio.sleep(2.5)
-            self.assertEqual(world.informed(), 40)
-            world.list.leaving = ()
+            self.assertEqual(cluster.informed_count(), 40)
+            cluster.list.leaving = ()
             await asyncio.sleep(8.0)
-            self.assertEqual(world.informed(), 0)
+            self.assertEqual(cluster.informed_count(), 0)
 
         simulate(40, scenario)
 
-    def test_without_the_calls_the_others_never_know(self) -> None:
-        async def scenario(world: World) -> None:
+    def test_only_readers_are_informed_without_notifications(self) -> None:
+        async def scenario(cluster: WatcherCluster) -> None:
             await asyncio.sleep(20.0)
-            world.list.leaving = (ENGINE,)
+            cluster.list.leaving = (ENGINE,)
             await asyncio.sleep(30.0)
-            self.assertEqual(world.informed(), 6)
+            self.assertEqual(cluster.informed_count(), 6)
 
-        simulate(40, scenario, SilentWatcher)
+        simulate(40, scenario, NotificationsDisabled)
 
-    def test_a_small_cluster_reads_by_itself(self) -> None:
-        async def scenario(world: World) -> None:
-            world.list.leaving = (ENGINE,)
+    def test_every_node_of_a_small_cluster_reads(self) -> None:
+        async def scenario(cluster: WatcherCluster) -> None:
+            cluster.list.leaving = (ENGINE,)
             await asyncio.sleep(1.5)
-            self.assertEqual(world.informed(), 5)
-            self.assertGreaterEqual(world.list.reads, 5)
+            self.assertEqual(cluster.informed_count(), 5)
+            self.assertGreaterEqual(cluster.list.reads, 5)
 
         simulate(5, scenario)
 
-    def test_a_region_that_was_cut_off_learns_and_an_outage_keeps_the_set(self) -> None:
-        async def scenario(world: World) -> None:
+    def test_partitioned_region_is_informed_and_an_outage_keeps_the_set(self) -> None:
+        async def scenario(cluster: WatcherCluster) -> None:
             await asyncio.sleep(20.0)
             cut = Cut(scope=Scope.REGION, source="a", target="b")
-            world.network.cut(cut, both_ways=True)
-            world.list.leaving = (ENGINE,)
+            cluster.network.cut(cut, both_ways=True)
+            cluster.list.leaving = (ENGINE,)
             await asyncio.sleep(8.0)
-            self.assertEqual(world.informed(), 40)
-            world.list.is_out = True
-            world.network.heal(cut, both_ways=True)
+            self.assertEqual(cluster.informed_count(), 40)
+            cluster.list.is_down = True
+            cluster.network.heal(cut, both_ways=True)
             await asyncio.sleep(30.0)
-            self.assertEqual(world.informed(), 40)
+            self.assertEqual(cluster.informed_count(), 40)
 
         simulate(40, scenario)
 
@@ -201,34 +201,34 @@
     def sends_after_pause(self, count: int, watcher_type: type[MachineListWatcher]) -> bool:
         outcomes: list[bool] = []
 
-        async def scenario(world: World) -> None:
-            world.list.latency_seconds = 0.01
+        async def scenario(cluster: WatcherCluster) -> None:
+            cluster.list.latency_seconds = 0.01
             await asyncio.sleep(20.0)
-            outcomes.append(await world.sends_after_pause(world.members[0].node_id))
+            outcomes.append(await cluster.sends_after_pause(cluster.members[0].node_id))
 
         simulate(count, scenario, watcher_type)
         return outcomes[0]
 
-    def test_a_paused_node_asks_before_it_sends(self) -> None:
+    def test_paused_node_renews_before_it_sends(self) -> None:
         for count in (5, 40):
             self.assertFalse(self.sends_after_pause(count, MachineListWatcher))
 
-    def test_a_paused_node_that_trusts_what_it_knew_sends(self) -> None:
-        self.assertTrue(self.sends_after_pause(5, TrustingWatcher))
+    def test_paused_node_without_renewal_sends(self) -> None:
+        self.assertTrue(self.sends_after_pause(5, RenewalDisabled))
 
-    def test_an_outage_of_the_list_holds_no_request_back(self) -> None:
-        async def scenario(world: World) -> None:
-            world.list.is_out = True
+    def test_outage_of_the_list_delays_no_request(self) -> None:
+        async def scenario(cluster: WatcherCluster) -> None:
+            cluster.list.is_down = True
             await asyncio.sleep(1.0)
             before = asyncio.get_running_loop().time()
-            await world.watchers[world.members[0].node_id].ensure_fresh()
+            await cluster.watchers[cluster.members[0].node_id].ensure_fresh()
             self.assertEqual(asyncio.get_running_loop().time(), before)
 
         simulate(5, scenario)
 
 
 class ReadersTest(unittest.TestCase):
-    def test_two_readers_of_each_zone_take_turns(self) -> None:
+    def test_two_readers_of_each_zone_rotate(self) -> None:
         peers = tuple(
             PeerView(
                 node_id=NodeId(f"node-{index}"),
@@ -238,13 +238,13 @@
             )
             for index in range(30)
         )
-        readers = readers_of(peers)
+        readers = select_readers(peers)
         zones = [peer.zone for peer in peers if peer.node_id in readers]
         self.assertEqual(sorted(zones), sorted(ZONES * 2))
-        turns = sorted((100.5 + seconds_to_turn(rank, 6, 100.5)) % 6 for rank in range(6))
-        self.assertEqual(turns, [0.0, 1.0, 2.0, 3.0, 4.0, 5.0])
+        read_times = sorted((100.5 + seconds_until_read(rank, 6, 100.5)) % 6 for rank in range(6))
+        self.assertEqual(read_times, [0.0, 1.0, 2.0, 3.0, 4.0, 5.0])
 
-    def test_a_back_end_leaves_while_any_reader_says_so(self) -> None:
+    def test_back_end_is_leaving_while_any_reader_reports_it(self) -> None:
         def report(reader: str, sequence: int, *leaving: str) -> LeavingReport:
             return LeavingReport(
                 reader=NodeId(reader),
@@ -254,27 +254,21 @@
             )
 
         reports = LeavingReports()
-        self.assertTrue(reports.take(report("n1", 2, "x")))
-        self.assertTrue(reports.take(report("n2", 1)))
+        self.assertTrue(reports.add(report("n1", 2, "x")))
+        self.assertTrue(reports.add(report("n2", 1)))
         self.assertEqual(reports.leaving(), ("x",))
-        self.assertFalse(reports.take(report("n1", 1)))
+        self.assertFalse(reports.add(report("n1", 1)))
         digest = reports.digest()
-        self.assertTrue(reports.take(report("n1", 3)))
+        self.assertTrue(reports.add(report("n1", 3)))
         self.assertNotEqual(reports.digest(), digest)
         self.assertEqual(reports.leaving(), ())
-        reports.take(report("n1", 4, "x"))
-        reports.keep_only((NodeId("n2"),))
+        reports.add(report("n1", 4, "x"))
+        reports.retain_readers((NodeId("n2"),))
         self.assertEqual(reports.leaving(), ())
 
 
 class HttpMachineListTest(unittest.IsolatedAsyncioTestCase):
-    """The client of the list reads what the emulated platform serves.
-
-    It expected an array where the list is an object, so that over HTTP no read ever succeeded
-    and no node learnt that a machine leaves. Each node logged
-    ``machine_list_unavailable detail="Expected `array`, got `object`"`` about once a second, at the
-    start of ``make demo`` already. Tests and simulations read the list's model without HTTP.
-    """
+    """Guards against a client that cannot decode the list which the emulated platform serves."""
 
     async def asyncSetUp(self) -> None:
         clock = SystemClock()
@@ -296,9 +290,9 @@
         )
         self.assertEqual(leaving_backends(read), (BackendId("leaving"),))
 
-    async def test_a_list_that_cannot_be_read_is_unavailable(self) -> None:
-        nowhere = HttpMachineListClient(self.server.base_url + "/nowhere")
-        other_answer = HttpMachineListClient(self.server.base_url + MACHINES_PATH + "/changes")
-        for client in (nowhere, other_answer):
+    async def test_unreadable_list_is_unavailable(self) -> None:
+        missing_page = HttpMachineListClient(self.server.base_url + "/missing_page")
+        other_page = HttpMachineListClient(self.server.base_url + MACHINES_PATH + "/changes")
+        for client in (missing_page, other_page):
             with self.assertRaises(MachineListUnavailableError):
                 await client.read()
