--- a/drumbay/configuration/operators.py
+++ b/drumbay/configuration/operators.py
@@ -121,7 +121,7 @@
                 resolved = await self._cancel(operation_id)
         except KeyValueError as error:
             return unknown_yet(operation_id, f"key-value service: {error.code}")
-        return await self._report(operation_id, resolved)
+        return await self._result_when_applied(operation_id, resolved)
 
     async def force_replica_set(self, members: tuple[NodeId, ...]) -> Revision | None:
         """Replace a replica set whose majority is permanently lost.
@@ -181,7 +181,7 @@
             self._lease_id = None
             return refused(operation_id, f"key-value service: {error.code}")
         if result is not None:
-            return await self._report(
+            return await self._result_when_applied(
                 operation_id, _ResolvedOperation(status=_OperationStatus.COMMITTED, revision=result)
             )
         return await self._resolve(put, expected, operation_id, lease_id)
@@ -223,7 +223,7 @@
                     # is absent, so at most one copy of the write takes effect.
                     resolved = await self._resend(put, expected, operation_id, lease_id)
                 if resolved is not None:
-                    return await self._report(operation_id, resolved)
+                    return await self._result_when_applied(operation_id, resolved)
             except KeyValueError as error:
                 log_event("operation_not_settled", operation=operation_id, error=error.code)
             await self._clock.sleep(RESOLVE_RETRY_SECONDS)
@@ -246,7 +246,7 @@
             ConflictError: The write can never be committed.
         """
         # NOTE: the resource is read before the record. Once its revision differs from the
-        # expected one the write can no longer be committed, so the record is final.
+        # expected one the write can no longer be committed, so the record's state is final.
         current = await self._current_revision(put.key)
         resolved = await self._read_operation(operation_id, put.key)
         if resolved.status is not _OperationStatus.ABSENT:
@@ -285,7 +285,9 @@
             return _ResolvedOperation(status=_OperationStatus.CANCELLED)
         return await self._read_operation(operation_id, None)
 
-    async def _report(self, operation_id: str, resolved: _ResolvedOperation) -> WriteResult:
+    async def _result_when_applied(
+        self, operation_id: str, resolved: _ResolvedOperation
+    ) -> WriteResult:
         if resolved.status is not _OperationStatus.COMMITTED:
             return refused(operation_id, "cancelled before it was committed")
         is_applied = await self._configuration.applied.wait_for_revision(
--- a/drumbay/configuration/replication.py
+++ b/drumbay/configuration/replication.py
@@ -172,7 +172,7 @@
         call_replica: Callable[[NodeId], Awaitable[None]],
         is_done: Callable[[], bool],
     ) -> bool:
-        """Call all targets concurrently; return whether ``is_done`` held before all had ended."""
+        """Call all targets concurrently until ``is_done`` or all calls have ended."""
         finished = asyncio.Event()
         pending_count = len(targets)
 
--- a/drumbay/membership/update_handler.py
+++ b/drumbay/membership/update_handler.py
@@ -76,9 +76,9 @@
     def merge_synced_updates(self, now: float, updates: tuple[StateUpdate, ...]) -> bool:
         """Apply the updates of an anti-entropy exchange; return whether the table changed.
 
-        NOTE: deaths and suspicions are not taken over. After a partition each side considers
-        the other dead, and merging both views would declare every member dead. A member that
-        a peer considers dead is probed next instead.
+        NOTE: suspicions, and deaths of reachable members, are not merged. After a partition each
+        side considers the other dead, and merging both views would declare every member dead.
+        A reachable member that a peer considers dead is probed next instead.
         """
         any_change = False
         for update in updates:
@@ -201,14 +201,14 @@
         if update.incarnation < own.incarnation:
             self._requeue_newer_state(update)
             return
-        same_boot = update.boot_mark == boot_mark_of(own.boot_id)
-        if same_boot and update.state is own.state and update.incarnation == own.incarnation:
+        is_same_boot = update.boot_mark == boot_mark_of(own.boot_id)
+        if is_same_boot and update.state is own.state and update.incarnation == own.incarnation:
             return
-        if not same_boot:
+        if not is_same_boot:
             self._record_foreign_boot(own, update.boot_mark)
         if update.state is MemberState.SUSPECT:
             self._health.record_failure()
-        self._announce_self(now, update.incarnation + 1, full=not same_boot)
+        self._announce_self(now, update.incarnation + 1, full=not is_same_boot)
 
     def _record_foreign_boot(self, own: Member, boot_mark: int) -> None:
         """Report another running process with this node's name.
@@ -217,8 +217,8 @@
         after this node's refutation comes from a process that is still running.
         """
         if boot_mark in self._foreign_boot_marks:
-            conflict = MemberChangeKind.IDENTITY_CONFLICT
-            self._changes.append(MemberChange(kind=conflict, member=own, previous=None))
+            kind = MemberChangeKind.IDENTITY_CONFLICT
+            self._changes.append(MemberChange(kind=kind, member=own, previous=None))
         self._foreign_boot_marks[boot_mark] = None
 
     def _announce_self(self, now: float, incarnation: int, *, full: bool) -> None:
