--- a/drumbay/bench/configuration_cluster.py
+++ b/drumbay/bench/configuration_cluster.py
@@ -266,7 +266,9 @@
     async def wait_in_force(self, revision: Revision, limit_seconds: float = 30.0) -> float:
         """Wait until a revision is in force on every running node; return the seconds."""
         return await self.wait_until(
-            lambda: all(node.service.snapshot().revision >= revision for node in self.running()),
+            lambda: all(
+                node.service.current_view().revision >= revision for node in self.running()
+            ),
             limit_seconds,
         )
 
--- a/drumbay/bench/ownership_cluster.py
+++ b/drumbay/bench/ownership_cluster.py
@@ -141,7 +141,7 @@
                 try:
                     receiver.order(name, order)
                 except StaleOwnerError:
-                    await self.manager.report_refusal(name, fence)
+                    await self.manager.report_stale_fence(name, fence)
             await clock.sleep(WRITE_INTERVAL_SECONDS - gap_seconds)
 
 
@@ -203,7 +203,7 @@
             if not node.host.running or node.host.process.frozen:
                 continue
             for name in names:
-                fence = node.manager.holds(name, now)
+                fence = node.manager.valid_fence(name, now)
                 if fence is not None:
                     claims.append(
                         Claim(at_seconds=now, node=node.host.name, name=name, fence=fence)
--- a/drumbay/bench/rollout_world.py
+++ b/drumbay/bench/rollout_world.py
@@ -273,7 +273,7 @@
                 prompts.append(RolloutPrompt(text="", group=str(group), max_tokens=MAX_TOKENS))
         entry = self._owner.decide_submit(step, prompts)
         if entry is not None:
-            self._owner.choose(entry)
+            self._owner.apply_chosen(entry)
         self._change_work()
 
     def _change_work(self) -> None:
@@ -314,7 +314,7 @@
         except NothingReadyError:
             return None
         assert isinstance(decision, FixBatch)
-        self._owner.choose(decision.entry)
+        self._owner.apply_chosen(decision.entry)
         return decision.entry
 
     def _forecast(self, next_step: int, at: float, version_next: WeightVersion) -> None:
--- a/drumbay/claims/acceptor.py
+++ b/drumbay/claims/acceptor.py
@@ -30,7 +30,7 @@
     StartJournal,
     StoreAnswer,
 )
-from drumbay.claims.record_table import ClaimDecision, ClaimVerdict, RecordTable, TableLimits
+from drumbay.claims.record_table import ClaimDecision, ClaimVote, RecordTable, TableLimits
 from drumbay.claims.records import EpochState, KeyRecord
 from drumbay.comm.interface import Message
 from drumbay.identifiers import IdempotencyKey
@@ -109,10 +109,10 @@
             return AcceptorDecision(reply=granted, rows=(decision.row,))
         if record.answered is not None:
             return AcceptorDecision(reply=ClaimAlreadyAnswered(answered=record.answered))
-        if decision.verdict is ClaimVerdict.HELD:
+        if decision.vote is ClaimVote.HELD:
             held = ClaimHeld(holders=record.holders, released=record.released)
             return AcceptorDecision(reply=held)
-        if decision.verdict is ClaimVerdict.RELEASED:
+        if decision.vote is ClaimVote.RELEASED:
             return self._reject(ClaimRejection.ATTEMPT_RELEASED)
         return self._reject(ClaimRejection.FULL)
 
--- a/drumbay/claims/patience.py
+++ b/drumbay/claims/member_timeouts.py
@@ -7,7 +7,7 @@
 
 from drumbay.identifiers import NodeId
 
-SILENT_CALL_SECONDS = 0.5
+UNRESPONSIVE_CALL_TIMEOUT_SECONDS = 0.5
 """Timeout of a call to an unresponsive member, and of a round that waits only for such members."""
 
 
@@ -32,7 +32,7 @@
         if node_id not in self._unresponsive:
             return self._max_timeout_seconds
         if node_id in self._probing:
-            return min(SILENT_CALL_SECONDS, self._max_timeout_seconds)
+            return min(UNRESPONSIVE_CALL_TIMEOUT_SECONDS, self._max_timeout_seconds)
         self._probing.add(node_id)
         return self._max_timeout_seconds
 
--- a/drumbay/claims/record_table.py
+++ b/drumbay/claims/record_table.py
@@ -46,7 +46,7 @@
     max_answer_bytes: int = 64 * 1024
 
 
-class ClaimVerdict(StrEnum):
+class ClaimVote(StrEnum):
     """How a replica votes on a claim."""
 
     GRANTED = "granted"
@@ -59,7 +59,7 @@
 class ClaimDecision(msgspec.Struct, frozen=True, kw_only=True):
     """A vote, the key's record after it, and the row to make durable before the reply."""
 
-    verdict: ClaimVerdict
+    vote: ClaimVote
     record: KeyRecord
     row: bytes | None = None
 
@@ -142,25 +142,25 @@
         self.expire(now)
         found = self.get(key, now)
         record = found or KeyRecord(key=key, updated_at_seconds=now)
-        verdict = self._vote_on(record, claim)
-        if verdict is ClaimVerdict.GRANTED and found is None and self._is_full():
-            verdict = ClaimVerdict.FULL
-        if verdict is not ClaimVerdict.GRANTED:
-            return ClaimDecision(verdict=verdict, record=record)
+        vote = self._vote_on(record, claim)
+        if vote is ClaimVote.GRANTED and found is None and self._is_full():
+            vote = ClaimVote.FULL
+        if vote is not ClaimVote.GRANTED:
+            return ClaimDecision(vote=vote, record=record)
         granted = msgspec.structs.replace(record, updated_at_seconds=now, holders=(claim,))
         # NOTE: a repeated claim is written again, because its first write may be in progress and
         # the reply must not be sent before it is durable.
-        return ClaimDecision(verdict=verdict, record=granted, row=self.put(granted))
+        return ClaimDecision(vote=vote, record=granted, row=self.put(granted))
 
     @staticmethod
-    def _vote_on(record: KeyRecord, claim: Claim) -> ClaimVerdict:
+    def _vote_on(record: KeyRecord, claim: Claim) -> ClaimVote:
         if record.answered is not None:
-            return ClaimVerdict.ANSWERED
+            return ClaimVote.ANSWERED
         if claim.attempt_id in record.released:
-            return ClaimVerdict.RELEASED
+            return ClaimVote.RELEASED
         if any(holder.attempt_id != claim.attempt_id for holder in record.holders):
-            return ClaimVerdict.HELD
-        return ClaimVerdict.GRANTED
+            return ClaimVote.HELD
+        return ClaimVote.GRANTED
 
     def release(
         self, key: IdempotencyKey, attempt_ids: tuple[AttemptId, ...], now: float
--- a/drumbay/claims/service.py
+++ b/drumbay/claims/service.py
@@ -13,9 +13,9 @@
 
 from drumbay.backends.interface import BackendNotReachedError, BackendRefusedError
 from drumbay.claims.claimant import Claimant, ClaimResult, DispatchPermitted, GaveUp
+from drumbay.claims.member_timeouts import MemberTimeouts
 from drumbay.claims.messages import ReleaseClaim, StoreAnswer
 from drumbay.claims.outcomes import ClaimAnswered, ClaimFailed, ClaimFailure, ClaimOutcome
-from drumbay.claims.patience import MemberTimeouts
 from drumbay.claims.policy import ClaimPolicy
 from drumbay.claims.propagation import Propagator, ReplicaSetView
 from drumbay.claims.records import AnsweredClaim, Claim, StoredAnswer
@@ -93,7 +93,7 @@
         )
 
     @property
-    def dispatches_under_way(self) -> int:
+    def active_dispatches(self) -> int:
         """Return the number of dispatches not yet answered and stored, including orphaned ones.
 
         A graceful shutdown waits until there are none: the outcome of an interrupted dispatch
--- a/drumbay/claims/voting.py
+++ b/drumbay/claims/voting.py
@@ -12,8 +12,8 @@
     GaveUp,
     RepairMember,
 )
+from drumbay.claims.member_timeouts import UNRESPONSIVE_CALL_TIMEOUT_SECONDS, MemberTimeouts
 from drumbay.claims.messages import ClaimKey, ReleaseClaim
-from drumbay.claims.patience import SILENT_CALL_SECONDS, MemberTimeouts
 from drumbay.claims.records import Claim
 from drumbay.claims.replica_set import ReplicaMember, ReplicaSet
 from drumbay.clock import Clock
@@ -98,7 +98,7 @@
             DeadlineExceededError: The round timed out, or only unresponsive members are left.
         """
         for max_wait_seconds in (
-            min(SILENT_CALL_SECONDS, self._timeout_seconds),
+            min(UNRESPONSIVE_CALL_TIMEOUT_SECONDS, self._timeout_seconds),
             self._timeout_seconds,
         ):
             remaining_seconds = started_at + max_wait_seconds - self._clock.monotonic()
--- a/drumbay/configuration/service.py
+++ b/drumbay/configuration/service.py
@@ -74,7 +74,7 @@
         dissemination_type: Class of the gossip service.
         watcher_type: Class of the watch.
         load_retry_seconds: Longest delay between a starting node's reads of the replicas.
-        lone_wait_seconds: How long a node waits for a majority of the replicas before it
+        majority_wait_seconds: How long a node waits for a majority of the replicas before it
             applies what it reads from the key-value service.
     """
 
@@ -83,7 +83,7 @@
     dissemination_type: ClassVar[type[Dissemination]] = Dissemination
     watcher_type: ClassVar[type[ConfigurationWatcher]] = ConfigurationWatcher
     load_retry_seconds: ClassVar[float] = LOAD_RETRY_SECONDS
-    lone_wait_seconds: ClassVar[float] = MAJORITY_WAIT_SECONDS
+    majority_wait_seconds: ClassVar[float] = MAJORITY_WAIT_SECONDS
 
     def __init__(
         self,
@@ -144,11 +144,11 @@
         return self._applied
 
     @property
-    def watching(self) -> bool:
+    def is_watching(self) -> bool:
         """Return whether this node watches the key-value service."""
         return self._watch_task is not None
 
-    def snapshot(self) -> ConfigurationView:
+    def current_view(self) -> ConfigurationView:
         """Return the typed view of the configuration applied on this node."""
         return self._applied.view
 
@@ -184,7 +184,7 @@
             apply_update=lambda update: self._apply_update(update, durable=False),
             on_durable=self._dissemination.announce_revision,
             task_owner=self._task_owner,
-            wait_seconds=self.lone_wait_seconds,
+            wait_seconds=self.majority_wait_seconds,
             retry_seconds=self.load_retry_seconds,
         )
 
@@ -217,10 +217,10 @@
         while True:
             self._update_watcher()
             is_due = self._clock.monotonic() >= next_confirmation
-            if self.watching and is_due:
+            if self.is_watching and is_due:
                 await self._confirm()
                 next_confirmation = self._clock.monotonic() + self._confirm_period_seconds()
-            if self.watching and (is_due or self.is_replica_set_forming()):
+            if self.is_watching and (is_due or self.is_replica_set_forming()):
                 await self._replica_set_controller.propose()
             await self._clock.sleep(ROLE_CHECK_PERIOD_SECONDS)
 
@@ -271,7 +271,7 @@
         It uses the configuration that the concurrent load has read, since the service is
         rate-limited.
         """
-        await self._clock.sleep(self.lone_wait_seconds)
+        await self._clock.sleep(self.majority_wait_seconds)
         while not await self._apply_last_read():
             await self._clock.sleep(self.load_retry_seconds)
 
--- a/drumbay/delivery/replicated_log.py
+++ b/drumbay/delivery/replicated_log.py
@@ -147,7 +147,7 @@
                 if outcome is not None:
                     raise outcome
         for encoded in entries:
-            owned.owner.choose(decode_entry(encoded))
+            owned.owner.apply_chosen(decode_entry(encoded))
 
     async def propose(self, owned: OwnedStream, entry: LogEntry) -> None:
         """Get an entry accepted by a majority at the next position, and apply it.
@@ -163,7 +163,7 @@
             raise EntryTooLargeError(f"{len(encoded)} bytes, limit {MAX_ENTRY_BYTES}")
         owned.owner.unresolved = entry
         await self._accept(owned, owned.owner.state.next_position, encoded)
-        owned.owner.choose(entry)
+        owned.owner.apply_chosen(entry)
 
     async def _accept(self, owned: OwnedStream, position: int, encoded: bytes) -> None:
         request = StreamAcceptRequest(
--- a/drumbay/delivery/service.py
+++ b/drumbay/delivery/service.py
@@ -177,7 +177,7 @@
         """
         return self._require_owned(stream).owner.add_sample(sample)
 
-    def recorded_floor(self, stream: StreamName) -> WeightVersion:
+    def oldest_accepted_version(self, stream: StreamName) -> WeightVersion:
         """Return the oldest accepted version recorded in the stream's log.
 
         Raises:
--- a/drumbay/delivery/stream_owner.py
+++ b/drumbay/delivery/stream_owner.py
@@ -71,7 +71,7 @@
         trim_margin: int = DEFAULT_TRIM_MARGIN,
         max_open_steps: int | None = None,
     ) -> None:
-        """Create an owner at a recovered snapshot; ``choose`` applies the entries after it.
+        """Create an owner at a recovered snapshot; ``apply_chosen`` applies the entries after it.
 
         Args:
             stream: The sample stream.
@@ -94,7 +94,7 @@
         self._trim_margin = trim_margin
         self._max_open_steps = max_open_steps
 
-    def choose(self, entry: LogEntry) -> None:
+    def apply_chosen(self, entry: LogEntry) -> None:
         """Apply an entry that a majority accepted at the next position."""
         self.unresolved = None
         self.state.apply(entry)
--- a/drumbay/node/coordination.py
+++ b/drumbay/node/coordination.py
@@ -93,7 +93,7 @@
 
     def _watches_key_value_service(self) -> bool:
         """Return whether this node watches the service rather than hear from others."""
-        return self._has_disk or self.configuration.watching
+        return self._has_disk or self.configuration.is_watching
 
     def start(self) -> None:
         """Start every service."""
--- a/drumbay/node/node.py
+++ b/drumbay/node/node.py
@@ -74,7 +74,7 @@
             await self._clock.sleep(DRAIN_POLL_SECONDS)
 
     def _in_flight(self) -> int:
-        requests = self._requests.gate.in_flight + self._claims.dispatches_under_way
+        requests = self._requests.gate.in_flight + self._claims.active_dispatches
         return requests + self._operations.in_flight
 
     async def stop(self) -> None:
@@ -225,4 +225,4 @@
 
     def access_tokens(self) -> tuple[AccessToken, ...]:
         """Return the tokens that are in force at this node."""
-        return tuple(self._coordination.configuration.snapshot().tokens.values())
+        return tuple(self._coordination.configuration.current_view().tokens.values())
--- a/drumbay/node/operations.py
+++ b/drumbay/node/operations.py
@@ -65,7 +65,7 @@
 
     def resources(self, kind: str | None, name: str | None) -> ResourceListBody:
         """Return the resources in force, of one kind and name if given."""
-        view = self._configuration.snapshot()
+        view = self._configuration.current_view()
         items = [
             ResourceBody(resource=resource, mod_revision=_revision_of(view, resource))
             for resource in all_resources(view)
--- a/drumbay/node/rollouts.py
+++ b/drumbay/node/rollouts.py
@@ -120,7 +120,7 @@
             on_decision=lambda decision: self._record_decision(stream, decision),
             may_send=lambda: self._still_owns(stream, fence),
         )
-        floor = self._delivery.recorded_floor(stream)
+        floor = self._delivery.oldest_accepted_version(stream)
         self._owned[stream] = _OwnedRollouts(policy, runner, floor)
         self._announce_floor(stream, self._owned[stream])
         runner.start()
--- a/drumbay/node/services.py
+++ b/drumbay/node/services.py
@@ -214,7 +214,7 @@
         self._weights.observe_stamp(model, engine, chunk)
 
     def _configuration_revision(self) -> Revision:
-        return self._coordination.configuration.snapshot().revision
+        return self._coordination.configuration.current_view().revision
 
     def start(self) -> None:
         """Start every service."""
--- a/drumbay/node/streams.py
+++ b/drumbay/node/streams.py
@@ -150,7 +150,7 @@
         if fence is None:
             return
         log_event("stream_owner_deposed", level="WARNING", stream=stream, fence=fence)
-        await self._ownership.report_refusal(RESOURCE_PREFIX + stream, fence)
+        await self._ownership.report_stale_fence(RESOURCE_PREFIX + stream, fence)
 
     async def _as_owner(self, stream: StreamName, work: Awaitable[ResultT]) -> ResultT:
         """Do the owner's work; a replica that has promised a newer owner ends the lease.
@@ -214,7 +214,7 @@
         if stream in self._delivery.owned_streams:
             return await serve(request)
         last_error: DrumbayError = NotOwnerError(f"no owner of stream {stream} is known")
-        for candidate in self._ownership.likely_owners(RESOURCE_PREFIX + stream):
+        for candidate in self._ownership.ranked_candidates(RESOURCE_PREFIX + stream):
             address = self._address_of(candidate)
             if candidate == self._node_id or address is None:
                 continue
--- a/drumbay/node/weights.py
+++ b/drumbay/node/weights.py
@@ -90,7 +90,7 @@
             engine_client=environment.engine_client,
             transport=environment.transport,
             node_id=node_id,
-            view=configuration.snapshot,
+            view=configuration.current_view,
             engines_of=PolicyEngines(directory).engines_for,
             lease_fence=self._lease_fence,
             owner_address=self._owner_address,
@@ -129,7 +129,7 @@
         """Tell the nodes that may own the model's rollout about a published version."""
         self._service.publish(model, version)
         request = AnnounceVersionRequest(model=model, version=version)
-        for candidate in self._ownership.likely_owners(RESOURCE_PREFIX + model):
+        for candidate in self._ownership.ranked_candidates(RESOURCE_PREFIX + model):
             address = self._address_of(candidate)
             if candidate != self._node_id and address is not None:
                 await self._tell(address, request)
@@ -148,7 +148,7 @@
         """Poll the weight store for the models that this node may own."""
         while True:
             for model in sorted(self._models):
-                if self._node_id in self._ownership.likely_owners(RESOURCE_PREFIX + model):
+                if self._node_id in self._ownership.ranked_candidates(RESOURCE_PREFIX + model):
                     await self._poll_store(store, model)
             await self._clock.sleep(self._store_interval_seconds)
 
@@ -183,7 +183,7 @@
 
     def _owner_address(self, model: str) -> Address | None:
         """Return the address of the node that most likely owns a model's rollout."""
-        for candidate in self._ownership.likely_owners(RESOURCE_PREFIX + model):
+        for candidate in self._ownership.ranked_candidates(RESOURCE_PREFIX + model):
             return self._address_of(candidate)
         return None
 
--- a/drumbay/ownership/leader.py
+++ b/drumbay/ownership/leader.py
@@ -26,8 +26,8 @@
 from drumbay.observability.logs import log_event
 
 PREFIX = "drumbay/leader/"
-CURRENT_KEY = f"{PREFIX}current"
-LAST_KEY = f"{PREFIX}last"
+LEADER_KEY = f"{PREFIX}current"
+LAST_LEADER_KEY = f"{PREFIX}last"
 RENEWALS_PER_LEASE = 2
 RENEWAL_RETRY_SECONDS = 0.1
 SAFETY_MARGIN_FRACTION = 0.2
@@ -63,18 +63,18 @@
     revision: Revision
 
 
-class LeadPolicy(msgspec.Struct, frozen=True, kw_only=True):
+class LeadershipPolicy(msgspec.Struct, frozen=True, kw_only=True):
     """Timing of leadership.
 
     Attributes:
         lease_seconds: Time to live of the leader's lease without a renewal.
-        turn_seconds: Minimum time between orders of two machines to one worker.
-        quiet_seconds: How long a leader that follows another machine gives no orders.
+        duty_delay_seconds: Minimum time between orders of two machines to one worker.
+        order_delay_seconds: How long a leader that follows another machine gives no orders.
     """
 
     lease_seconds: float = 2.0
-    turn_seconds: float = 3.0
-    quiet_seconds: float = 3.0
+    duty_delay_seconds: float = 3.0
+    order_delay_seconds: float = 3.0
 
 
 class LeaderElection:
@@ -86,7 +86,7 @@
         store: KeyValueStore,
         record: LeaderRecord,
         generator: random.Random,
-        policy: LeadPolicy,
+        policy: LeadershipPolicy,
         is_candidate: Callable[[], bool],
         recovery_signal: RecoverySignal | None = None,
     ) -> None:
@@ -120,7 +120,7 @@
 
     def fence(self, now: float) -> Fence | None:
         """Return the fence for orders; ``None`` if this node must not give orders now."""
-        may_act = self._is_recorded_as_last or not self._policy.quiet_seconds
+        may_act = self._is_recorded_as_last or not self._policy.order_delay_seconds
         if may_act and self._orders_from <= now < self._valid_until:
             return self._fence
         return None
@@ -128,15 +128,15 @@
     def duty_fence(self, now: float) -> Fence | None:
         """Return the fence for calls to the platform; ``None`` if this node must not make any now.
 
-        A leader that follows another machine waits for ``turn_seconds``: the calls of two machines
-        must not interleave, even if the platform rejects older fences.
+        A leader that follows another machine waits for ``duty_delay_seconds``: the calls of two
+        machines must not interleave, even if the platform rejects older fences.
         """
         may_act = self._is_recorded_as_last and now >= self._duties_from
         return self.fence(now) if may_act else None
 
     def guard(self, fence: Fence) -> ModRevisionIs:
         """Return the comparison that succeeds while no other node was elected since."""
-        return ModRevisionIs(key=CURRENT_KEY, mod_revision=Revision(fence))
+        return ModRevisionIs(key=LEADER_KEY, mod_revision=Revision(fence))
 
     def step_down(self, reason: str) -> None:
         """Stop leading because a newer fence was seen."""
@@ -173,8 +173,8 @@
     async def _read(self) -> _LeaderKeys:
         response = await self._store.range_prefix(PREFIX)
         items = {item.key: item for item in response.items}
-        current = items.get(CURRENT_KEY)
-        last = items.get(LAST_KEY)
+        current = items.get(LEADER_KEY)
+        last = items.get(LAST_LEADER_KEY)
         return _LeaderKeys(
             current=_decoder.decode(current.value) if current else None,
             current_revision=current.mod_revision if current else Revision(0),
@@ -187,11 +187,11 @@
         lease = await self._store.grant_lease(self._policy.lease_seconds)
         value = _encoder.encode(self._record)
         follows_other_machine = seen.last is not None and seen.last.machine != self._record.machine
-        puts = [Put(key=CURRENT_KEY, value=value, lease_id=lease.lease_id)]
+        puts = [Put(key=LEADER_KEY, value=value, lease_id=lease.lease_id)]
         if not follows_other_machine:
-            puts.append(Put(key=LAST_KEY, value=value))
+            puts.append(Put(key=LAST_LEADER_KEY, value=value))
         outcome = await self._store.transact(
-            (ModRevisionIs(key=CURRENT_KEY, mod_revision=seen.current_revision),), tuple(puts)
+            (ModRevisionIs(key=LEADER_KEY, mod_revision=seen.current_revision),), tuple(puts)
         )
         if not outcome.succeeded:
             return
@@ -200,8 +200,8 @@
         self._is_recorded_as_last = not follows_other_machine
         self._extend_validity(started_at, lease.ttl_seconds)
         now = self._clock.monotonic()
-        self._orders_from = now + self._policy.quiet_seconds if follows_other_machine else now
-        self._duties_from = now + self._policy.turn_seconds if follows_other_machine else now
+        self._orders_from = now + self._policy.order_delay_seconds if follows_other_machine else now
+        self._duties_from = now + self._policy.duty_delay_seconds if follows_other_machine else now
         log_event("leader_elected", fence=self._fence, successor=follows_other_machine)
         record_task = asyncio.ensure_future(self._record_last_leader())
         try:
@@ -239,7 +239,7 @@
         if self._is_recorded_as_last or self._fence is None:
             return
         await self._clock.sleep(max(0.0, self._duties_from - self._clock.monotonic()))
-        put = Put(key=LAST_KEY, value=_encoder.encode(self._record))
+        put = Put(key=LAST_LEADER_KEY, value=_encoder.encode(self._record))
         while not self._is_recorded_as_last:
             try:
                 outcome = await self._store.transact((self.guard(self._fence),), (put,))
--- a/drumbay/ownership/manager.py
+++ b/drumbay/ownership/manager.py
@@ -135,7 +135,7 @@
         if fence is not None:
             await self._resign(name, fence)
 
-    async def report_refusal(self, name: str, fence: Fence) -> None:
+    async def report_stale_fence(self, name: str, fence: Fence) -> None:
         """Stop owning a resource because a receiver has seen a newer fence than ``fence``.
 
         A node that is partitioned from the key-value service learns of its successor this way.
@@ -161,7 +161,7 @@
         finally:
             self.remove_listener(queue.put_nowait)
 
-    def holds(self, name: str, now: float) -> Fence | None:
+    def valid_fence(self, name: str, now: float) -> Fence | None:
         """Return the fence if this node certainly owns a resource and may start new work for it."""
         if self._state.standing(name, now) is Standing.VALID:
             return self._state.fence(name)
@@ -170,7 +170,7 @@
     def fence_to_continue(self, name: str, now: float) -> Fence | None:
         """Return the fence for work whose receivers all check the fence.
 
-        Unlike :meth:`holds`, it also returns the fence while the key-value service cannot be
+        Unlike :meth:`valid_fence`, it also returns the fence while the key-value service cannot be
         reached.
         """
         if self._state.standing(name, now) in (Standing.VALID, Standing.UNCONFIRMED):
@@ -181,7 +181,7 @@
         """Return the standing of this node for a resource."""
         return self._state.standing(name, now)
 
-    def likely_owners(self, name: str) -> tuple[NodeId, ...]:
+    def ranked_candidates(self, name: str) -> tuple[NodeId, ...]:
         """Return the candidates of a resource, best first, computed without a request."""
         self._placement.set_members(self._live_members())
         return self._placement.candidates(name)
--- a/drumbay/serving/node.py
+++ b/drumbay/serving/node.py
@@ -15,7 +15,7 @@
 from drumbay.kv.mirror import PrefixFeed
 from drumbay.observability.logs import log_event
 from drumbay.observability.serving_metrics import ServingMetrics
-from drumbay.ownership.leader import LeaderElection, LeaderRecord, LeadPolicy
+from drumbay.ownership.leader import LeaderElection, LeaderRecord, LeadershipPolicy
 from drumbay.peers.directory import PeerDirectory
 from drumbay.peers.feeds import SharedFeeds
 from drumbay.peers.messages import (
@@ -177,9 +177,9 @@
             self._store,
             LeaderRecord(machine=settings.machine, boot=settings.identity.boot),
             environment.generator,
-            LeadPolicy(
-                turn_seconds=settings.turn_seconds,
-                quiet_seconds=0.0 if settings.workers_check_fences else settings.turn_seconds,
+            LeadershipPolicy(
+                duty_delay_seconds=settings.turn_seconds,
+                order_delay_seconds=0.0 if settings.workers_check_fences else settings.turn_seconds,
             ),
             lambda: self._feeds.is_watcher,
             self._peer_directory.store_returned,
--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -141,7 +141,7 @@
     _log: ReplicatedLog, owned: OwnedStream, entry: LogEntry
 ) -> None:
     """Stand in for the owner's proposal: nothing is stored on the replicas."""
-    owned.owner.choose(entry)
+    owned.owner.apply_chosen(entry)
 
 
 def make_node_without_machine_list(settings: NodeSettings, environment: NodeEnvironment) -> Node:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -28,7 +28,7 @@
     RecordsExported,
     SealReplica,
 )
-from drumbay.claims.record_table import ClaimVerdict, RecordTable, TableLimits
+from drumbay.claims.record_table import ClaimVote, RecordTable, TableLimits
 from drumbay.claims.records import AnsweredClaim, Claim, KeyRecord, StoredAnswer, merge_records
 from drumbay.claims.replacement import ReplacementPlanner, ReplacementPolicy
 from drumbay.claims.replica_set import (
@@ -171,14 +171,14 @@
     def test_released_attempt_is_never_granted(self) -> None:
         table = RecordTable(TableLimits())
         table.release(KEY, (AttemptId("a"),), 0.0)
-        self.assertIs(table.claim(KEY, claim("a"), 0.0).verdict, ClaimVerdict.RELEASED)
-        self.assertIs(table.claim(KEY, claim("b"), 0.0).verdict, ClaimVerdict.GRANTED)
-        self.assertIs(table.claim(KEY, claim("c"), 0.0).verdict, ClaimVerdict.HELD)
+        self.assertIs(table.claim(KEY, claim("a"), 0.0).vote, ClaimVote.RELEASED)
+        self.assertIs(table.claim(KEY, claim("b"), 0.0).vote, ClaimVote.GRANTED)
+        self.assertIs(table.claim(KEY, claim("c"), 0.0).vote, ClaimVote.HELD)
 
     def test_expired_records_are_removed_after_retention(self) -> None:
         table = RecordTable(TableLimits(retention_seconds=10.0))
         table.claim(KEY, claim("a"), 0.0)
-        self.assertIs(table.claim(KEY, claim("b"), 10.0).verdict, ClaimVerdict.HELD)
+        self.assertIs(table.claim(KEY, claim("b"), 10.0).vote, ClaimVote.HELD)
         self.assertEqual(table.expire(11.5), 1)
         self.assertEqual((len(table), table.size_bytes), (0, 0))
 
@@ -186,9 +186,9 @@
         table = RecordTable(TableLimits(max_records=1))
         table.claim(KEY, claim("a"), 0.0)
         other = IdempotencyKey("other")
-        self.assertIs(table.claim(other, claim("b"), 0.0).verdict, ClaimVerdict.FULL)
+        self.assertIs(table.claim(other, claim("b"), 0.0).vote, ClaimVote.FULL)
         self.assertIsNone(table.release(other, (AttemptId("b"),), 0.0))
-        self.assertIs(table.claim(KEY, claim("a"), 0.0).verdict, ClaimVerdict.GRANTED)
+        self.assertIs(table.claim(KEY, claim("a"), 0.0).vote, ClaimVote.GRANTED)
 
     def test_large_answer_is_recorded_without_its_body(self) -> None:
         table = RecordTable(TableLimits(max_answer_bytes=3))
--- a/tests/test_claims_cluster.py
+++ b/tests/test_claims_cluster.py
@@ -76,10 +76,10 @@
     def test_cancelled_caller_gets_the_answer_on_retry(self) -> None:
         async def scenario(world: World) -> None:
             self.assertIsNone(await world.call("n1", KEY, delay=1.0, patience=0.1))
-            self.assertEqual(world.nodes["n1"].service.dispatches_under_way, 1)
+            self.assertEqual(world.nodes["n1"].service.active_dispatches, 1)
             self.assert_failed(await world.call("n2", KEY), ClaimFailure.IN_PROGRESS)
             await world.clock.sleep(2.0)
-            self.assertEqual(world.nodes["n1"].service.dispatches_under_way, 0)
+            self.assertEqual(world.nodes["n1"].service.active_dispatches, 0)
             self.assert_answered(await world.call("n2", KEY), replayed=True)
 
         self.run_world(scenario)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -169,7 +169,7 @@
         self.assertFalse(self.ready_without_majority)
         self.assertEqual(find_reversions(correct.observations), [])
         self.assertEqual(
-            correct.nodes["node-005"].service.snapshot().routes["consulta"].priority, 2
+            correct.nodes["node-005"].service.current_view().routes["consulta"].priority, 2
         )
         faulty = self.run_cluster(scenario, SingleReplicaService)
         self.assertTrue(self.ready_without_majority)
@@ -199,7 +199,7 @@
 
     def test_old_events_of_a_slow_watcher_are_ignored(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
-            slow = next(node for node in cluster.nodes.values() if node.service.watching)
+            slow = next(node for node in cluster.nodes.values() if node.service.is_watching)
             slow.store.batch_delay_seconds = 5.0
             for priority in range(1, 6):
                 await self.accept(cluster, priority)
@@ -209,7 +209,7 @@
         correct = self.run_cluster(scenario)
         self.assertEqual(find_reversions(correct.observations), [])
         for node in correct.nodes.values():
-            self.assertEqual(node.service.snapshot().routes["consulta"].priority, 5)
+            self.assertEqual(node.service.current_view().routes["consulta"].priority, 5)
         faulty = self.run_cluster(scenario, UncheckedStateService)
         self.assertNotEqual(find_reversions(faulty.observations), [])
 
@@ -226,7 +226,7 @@
             await asyncio.sleep(70)
             for node in far:
                 self.assertEqual(node.service.readiness().reason, ReadinessReason.UNCONFIRMED)
-                self.assertEqual(node.service.snapshot().routes["consulta"].priority, 1)
+                self.assertEqual(node.service.current_view().routes["consulta"].priority, 1)
                 with self.assertRaises(ConfigurationNotCurrentError):
                     await node.operators.apply(route(9), None, "from-the-cut")
             self.assertTrue(cluster.nodes["node-001"].service.readiness().current)
@@ -259,7 +259,7 @@
             await asyncio.gather(*writes, return_exceptions=True)
             self.assertGreater(
                 cluster.model.compacted_revision,
-                cluster.nodes["node-005"].service.snapshot().revision,
+                cluster.nodes["node-005"].service.current_view().revision,
             )
             cluster.model.set_faults(KeyValueFaults())
             await cluster.wait_in_force(cluster.model.revision, 16.0)
--- a/tests/test_configuration_operators.py
+++ b/tests/test_configuration_operators.py
@@ -139,7 +139,7 @@
             )
             commit_counts = []
             for round_number in range(5):
-                view = nodes[0].service.snapshot()
+                view = nodes[0].service.current_view()
                 expected = view.resource_revisions.get("Route/consulta", Revision(0))
                 writes = [
                     writer.apply(route(round_number), expected, f"{round_number}-{number}")
@@ -223,7 +223,7 @@
             operators = cluster.nodes["node-000"].operators
             created = await operators.apply(route(1), Revision(0), "create")
             await operators.delete(route(1), created.committed_revision, "delete")
-            self.assertEqual(cluster.nodes["node-000"].service.snapshot().routes, {})
+            self.assertEqual(cluster.nodes["node-000"].service.current_view().routes, {})
             with self.assertRaises(ConflictError) as caught:
                 await operators.apply(route(2), created.committed_revision, "late")
             self.assertEqual(caught.exception.expected_revision, created.committed_revision)
--- a/tests/test_configuration_replicas.py
+++ b/tests/test_configuration_replicas.py
@@ -211,7 +211,7 @@
             await cluster.nodes["node-006"].kill()
             cluster.nodes["node-006"].start()
             await asyncio.sleep(5)
-            view = cluster.nodes["node-006"].service.snapshot()
+            view = cluster.nodes["node-006"].service.current_view()
             self.assertEqual(view.routes["consulta"].priority, 1)
 
         cluster = self.run_cluster(scenario)
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -62,7 +62,7 @@
         try:
             await super().propose(owned, entry)
         except QuorumUnavailableError:
-            owned.owner.choose(entry)
+            owned.owner.apply_chosen(entry)
 
 
 class BatchLosingLog(ReplicatedLog):
--- a/tests/test_leader_turns.py
+++ b/tests/test_leader_turns.py
@@ -16,7 +16,7 @@
     TransactionResult,
 )
 from drumbay.kv.memory import MemoryKeyValueStore
-from drumbay.ownership.leader import LAST_KEY, LeaderElection, LeaderRecord, LeadPolicy
+from drumbay.ownership.leader import LAST_LEADER_KEY, LeaderElection, LeaderRecord, LeadershipPolicy
 from tests.serving_world import ServingWorld, WorldNode, play
 
 TURN_SECONDS = 3.0
@@ -56,7 +56,7 @@
         async def scenario(world: ServingWorld) -> None:
             store = ResponseLosingStore(world.model, world.clock, timeout_seconds=1.0)
             first_record = LeaderRecord(machine="m1", boot="b1")
-            policy = LeadPolicy(quiet_seconds=0.0)
+            policy = LeadershipPolicy(order_delay_seconds=0.0)
             store.loses_responses = False
             first = LeaderElection(
                 world.clock, store, first_record, random.Random(1), policy, lambda: True
@@ -93,7 +93,9 @@
     async def transact(
         self, compares: tuple[ModRevisionIs, ...], operations: tuple[Put | Delete, ...]
     ) -> TransactionResult:
-        if self.loses_responses and [operation.key for operation in operations] == [LAST_KEY]:
+        if self.loses_responses and [operation.key for operation in operations] == [
+            LAST_LEADER_KEY
+        ]:
             await asyncio.sleep(1.0)
             raise KeyValueOutcomeUnknownError("lost")
         return await super().transact(compares, operations)
--- a/tests/test_lone_node.py
+++ b/tests/test_lone_node.py
@@ -66,7 +66,7 @@
 class WaitingService(ConfigurationService):
     """Fault: a node waits for a majority of the replicas without end."""
 
-    lone_wait_seconds: ClassVar[float] = float("inf")
+    majority_wait_seconds: ClassVar[float] = float("inf")
 
 
 class LoneNodeTest(unittest.TestCase):
@@ -107,7 +107,7 @@
             started = cluster.nodes["node-002"]
             started.start(service_type)
             await asyncio.sleep(IN_FORCE_SECONDS)
-            in_force = started.service.snapshot().revision >= self.last_revision
+            in_force = started.service.current_view().revision >= self.last_revision
             self.in_time = in_force and started.service.readiness().ready
 
         self.run_cluster(scenario, service_type)
@@ -137,7 +137,7 @@
             for each in (cut, other_cut):
                 cluster.network.heal(each, both_ways=True)
             await asyncio.sleep(IN_FORCE_SECONDS)
-            self.in_time = returning.service.snapshot().revision >= self.last_revision
+            self.in_time = returning.service.current_view().revision >= self.last_revision
 
         cluster = self.run_cluster(scenario, service_type)
         self.assertEqual(find_reversions(cluster.observations), [])
@@ -164,7 +164,7 @@
             started.start()
             await asyncio.sleep(IN_FORCE_SECONDS)
             self.assertTrue(started.service.readiness().ready)
-            self.assertEqual(started.service.snapshot().routes["consulta"].priority, 2)
+            self.assertEqual(started.service.current_view().routes["consulta"].priority, 2)
 
         self.assertEqual(find_reversions(self.run_cluster(scenario).observations), [])
 
@@ -202,8 +202,8 @@
             self.assertIs(await self.write(cluster, "node-004", 2), WriteOutcome.UNKNOWN_YET)
             await asyncio.sleep(IN_FORCE_SECONDS)
             alone = cluster.nodes["node-002"]
-            self.assertEqual(alone.service.snapshot().routes["consulta"].priority, 2)
-            self.assertEqual(deaf.service.snapshot().routes["consulta"].priority, 1)
+            self.assertEqual(alone.service.current_view().routes["consulta"].priority, 2)
+            self.assertEqual(deaf.service.current_view().routes["consulta"].priority, 1)
             status = await alone.operators.operation_status("set-2")
             self.assertIs(status.outcome, WriteOutcome.UNKNOWN_YET)
             cluster.nodes["node-000"].start()
@@ -229,7 +229,7 @@
             await asyncio.sleep(IN_FORCE_SECONDS)
             restarted = cluster.nodes["node-002"].service
             self.assertTrue(restarted.readiness().ready)
-            self.assertEqual(restarted.snapshot().routes["consulta"].priority, 2)
+            self.assertEqual(restarted.current_view().routes["consulta"].priority, 2)
 
         self.assertEqual(find_reversions(self.run_cluster(scenario).observations), [])
 
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -189,10 +189,10 @@
     def test_freeze_longer_than_the_lease(self) -> None:
         async def scenario() -> None:
             cluster, owner, other = await start_pair()
-            first = owner.manager.holds(NAME, cluster.model.now())
+            first = owner.manager.valid_fence(NAME, cluster.model.now())
             owner.host.freeze()
             await asyncio.sleep(60.0)
-            second = other.manager.holds(NAME, cluster.model.now())
+            second = other.manager.valid_fence(NAME, cluster.model.now())
             assert first is not None and second is not None
             self.assertGreater(second, first)
             now = cluster.model.now()
@@ -208,11 +208,11 @@
     def test_outage_longer_than_the_lease(self) -> None:
         async def scenario() -> None:
             cluster, owner, other = await start_pair()
-            fence = owner.manager.holds(NAME, cluster.model.now())
+            fence = owner.manager.valid_fence(NAME, cluster.model.now())
             cluster.model.set_faults(OUTAGE)
             await asyncio.sleep(600.0)
             now = cluster.model.now()
-            self.assertIsNone(owner.manager.holds(NAME, now))
+            self.assertIsNone(owner.manager.valid_fence(NAME, now))
             self.assertEqual(owner.manager.fence_to_continue(NAME, now), fence)
             self.assertEqual(other.changes, [])
             cluster.model.set_faults(HEALTHY)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -171,12 +171,12 @@
             for at in range(0, len(text), size):
                 found.extend(parser.feed(text[at : at + size]))
             self.assertEqual(found, expected)
-            self.assertFalse(parser.has_rest)
+            self.assertFalse(parser.has_incomplete_event)
 
     def test_incomplete_event_is_buffered(self) -> None:
         parser = EventParser(WeightVersion(1))
         self.assertEqual(len(parser.feed(b"id: 1\ndata: a\n\nid: 2\ndata: b\n")), 1)
-        self.assertTrue(parser.has_rest)
+        self.assertTrue(parser.has_incomplete_event)
 
     def test_platform_names_occur_only_in_adapter(self) -> None:
         words = re.compile(
--- a/tests/test_platform_serving.py
+++ b/tests/test_platform_serving.py
@@ -25,7 +25,7 @@
 from drumbay.standins.worker_pool import EmulatedWorkerPool, whole_text
 
 HOST = "h.example"
-LIMIT_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 """Fails a test whose condition is never met."""
 
 
@@ -37,7 +37,7 @@
         await asyncio.sleep(0.02)
 
 
-class Answer:
+class ClientResponse:
     """Response received by a client."""
 
     def __init__(self, exchange: HttpExchange, status: int, body: bytes) -> None:
@@ -46,7 +46,7 @@
         self.body = body
 
 
-class NodeProcess:
+class EdgeNode:
     """One node with its servers, assembled as in the edge process."""
 
     def __init__(
@@ -98,7 +98,7 @@
         address: NetworkAddress | None = None,
         request_id: str = "r1",
         headers: tuple[tuple[str, str], ...] = (),
-    ) -> Answer:
+    ) -> ClientResponse:
         request = HttpRequest(
             method=method,
             target=target,
@@ -114,7 +114,7 @@
         exchange = await HttpExchange.open(address or self.front, request, 5.0)
         try:
             status = await exchange.read_status()
-            return Answer(exchange, status, await exchange.read_body())
+            return ClientResponse(exchange, status, await exchange.read_body())
         finally:
             exchange.close()
 
@@ -149,7 +149,7 @@
                 "models": [{"name": m, "ver": v} for m, v in worker.versions.items()],
             }
             self.put(f"servers/{worker.worker_id}", entry)
-        self.processes = [NodeProcess(self.store, self.workers) for _ in range(2)]
+        self.processes = [EdgeNode(self.store, self.workers) for _ in range(2)]
 
     def put(self, key: str, value: object) -> None:
         self.model.transact((), (Put(key=key, value=json.dumps(value).encode()),))
@@ -163,7 +163,7 @@
         rollouts = {**common, "name": "r", "pathPrefix": "/p/", "kind": "rollout"}
         self.put("op/config", {"ver": version, "routes": [*routes, {**rollouts, "svc": "engines"}]})
 
-    async def start(self) -> NodeProcess:
+    async def start(self) -> EdgeNode:
         for process in self.processes:
             process.start()
             self.addAsyncCleanup(process.stop)
@@ -177,7 +177,7 @@
         process = self.processes[0]
         process.start()
         self.addAsyncCleanup(process.stop)
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             ready = await process.ask("GET", "/readyz", address=process.ready)
             self.assertEqual(ready.status, 503)
             response = await process.ask("POST", "/l/1")
@@ -190,7 +190,7 @@
     async def test_lookups_and_routes(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             response = await process.ask("POST", "/l/1", b"question")
             self.assertEqual((response.status, response.body), (200, b"question"))
             self.assertEqual((await process.ask("POST", "/none/1")).status, 404)
@@ -206,7 +206,7 @@
     async def test_metrics_are_served_at_the_peer_address(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await process.ask("POST", "/l/1", b"question")
             response = await process.ask("GET", "/metrics", address=process.peer_address)
         self.assertIn(
@@ -230,7 +230,7 @@
             for number in range(6)
         ]
         batch = {"trainStep": 1, "model": "m", "minVer": 1, "desired": 1, "requests": items}
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             for process in (first, second):
                 response = await process.ask(
                     "POST", "/p/1", json.dumps(batch).encode(), request_id="b1"
@@ -279,7 +279,7 @@
             "path": "/l/score",
             "body": base64.b64encode(b"text").decode(),
         }
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             response = await process.ask("POST", "/p/1", self.scored_batch(scorer), request_id="b1")
             self.assertEqual(response.status, 202)
             page: dict[str, list[dict[str, object]]] = {"results": []}
@@ -292,7 +292,7 @@
         self.configure(1, "/l/")
         process = await self.start()
         valid = {"id": "score-1", "host": HOST, "path": "/l/score", "body": ""}
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             for invalid in ({"id": ""}, {"host": ""}, {"path": "l"}, {"body": "%"}, {"id": 7}):
                 body = self.scored_batch({**valid, **invalid})
                 response = await process.ask("POST", "/p/1", body, request_id="b1")
@@ -304,7 +304,7 @@
         self.configure(1, "/l/")
         process = await self.start()
         self.workers["w1"].faults.slowdown = 100.0
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             open_request = asyncio.ensure_future(process.ask("POST", "/l/1", b"slow"))
 
             async def is_running() -> bool:
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -7,9 +7,9 @@
 
 from tests.test_platform_serving import (
     HOST,
-    LIMIT_SECONDS,
-    Answer,
-    NodeProcess,
+    TIMEOUT_SECONDS,
+    ClientResponse,
+    EdgeNode,
     ServingFixture,
     eventually,
 )
@@ -39,8 +39,8 @@
         body: bytes = b"",
         *,
         request_id: str = "r1",
-        process: NodeProcess | None = None,
-    ) -> Answer:
+        process: EdgeNode | None = None,
+    ) -> ClientResponse:
         headers: tuple[tuple[str, str], ...] = (("X-Drumbay-Tenant", "forged"),)
         if key is not None:
             headers += (("Authorization", f"Bearer {key}"),)
@@ -50,7 +50,7 @@
     async def test_only_known_keys_are_served_and_workers_get_the_tenant(self) -> None:
         self.configure_tenants(1, north=NORTH, south=SOUTH)
         await self.start()
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             for key in (None, "other"):
                 self.assertEqual((await self.ask("POST", "/l/1", key)).status, 401)
             self.assertEqual(self.workers.runs, [])
@@ -68,7 +68,7 @@
     ) -> None:
         self.configure_tenants(1, north=NORTH)
         await self.start()
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             self.assertEqual((await self.ask("POST", "/l/1", NORTH)).status, 200)
             self.configure_tenants(2, south=SOUTH)
 
@@ -94,7 +94,7 @@
         self.configure_tenants(1, north=NORTH, south=SOUTH)
         first = await self.start()
         second = self.processes[1]
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             for key in (None, "other"):
                 refused = await self.ask("POST", "/p/1", key, self.batch(), request_id="b1")
                 self.assertEqual(refused.status, 401)
--- a/tests/test_rollout_bench.py
+++ b/tests/test_rollout_bench.py
@@ -38,7 +38,7 @@
         for step in (0, 1):
             entry = owner.decide_submit(step, prompts(2))
             assert entry is not None
-            owner.choose(entry)
+            owner.apply_chosen(entry)
         overdue, *others = [sample.key for sample in owner.missing()]
         for key in others:
             owner.add_sample(finished(key, 1, "engine"))
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -21,8 +21,8 @@
 
 from loguru import logger
 
+from drumbay.claims.member_timeouts import UNRESPONSIVE_CALL_TIMEOUT_SECONDS
 from drumbay.claims.outcomes import ClaimAnswered, ClaimFailed
-from drumbay.claims.patience import SILENT_CALL_SECONDS
 from drumbay.comm.interface import Address
 from drumbay.delivery.exceptions import QuorumUnavailableError
 from drumbay.delivery.quorum import ReplicaView
@@ -206,7 +206,9 @@
                 started_at = world.clock.monotonic()
                 outcome = await world.call("n1", f"later-{number}", patience=SUCCESSOR_SECONDS)
                 self.assertIsInstance(outcome, ClaimFailed)
-                self.assertLess(world.clock.monotonic() - started_at, 2 * SILENT_CALL_SECONDS)
+                self.assertLess(
+                    world.clock.monotonic() - started_at, 2 * UNRESPONSIVE_CALL_TIMEOUT_SECONDS
+                )
             for name in ("d1", "d2"):
                 world.hosts[name].wake()
             await world.clock.sleep(1.0)
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -25,8 +25,8 @@
 from tests.test_platform_adapter import SETTINGS
 from tests.test_platform_serving import (
     HOST,
-    LIMIT_SECONDS,
-    NodeProcess,
+    TIMEOUT_SECONDS,
+    EdgeNode,
     ServingFixture,
     eventually,
 )
@@ -133,7 +133,7 @@
         await eventually(async_check)
 
     async def test_stalled_reader_is_dropped_under_memory_pressure(self) -> None:
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             client = await self.client()
             await client.send("GET", f"/{LARGE_BYTES}")
             await self.wait_until(lambda: self.held_bytes > LARGE_BYTES)
@@ -147,7 +147,7 @@
 
     async def test_slow_reader_gets_the_whole_response(self) -> None:
         """The transfer takes much longer than a reader may stall: only progress matters."""
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             client = await self.client()
             await client.send("GET", f"/{LARGE_BYTES}")
             status, headers = await client.read_head()
@@ -160,7 +160,7 @@
         self.assertEqual(self.held_bytes, 0)
 
     async def test_concurrent_large_responses_stay_within_the_limit(self) -> None:
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             first = await self.client()
             await first.send("GET", f"/{RESPONSE_BYTES}")
             await first.read_head()
@@ -179,7 +179,7 @@
 
     async def test_request_body_over_the_limit_is_rejected_before_it_is_read(self) -> None:
         self.memory.bytes.reserve(HeldKind.LOOKUP, LIMIT_BYTES)
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             client = await self.client()
             await client.send("POST", "/7", f"Content-Length: {LARGE_BYTES}\r\n", bytes(10))
             status, headers = await client.read_head()
@@ -194,7 +194,7 @@
     async def test_chunked_body_is_rejected_when_it_reaches_the_limit(self) -> None:
         self.memory.bytes.reserve(HeldKind.LOOKUP, LIMIT_BYTES // 2)
         chunk = b"%x\r\n%s\r\n" % (MEGABYTE, bytes(MEGABYTE))
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             client = await self.client()
             await client.send("POST", "/7", "Transfer-Encoding: chunked\r\n")
             for _ in range(8):
@@ -205,7 +205,7 @@
     async def test_stalled_request_body_is_rejected_under_memory_pressure(
         self,
     ) -> None:
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             client = await self.client()
             await client.send("POST", "/7", f"Content-Length: {3 * MEGABYTE}\r\n", bytes(10))
             self.assertEqual((await client.read_head())[0], 503)
@@ -216,7 +216,7 @@
 
     async def test_slow_request_body_is_accepted(self) -> None:
         part = bytes(10_000)
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             client = await self.client()
             await client.send("POST", "/7", f"Content-Length: {3 * MEGABYTE}\r\n")
             for _ in range(3 * MEGABYTE // len(part)):
@@ -225,7 +225,7 @@
             self.assertEqual((await client.read_head())[0], 200)
 
     async def test_aborted_request_body_releases_its_memory(self) -> None:
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             client = await self.client()
             await client.send("POST", "/7", f"Content-Length: {MEGABYTE}\r\n", bytes(10))
             await self.wait_until(lambda: self.held_bytes > MEGABYTE)
@@ -239,7 +239,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         # The stop must not end by its timeout, or the test would not check anything.
-        self.processes = [NodeProcess(self.store, self.workers, stop_seconds=LIMIT_SECONDS)]
+        self.processes = [EdgeNode(self.store, self.workers, stop_seconds=TIMEOUT_SECONDS)]
 
     async def start_large_lookup(self) -> SlowClient:
         self.configure(1, "/l/")
@@ -254,7 +254,7 @@
 
     async def test_graceful_shutdown_waits_for_a_slow_reader(self) -> None:
         node = self.processes[0].node
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             client = await self.start_large_lookup()
             stopping = asyncio.create_task(node.stop())
             remaining = LARGE_BYTES
@@ -268,7 +268,7 @@
         node = self.processes[0].node
         shed = b'drumbay_serving_shed_requests_total{kind="lookup",reason="not_read"} 1.0'
         with mock.patch.dict(STALL_TIMEOUT_UNDER_PRESSURE_SECONDS, {HeldKind.LOOKUP: 0.5}):
-            async with asyncio.timeout(LIMIT_SECONDS):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 await self.start_large_lookup()
                 self.assertGreater(node.held.bytes.held(HeldKind.LOOKUP), LARGE_BYTES)
                 await node.stop()
@@ -283,7 +283,7 @@
         limit_bytes = 10 * MEGABYTE
         node.held.bytes = type(node.held.bytes)(limit_bytes)
         node.held.bytes.reserve(HeldKind.LOOKUP, int(0.6 * limit_bytes))
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             page = await process.ask("GET", "/lots/b1")
             self.assertEqual((page.status, page.headers["Retry-After"]), (503, "0.5"))
             self.assertEqual((await process.ask("POST", "/l/1", b"question")).status, 200)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from drumbay.claims.acceptor import Acceptor
-from drumbay.claims.record_table import ClaimVerdict, TableLimits
+from drumbay.claims.record_table import ClaimVote, TableLimits
 from drumbay.claims.records import Claim
 from drumbay.claims.store import ReplicaStore
 from drumbay.identifiers import AttemptId, BootId, IdempotencyKey, NodeId
@@ -91,8 +91,8 @@
         await store.close()
         reopened = ReplicaStore(self.open(), create)
         self.assertEqual(reopened.running_seconds, 7.0)
-        verdict = reopened.acceptor.table.claim(key, claims[1], 7.0).verdict
-        self.assertIs(verdict, ClaimVerdict.HELD)
+        verdict = reopened.acceptor.table.claim(key, claims[1], 7.0).vote
+        self.assertIs(verdict, ClaimVote.HELD)
         await reopened.close()
 
     async def test_second_open_is_rejected(self) -> None:
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -36,7 +36,7 @@
             BATCH_INDEX_PREFIX: StoreSubject.BATCH_INDEX,
             f"{OPEN_BATCH_PREFIX}10.0.0.1:7000/b1": StoreSubject.BATCH_OPEN,
             directory.PREFIX: StoreSubject.NODES,
-            leader.CURRENT_KEY: StoreSubject.LEADER,
+            leader.LEADER_KEY: StoreSubject.LEADER,
             stored.PREFIX: StoreSubject.QUARANTINE,
             controller.STORED_COUNTS_KEY: StoreSubject.SCALING,
             usage_ledger.REPORT_PREFIX: StoreSubject.USAGE,
--- a/tests/test_stream_ownership.py
+++ b/tests/test_stream_ownership.py
@@ -43,7 +43,7 @@
     async def test_refusal_ends_the_lease(self) -> None:
         with self.assertRaises(OwnerDeposedError):
             await self.pull()
-        self.ownership.report_refusal.assert_awaited_once_with(RESOURCE_PREFIX + STREAM, FENCE)
+        self.ownership.report_stale_fence.assert_awaited_once_with(RESOURCE_PREFIX + STREAM, FENCE)
 
     async def test_without_the_report_the_lease_goes_on(self) -> None:
         with (
@@ -51,4 +51,4 @@
             self.assertRaises(OwnerDeposedError),
         ):
             await self.pull()
-        self.ownership.report_refusal.assert_not_awaited()
+        self.ownership.report_stale_fence.assert_not_awaited()
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -22,7 +22,7 @@
 from drumbay.forwarding.routes import RequestKind
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.kv.mirror import FeedMirror, PrefixFeed
-from drumbay.ownership.leader import LeaderElection, LeaderRecord, LeadPolicy
+from drumbay.ownership.leader import LeaderElection, LeaderRecord, LeadershipPolicy
 from drumbay.peers.messages import FollowFeeds, PeerReply, PeerRequest
 from drumbay.peers.pause_detector import PauseDetector
 from drumbay.peers.transport import PeerUnavailableError
@@ -89,7 +89,7 @@
             MemoryKeyValueStore(KeyValueModel(self.clock), self.clock, timeout_seconds=1.0),
             LeaderRecord(machine="m", boot="b"),
             random.Random(1),
-            LeadPolicy(quiet_seconds=0.0),
+            LeadershipPolicy(order_delay_seconds=0.0),
             is_candidate=lambda: True,
         )
         running = asyncio.ensure_future(election.run())
--- a/tests/test_worker_demand.py
+++ b/tests/test_worker_demand.py
@@ -14,7 +14,7 @@
 from drumbay.forwarding.routes import RequestLimits, RoutingConfiguration
 from drumbay.identifiers import BackendId
 from drumbay.kv.interface import Put
-from drumbay.ownership.leader import CURRENT_KEY
+from drumbay.ownership.leader import LEADER_KEY
 from drumbay.peers.messages import CollectPlaces, PeerReply, PeerRequest, PlacesReply
 from drumbay.peers.transport import PeerUnavailableError
 from drumbay.scaling.collector import REPLY_LIFETIME_SECONDS, DemandCollector
@@ -364,7 +364,7 @@
             await asyncio.sleep(12.0)
             await world.nodes[0].batches.submit(batch_spec(groups=100, group_size=8))
             await asyncio.sleep(0.5)
-            other = Put(key=CURRENT_KEY, value=b"another leader")
+            other = Put(key=LEADER_KEY, value=b"another leader")
             await world.nodes[0].store.transact((), (other,))
             await asyncio.sleep(3.0)
             self.assertEqual(world.duties.calls, [])
