--- a/drumbay/requests/__init__.py
+++ b/drumbay/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The path of one caller's request: route, admission, choice, dispatch, answer."""
+"""Request handling: routing, admission, backend selection, dispatch and response."""
--- a/drumbay/requests/admission_gate.py
+++ b/drumbay/requests/admission_gate.py
@@ -1,4 +1,4 @@
-"""Admission of one request as a context: a refusal becomes the caller's final answer."""
+"""Admission of requests: a context manager that raises the error for a rejected request."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -15,12 +15,12 @@
 
 
 class AdmissionGate:
-    """Counts the requests of this node and refuses new ones over the limits.
+    """Counts the requests of this node and rejects new ones over the limits.
 
     Args:
-        clock: Time.
-        controller: Limits and fair shares.
-        metrics: Counts refusals.
+        clock: Time source.
+        controller: Enforces limits and fair shares.
+        metrics: Counts rejections.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         controller: AdmissionController,
         metrics: NodeMetrics | None = None,
     ) -> None:
-        """Create an open gate."""
+        """Create a gate that admits requests."""
         self._metrics = metrics or NodeMetrics()
         self._clock = clock
         self._controller = controller
@@ -38,27 +38,27 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the requests in flight."""
+        """Return the number of requests in flight."""
         return self._controller.in_flight
 
     def set_routes(self, routes: tuple[Route, ...]) -> None:
-        """Take in the routes in force."""
+        """Replace the routes with those of the current configuration."""
         now = self._clock.monotonic()
         names = tuple(route.name for route in routes)
         for name in self._routes:
             if name not in names:
                 self._controller.remove_route(name)
         for route in routes:
-            self._controller.set_route(_limits_of(route), now)
+            self._controller.set_route(_route_limits(route), now)
         self._routes = names
 
     @contextmanager
     def admitted(self, route: Route) -> Iterator[None]:
-        """Hold a place of the route while the block runs.
+        """Hold one concurrency slot of the route while the block runs.
 
         Raises:
-            NotReadyError: The node is stopping.
-            OverloadedError: A limit is reached; nothing has run.
+            NotReadyError: The node is shutting down.
+            OverloadedError: A limit is reached; the request has not run.
         """
         if self.is_stopping:
             self._metrics.record_refusal(route.name, STOPPING_REASON)
@@ -81,7 +81,7 @@
             self._controller.release(permit, self._clock.monotonic())
 
 
-def _limits_of(route: Route) -> RouteLimits:
+def _route_limits(route: Route) -> RouteLimits:
     return RouteLimits(
         route_name=route.name,
         route_kind=route.route_kind,
--- a/drumbay/requests/claimed_once.py
+++ b/drumbay/requests/claimed_once.py
@@ -1,4 +1,4 @@
-"""At-most-once execution through claims on a quorum of replicas."""
+"""At-most-once execution: idempotency keys are claimed on a quorum of replicas."""
 
 from collections.abc import Coroutine
 from typing import Any
@@ -22,11 +22,11 @@
 
 
 class ClaimedOnceRunner:
-    """Implements :class:`drumbay.requests.once.OnceRunner` by claims.
+    """Implements :class:`drumbay.requests.once.OnceRunner` with the claim service.
 
     Args:
         claims: Claims idempotency keys.
-        clock: Time.
+        clock: Time source.
         metrics: Counts claims.
     """
 
@@ -48,7 +48,7 @@
         """Run ``dispatch`` at most once per scope and key.
 
         Raises:
-            RequestFailedError: It was not served; the error says whether it may have run.
+            RequestFailedError: The request failed; the error states whether it may have run.
         """
         scoped_key = IdempotencyKey(f"{scope}{KEY_SEPARATOR}{key}")
 
@@ -56,35 +56,35 @@
 
         async def run_claimed(attempt_id: AttemptId) -> StoredAnswer:
             self._metrics.record_claim_duration(self._clock.monotonic() - started_at)
-            return _stored(await _dispatch_claimed(dispatch))
+            return _to_stored_answer(await _dispatch_claimed(dispatch))
 
-        claimed = self._claims.run_once(scoped_key, bytes.fromhex(digest), run_claimed)
-        outcome = await self._within(claimed, remaining_seconds)
+        claimed_run = self._claims.run_once(scoped_key, bytes.fromhex(digest), run_claimed)
+        outcome = await self._wait_for_outcome(claimed_run, remaining_seconds)
         match outcome:
-            case ClaimAnswered(answer=answer, attempt_id=attempt_id, replayed=replayed):
+            case ClaimAnswered(answer=stored_answer, attempt_id=attempt_id, replayed=replayed):
                 self._metrics.record_claim(REPLAYED if replayed else RAN)
                 return ApplicationAnswer(
                     attempt_id=attempt_id,
-                    status=answer.status,
-                    body=answer.body,
-                    content_type=answer.content_type,
+                    status=stored_answer.status,
+                    body=stored_answer.body,
+                    content_type=stored_answer.content_type,
                 )
             case ClaimFailed():
                 self._metrics.record_claim(outcome.failure.value)
                 raise outcome.to_error()
 
-    async def _within(
-        self, claimed: Coroutine[Any, Any, ClaimOutcome], limit_seconds: float
+    async def _wait_for_outcome(
+        self, claimed_run: Coroutine[Any, Any, ClaimOutcome], timeout_seconds: float
     ) -> ClaimOutcome:
-        """Await a claimed run with a time limit.
+        """Await the outcome with a timeout.
 
-        A dispatch under way goes on, and its answer is stored for the caller's retry.
+        A dispatch in progress continues, and its response is stored for the caller's retry.
 
         Raises:
-            RequestTimeoutError: The limit passed; the request may have run.
+            RequestTimeoutError: The timeout expired; the request may have run.
         """
         try:
-            return await self._clock.wait_for(claimed, limit_seconds)
+            return await self._clock.wait_for(claimed_run, timeout_seconds)
         except DeadlineExceededError as error:
             self._metrics.record_claim(TIMED_OUT)
             raise RequestTimeoutError(
@@ -95,11 +95,11 @@
 
 
 async def _dispatch_claimed(dispatch: Dispatch) -> ApplicationAnswer:
-    """Dispatch, and tell the claim service by its own exception when nothing ran.
+    """Dispatch the request, translating "not run" errors to those of the claim service.
 
     Raises:
-        BackendRefusedError: No back end has run the request.
-        RequestFailedError: It may have run.
+        BackendRefusedError: No backend has run the request.
+        RequestFailedError: The request may have run.
     """
     try:
         return await dispatch()
@@ -109,5 +109,7 @@
         raise
 
 
-def _stored(answer: ApplicationAnswer) -> StoredAnswer:
-    return StoredAnswer(status=answer.status, content_type=answer.content_type, body=answer.body)
+def _to_stored_answer(response: ApplicationAnswer) -> StoredAnswer:
+    return StoredAnswer(
+        status=response.status, content_type=response.content_type, body=response.body
+    )
--- a/drumbay/requests/dispatcher.py
+++ b/drumbay/requests/dispatcher.py
@@ -1,4 +1,4 @@
-"""Choice of a back end for one attempt, with its bookkeeping and its decision record."""
+"""Selection of a backend for one attempt, with attempt accounting and a decision record."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -22,22 +22,22 @@
 NO_BACKEND_RETRY_AFTER_SECONDS = 1.0
 
 
-_SUCCESS_OF = {AttemptEnd.SUCCEEDED: True, AttemptEnd.FAILED: False}
-"""What an end tells the circuit breaker; refusals and cancellations tell nothing."""
+_CIRCUIT_OUTCOMES = {AttemptEnd.SUCCEEDED: True, AttemptEnd.FAILED: False}
+"""What the circuit breaker records; rejections and cancellations are not counted."""
 
 
-class AttemptNeeds(msgspec.Struct, frozen=True, kw_only=True):
-    """What one attempt needs of a back end.
+class AttemptRequirements(msgspec.Struct, frozen=True, kw_only=True):
+    """Requirements of one attempt on a backend.
 
     Attributes:
         subject_kind: Kind of the subject in decision records.
-        subject_id: Request or sample.
-        attempt_id: The attempt.
-        compiled: The route.
+        subject_id: Request or sample id.
+        attempt_id: Attempt id.
+        compiled: Route of the request.
         prompt: Prompt text, for prefix affinity.
-        required_version: The only version accepted.
-        oldest_version: Oldest version accepted.
-        already_tried: Back ends of earlier attempts.
+        required_version: The only weight version accepted; ``None`` accepts any.
+        oldest_version: The oldest weight version accepted; ``None`` accepts any.
+        already_tried: Backends of earlier attempts.
     """
 
     subject_kind: SubjectKind
@@ -51,15 +51,15 @@
 
 
 class Dispatcher:
-    """Chooses back ends and keeps count of the attempts on them.
+    """Selects backends and tracks the attempts on them.
 
     Args:
-        clock: Time.
+        clock: Time source.
         zone: Zone of this node.
-        directory: Back ends as this node knows them.
-        recorder: Takes the decision records.
-        random: Source of the choice's samples.
-        policy: Weights and limits of the choice.
+        directory: Backends known to this node.
+        recorder: Stores the decision records.
+        random: Random source for sampling candidates.
+        policy: Weights and limits of the selection.
         metrics: Counts attempts and retries.
     """
 
@@ -82,24 +82,24 @@
         self._policy = policy or ChoicePolicy()
         self._metrics = metrics or NodeMetrics()
 
-    def choose(self, needs: AttemptNeeds) -> BackendAddress:
-        """Choose the back end of one attempt and record the decision.
+    def choose(self, requirements: AttemptRequirements) -> BackendAddress:
+        """Select the backend of one attempt and record the decision.
 
         Raises:
-            NoBackendError: No back end is eligible now.
+            NoBackendError: No backend is eligible.
         """
         now = self._clock.monotonic()
-        route = needs.compiled.route
-        hashes = affinity_hashes(route.model, needs.prompt)
-        affinity = self._directory.prefixes.affinities(hashes, needs.required_version)
+        route = requirements.compiled.route
+        hashes = affinity_hashes(route.model, requirements.prompt)
+        affinity = self._directory.prefixes.affinities(hashes, requirements.required_version)
         request = ChoiceRequest(
             now=now,
             zone=self._zone,
-            selects=needs.compiled.selects,
+            selects=requirements.compiled.matches,
             model=route.model,
-            required_version=needs.required_version,
-            oldest_version=needs.oldest_version,
-            already_tried=needs.already_tried,
+            required_version=requirements.required_version,
+            oldest_version=requirements.oldest_version,
+            already_tried=requirements.already_tried,
             priority=route.priority,
             prefix_affinity=affinity,
         )
@@ -109,15 +109,15 @@
         chosen = choice.chosen
         address = self._directory.address(chosen.backend_id) if chosen else None
         if chosen is not None and chosen.weight_version is not None:
-            # Own requests are what a node surely hears of; events of the engine come late,
-            # and at larger sizes they are not asked for.
+            # The engine's cache events arrive late and may not be polled at all, so the node
+            # also records its own dispatches.
             prefixes = self._directory.prefixes
             prefixes.record_dispatch(chosen.backend_id, hashes, chosen.weight_version)
         self._recorder.record(
-            needs.subject_kind,
-            needs.subject_id,
+            requirements.subject_kind,
+            requirements.subject_id,
             "dispatched" if address else "no_backend",
-            detail=f"route {route.name}, attempt {needs.attempt_id}",
+            detail=f"route {route.name}, attempt {requirements.attempt_id}",
             candidates=choice.verdicts(),
         )
         if address is None:
@@ -126,13 +126,13 @@
                 execution=Execution.NOT_RUN,
                 retry_after_seconds=NO_BACKEND_RETRY_AFTER_SECONDS,
             )
-        if needs.already_tried:
+        if requirements.already_tried:
             self._metrics.record_retry(route.name)
         return address
 
     @contextmanager
     def attempt(self, address: BackendAddress, attempt_id: AttemptId) -> Iterator[None]:
-        """Count an attempt while the block runs; its exception tells how it ended.
+        """Track an attempt while the block runs; the exception it raises gives the result.
 
         Raises:
             BackendRefusedError: The circuit breaker does not admit the attempt now.
@@ -142,23 +142,23 @@
         if permit is None:
             self._metrics.record_attempt(AttemptEnd.REFUSED)
             raise BackendRefusedError("circuit_open")
-        end = AttemptEnd.CANCELLED
+        result = AttemptEnd.CANCELLED
         try:
             yield
-            end = AttemptEnd.SUCCEEDED
+            result = AttemptEnd.SUCCEEDED
         except BackendRefusedError:
-            end = AttemptEnd.REFUSED
+            result = AttemptEnd.REFUSED
             raise
         except BackendError:
-            end = AttemptEnd.FAILED
+            result = AttemptEnd.FAILED
             raise
         finally:
-            outcome = AttemptOutcome(succeeded=_SUCCESS_OF.get(end))
-            self._metrics.record_attempt(end)
+            outcome = AttemptOutcome(succeeded=_CIRCUIT_OUTCOMES.get(result))
+            self._metrics.record_attempt(result)
             self._directory.finish_attempt(
                 backend_id, attempt_id, permit, outcome, self._clock.monotonic()
             )
 
-    def records_of(self, kind: SubjectKind, subject_id: str) -> tuple[DecisionRecord, ...]:
+    def decision_records(self, kind: SubjectKind, subject_id: str) -> tuple[DecisionRecord, ...]:
         """Return the decision records of a subject."""
         return self._recorder.find(kind, subject_id)
--- a/drumbay/requests/errors.py
+++ b/drumbay/requests/errors.py
@@ -1,4 +1,4 @@
-"""Final answers to requests that were not served. Each says whether the request ran."""
+"""Errors returned to the caller of a failed request; each states whether the request ran."""
 
 from typing import ClassVar
 
@@ -8,54 +8,54 @@
 NOT_READY_RETRY_AFTER_SECONDS = 1.0
 
 
-PROVES_NOT_RUN: tuple[type[Exception], ...] = (BackendNotReachedError, BackendRefusedError)
-"""Failures of an attempt after which the request certainly has not run."""
+NOT_RUN_ERRORS: tuple[type[Exception], ...] = (BackendNotReachedError, BackendRefusedError)
+"""Errors of an attempt that guarantee that the request has not run."""
 
 
 class NoRouteError(RequestFailedError):
-    """No route carries the request."""
+    """No route matches the request."""
 
     code = "no_route"
     http_status: ClassVar[int] = 404
 
 
 class InvalidRequestError(RequestFailedError):
-    """The request itself is not valid."""
+    """The request is malformed."""
 
     code = "invalid_request"
     http_status: ClassVar[int] = 400
 
 
 class NotFoundError(RequestFailedError):
-    """What the request names does not exist."""
+    """The requested resource does not exist."""
 
     code = "not_found"
     http_status: ClassVar[int] = 404
 
 
 class ConflictingWriteError(RequestFailedError):
-    """Another operator changed the resource first; nothing was written."""
+    """The resource was modified concurrently; nothing was written."""
 
     code = "conflict"
     http_status: ClassVar[int] = 409
 
 
 class PermissionDeniedError(RequestFailedError):
-    """The bearer may not do this."""
+    """The token does not grant permission for this operation."""
 
     code = "permission_denied"
     http_status: ClassVar[int] = 403
 
 
 class AuthenticationRequiredError(RequestFailedError):
-    """No valid bearer token came with the request."""
+    """The request has no valid bearer token."""
 
     code = "authentication_required"
     http_status: ClassVar[int] = 401
 
 
 class NotReadyError(RequestFailedError):
-    """This node has no configuration yet, or is stopping."""
+    """This node has no configuration yet, or is shutting down."""
 
     code = "not_ready"
 
@@ -68,33 +68,33 @@
 
 
 class NoBackendError(RequestFailedError):
-    """No back end can serve the request now."""
+    """No backend is eligible for the request."""
 
     code = "no_backend"
 
 
 class BackendFailedError(RequestFailedError):
-    """The back end broke off; the request may have run."""
+    """The last attempt on a backend failed; the request may have run."""
 
     code = "backend_failed"
     http_status: ClassVar[int] = 502
 
 
 class RequestTimeoutError(RequestFailedError):
-    """The request's time limit passed."""
+    """The request timed out."""
 
     code = "request_timeout"
     http_status: ClassVar[int] = 504
 
 
 class NotOwnerError(RequestFailedError):
-    """No node owns the stream at present."""
+    """No node currently owns the stream."""
 
     code = "no_stream_owner"
 
 
 class StaleBatchRefusedError(RequestFailedError):
-    """The batch fixed at this cursor is older than the trainer now accepts."""
+    """The batch committed at this cursor is older than the trainer accepts."""
 
     code = "stale_batch"
     http_status: ClassVar[int] = 410
@@ -107,12 +107,13 @@
     )
 
 
-def no_route(detail: str, *, is_ready: bool) -> RequestFailedError:
-    """Return the refusal of a request that no known route carries.
+def no_route_error(detail: str, *, is_ready: bool) -> RequestFailedError:
+    """Return the error for a request that matches no route.
 
     Args:
-        detail: What was looked for.
-        is_ready: Whether this node has the configuration; without it, it knows no route.
+        detail: Message for the caller.
+        is_ready: Whether this node has a configuration. Without one it has no routes, so the
+            caller should retry.
     """
     if is_ready:
         return NoRouteError(detail, execution=Execution.NOT_RUN)
--- a/drumbay/requests/identity.py
+++ b/drumbay/requests/identity.py
@@ -1,4 +1,4 @@
-"""Identifiers of requests and attempts. A request's id names the node that decided on it."""
+"""Ids of requests and attempts; each id contains the node that created it."""
 
 from drumbay.identifiers import AttemptId, BootId, NodeId, RequestId
 
@@ -6,30 +6,30 @@
 
 
 class IdentityFactory:
-    """Makes identifiers that are unique over nodes and restarts.
+    """Creates request ids that are unique across nodes and restarts.
 
     Args:
-        node_id: This node.
-        boot_id: This run of the node's process.
+        node_id: Id of this node.
+        boot_id: Id of this run of the node's process.
     """
 
     def __init__(self, node_id: NodeId, boot_id: BootId) -> None:
-        """Start counting from one."""
+        """Start numbering at 1."""
         self._prefix = f"{node_id}{SEPARATOR}{boot_id}"
-        self._requests = 0
+        self._request_count = 0
 
     def next_request(self) -> RequestId:
         """Return a new request id."""
-        self._requests += 1
-        return RequestId(f"{self._prefix}{SEPARATOR}{self._requests}")
+        self._request_count += 1
+        return RequestId(f"{self._prefix}{SEPARATOR}{self._request_count}")
 
 
-def attempt_of(request_id: RequestId, number: int) -> AttemptId:
-    """Return the id of a request's attempt, counted from 1."""
+def attempt_id_of(request_id: RequestId, number: int) -> AttemptId:
+    """Return the id of an attempt; ``number`` starts at 1."""
     return AttemptId(f"{request_id}{SEPARATOR}{number}")
 
 
 def node_of(request_id: str) -> NodeId | None:
-    """Return the node that made a request or attempt id; ``None`` if it has no such form."""
+    """Return the node that created a request or attempt id, or ``None`` if it is malformed."""
     node_id, separator, _ = request_id.partition(SEPARATOR)
     return NodeId(node_id) if separator else None
--- a/drumbay/requests/once.py
+++ b/drumbay/requests/once.py
@@ -1,4 +1,4 @@
-"""Interface of at-most-once execution, as the request path uses it."""
+"""Interface for at-most-once execution of requests."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -10,7 +10,7 @@
 
 
 class OnceRunner(Protocol):
-    """Runs requests that may not be repeated."""
+    """Runs requests that are not repeatable."""
 
     async def run(
         self,
@@ -21,18 +21,18 @@
         dispatch: Dispatch,
         remaining_seconds: float,
     ) -> ApplicationAnswer:
-        """Run ``dispatch`` at most once per scope and key, over all nodes and retries.
+        """Run ``dispatch`` at most once per scope and key, across all nodes and retries.
 
         Args:
-            scope: Name space of the key (the route).
-            key: The caller's key.
-            digest: Digest of the request; a key may not be reused for another one.
-            dispatch: Sends the request to a back end. A raised
-                :class:`~drumbay.exceptions.RequestFailedError` that says ``not run`` frees
-                the key again.
+            scope: Namespace of the key (the route name).
+            key: The caller's idempotency key.
+            digest: Digest of the request; a key must not be reused for a different request.
+            dispatch: Sends the request to a backend. A
+                :class:`~drumbay.exceptions.RequestFailedError` whose execution is ``not run``
+                releases the key.
             remaining_seconds: Time left for the request.
 
         Raises:
-            RequestFailedError: It was not served; the error says whether it may have run.
+            RequestFailedError: The request failed; the error states whether it may have run.
         """
         ...
--- a/drumbay/requests/progress.py
+++ b/drumbay/requests/progress.py
@@ -1,4 +1,4 @@
-"""Progress of one completion over several attempts: tokens, and the versions behind them."""
+"""Progress of one completion across attempts: its tokens and their weight versions."""
 
 from drumbay.api.schema import VersionSpan
 from drumbay.backends.interface import (
@@ -12,17 +12,17 @@
 
 
 class CompletionProgress:
-    """Tokens delivered so far, checked for order, and spans of the stamped versions."""
+    """Tokens delivered so far, checked for order, and their weight version spans."""
 
     def __init__(self) -> None:
-        """Start with no token."""
+        """Start without tokens."""
         self._token_ids: list[int] = []
         self._spans: list[VersionSpan] = []
         self._finish_reason: FinishReason | None = None
 
     @property
     def is_finished(self) -> bool:
-        """Return whether the last chunk has been taken in."""
+        """Return whether the last chunk has been accepted."""
         return self._finish_reason is not None
 
     @property
@@ -41,11 +41,11 @@
         return self._spans[-1].weight_version if self._spans else None
 
     def accept(self, backend_id: BackendId, request: GenerationRequest, chunk: TokenChunk) -> None:
-        """Take in the next chunk.
+        """Append the next chunk.
 
         Raises:
-            AnswerMismatchError: It belongs to another attempt or is out of order.
-            ExchangeBrokenError: The engine cancelled the attempt; the chunk is not taken.
+            AnswerMismatchError: The chunk belongs to another attempt or is out of order.
+            ExchangeBrokenError: The engine cancelled the attempt; the chunk is not appended.
         """
         if chunk.attempt_id != request.attempt_id:
             raise AnswerMismatchError(f"a chunk of attempt {chunk.attempt_id}")
@@ -62,13 +62,13 @@
 
     def _extend_spans(self, backend_id: BackendId, chunk: TokenChunk) -> None:
         last = self._spans[-1] if self._spans else None
-        continues = (
+        extends_last = (
             last is not None
             and last.weight_version == chunk.weight_version
             and last.boot_id == chunk.boot_id
             and last.backend_id == backend_id
         )
-        if last is None or not continues:
+        if last is None or not extends_last:
             self._spans.append(
                 VersionSpan(
                     weight_version=chunk.weight_version,
@@ -88,7 +88,7 @@
         )
 
 
-def attempt_request(
+def build_generation_request(
     *,
     attempt_id: AttemptId,
     model: str,
@@ -100,7 +100,7 @@
     target_tokens: int | None,
     weight_version: WeightVersion | None = None,
 ) -> GenerationRequest:
-    """Return the request of an attempt that goes on where ``progress`` stands."""
+    """Return the request of an attempt that resumes after the tokens of ``progress``."""
     return GenerationRequest(
         attempt_id=attempt_id,
         model=model,
--- a/drumbay/requests/records.py
+++ b/drumbay/requests/records.py
@@ -1,4 +1,4 @@
-"""Typed records of callers' requests inside a node."""
+"""Records of callers' requests inside a node."""
 
 import msgspec
 
@@ -9,13 +9,13 @@
     """One live generation request.
 
     Attributes:
-        request_id: Identity of the request.
-        model: Model the caller names.
+        request_id: Id of the request.
+        model: Requested model.
         prompt: Prompt text.
-        max_tokens: Most tokens to generate.
-        seed: Seed of the sampling.
+        max_tokens: Maximum number of tokens to generate.
+        seed: Sampling seed.
         target_tokens: Length hint for emulated engines.
-        timeout_seconds: The caller's own time limit; ``None`` takes the route's.
+        timeout_seconds: The caller's timeout; ``None`` uses the route's.
     """
 
     request_id: RequestId
@@ -31,14 +31,15 @@
     """One application request.
 
     Attributes:
-        request_id: Identity of the request.
+        request_id: Id of the request.
         method: HTTP method.
-        path: Path with the query string, from ``/``.
+        path: Path starting with ``/``, including the query string.
         body: Request body.
         content_type: Media type of the body.
-        idempotency_key: The caller's key.
-        repeatable: What the caller declared; ``None`` takes the route's default.
-        timeout_seconds: The caller's own time limit; ``None`` takes the route's.
+        idempotency_key: The caller's idempotency key.
+        repeatable: Whether the caller allows the request to run more than once; ``None``
+            uses the default of the method and route.
+        timeout_seconds: The caller's timeout; ``None`` uses the route's.
     """
 
     request_id: RequestId
--- a/drumbay/requests/route_table.py
+++ b/drumbay/requests/route_table.py
@@ -1,4 +1,4 @@
-"""Routes compiled for lookup. Rebuilt whenever a configuration comes into force."""
+"""Lookup table of routes, rebuilt for every configuration."""
 
 from collections.abc import Iterable
 
@@ -9,31 +9,31 @@
 
 
 class CompiledRoute(msgspec.Struct, frozen=True, kw_only=True):
-    """A route with its selector as a predicate over labels."""
+    """A route with its selector compiled to a predicate over labels."""
 
     route: Route
-    selects: LabelPredicate
+    matches: LabelPredicate
 
 
 class RouteTable:
-    """Lookup of routes by model or path prefix.
+    """Looks up routes by model or path prefix.
 
-    Of several routes for one model, the first by name is taken; of several path prefixes
-    the longest that matches.
+    If several routes have the same model, the first by name is used. Among path prefixes, the
+    longest match is used.
 
     Args:
-        routes: Routes in force.
+        routes: Routes of the current configuration.
 
     Raises:
         InvalidSelectorError: A selector is not valid.
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
-        """Compile every selector once."""
+        """Compile the selectors."""
         self._by_model: dict[tuple[RouteKind, str], CompiledRoute] = {}
         self._by_path: list[CompiledRoute] = []
         for route in sorted(routes, key=lambda entry: entry.name):
-            self._add(CompiledRoute(route=route, selects=compile_selector(route.selector)))
+            self._add(CompiledRoute(route=route, matches=compile_selector(route.selector)))
         self._by_path.sort(key=lambda entry: -len(entry.route.path_prefix or ""))
 
     def _add(self, compiled: CompiledRoute) -> None:
@@ -44,11 +44,11 @@
             self._by_model.setdefault((route.route_kind, route.model), compiled)
 
     def for_model(self, kind: RouteKind, model: str) -> CompiledRoute | None:
-        """Return the route of a kind that carries a model; ``None`` if there is none."""
+        """Return the route of a kind for a model, or ``None``."""
         return self._by_model.get((kind, model))
 
     def for_path(self, path: str) -> CompiledRoute | None:
-        """Return the application route with the longest matching prefix."""
+        """Return the application route with the longest matching prefix, or ``None``."""
         for compiled in self._by_path:
             if path.startswith(compiled.route.path_prefix or "/"):
                 return compiled
--- a/tests/requests_world.py
+++ b/tests/requests_world.py
@@ -1,4 +1,4 @@
-"""The request services of one node over emulated back ends, on virtual time."""
+"""Test fixture: the request services of one node with emulated backends, on virtual time."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
 from random import Random
@@ -62,7 +62,7 @@
 
 
 class RouteLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits of both routes, and the circuit breakers of all back ends."""
+    """Limits of both routes, and the circuit breaker policy of all backends."""
 
     max_concurrency: int = 64
     timeout_seconds: float = 60.0
@@ -72,8 +72,8 @@
 NO_LIMITS = RouteLimits()
 
 
-class ForgivingEngineClient(MemoryEngineClient):
-    """Takes a stream that broke off for one that ended."""
+class TruncationIgnoringEngineClient(MemoryEngineClient):
+    """Treats a broken stream as complete."""
 
     async def generate(
         self, engine: BackendAddress, request: GenerationRequest, *, timeout_seconds: float
@@ -85,8 +85,8 @@
             return
 
 
-class DirectOnceRunner:
-    """Dispatches without a claim; these tests look at the dispatch itself."""
+class DirectRunner:
+    """Dispatches without claiming the idempotency key."""
 
     async def run(
         self,
@@ -101,7 +101,7 @@
 
 
 class RequestsWorld:
-    """Three engines and three application servers behind one node's request services."""
+    """Request services of one node with three engines and three application servers."""
 
     def __init__(
         self,
@@ -127,7 +127,7 @@
         self.is_ready = True
         self.decisions = DecisionStore()
         node_id = NodeId("node")
-        self._identities = IdentityFactory(node_id, BootId("boot"))
+        self._request_ids = IdentityFactory(node_id, BootId("boot"))
         engines_by_url = {url_of(engine.backend_id): engine for engine in self.engines}
         servers_by_url: Mapping[str, ServiceModel] = {
             url_of(server.backend_id): server for server in self.servers
@@ -140,17 +140,17 @@
             application_client=MemoryApplicationClient(self.clock, servers_by_url, self.network),
             directory=self.directory,
             recorder=self.recorder,
-            once=DirectOnceRunner(),
+            once=DirectRunner(),
             random=Random(SEED),
             is_ready=lambda: self.is_ready,
             metrics=metrics,
         )
-        view = make_view(limits)
+        view = make_configuration_view(limits)
         self.directory.apply_configuration(view, self.clock.monotonic())
         self.services.apply_configuration(view)
 
     def arm(self, fault: FaultKind, count: int | None = 1) -> None:
-        """Arm a fault on every back end."""
+        """Arm a fault on every backend."""
         command = FaultCommand(fault=fault, count=count)
         for engine in self.engines:
             engine.faults.apply(command)
@@ -158,7 +158,7 @@
             server.faults.apply(command)
 
     def new_request_id(self) -> RequestId:
-        return self._identities.next_request()
+        return self._request_ids.next_request()
 
     async def generate(self, max_tokens: int = 40) -> list[TokenChunk]:
         request = LiveRequest(
@@ -185,7 +185,7 @@
         except RequestFailedError as error:
             return error
 
-    def records(self, request_id: str) -> tuple[DecisionRecord, ...]:
+    def decision_records(self, request_id: str) -> tuple[DecisionRecord, ...]:
         return self.decisions.find(SubjectKind.REQUEST, request_id)
 
 
@@ -193,7 +193,7 @@
     return f"http://{backend_id}"
 
 
-def make_view(limits: RouteLimits) -> ConfigurationView:
+def make_configuration_view(limits: RouteLimits) -> ConfigurationView:
     """Return a configuration with a live route and an application route."""
     engines = BackendGroup(
         name="engines",
@@ -239,7 +239,7 @@
     limits: RouteLimits = NO_LIMITS,
     client_type: type[MemoryEngineClient] = MemoryEngineClient,
 ) -> ResultT:
-    """Run a scenario in a fresh world on virtual time."""
+    """Run a scenario on a new fixture in virtual time."""
 
     async def main() -> ResultT:
         return await scenario(RequestsWorld(limits, client_type))
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""The request path: whole answers, truthful refusals, bounded retries."""
+"""Request services: complete responses, correct "not run" errors and bounded retries."""
 
 import asyncio
 import gc
@@ -30,17 +30,17 @@
 )
 from drumbay.standins.faults import FaultKind
 from tests.requests_world import (
-    ForgivingEngineClient,
     RequestsWorld,
     RouteLimits,
+    TruncationIgnoringEngineClient,
     simulate,
     url_of,
 )
 
-MAXIMUM_TOKENS = 40
-LONG_ANSWER_TOKENS = 400
-REQUESTS_WHILE_ALL_FAILS = 60
-NEVER_OPEN = CircuitPolicy(min_failures=1_000_000)
+MAX_TOKENS = 40
+LONG_COMPLETION_TOKENS = 400
+FAILING_REQUESTS = 60
+NEVER_OPENING_CIRCUIT = CircuitPolicy(min_failures=1_000_000)
 
 
 def tokens_of(chunks: list[TokenChunk]) -> list[int]:
@@ -57,49 +57,53 @@
     return [entry for entry in records if isinstance(entry, ApplicationExecuted)]
 
 
-async def undisturbed_tokens(world: RequestsWorld) -> list[int]:
-    return tokens_of(await world.generate(MAXIMUM_TOKENS))
+async def tokens_without_fault(world: RequestsWorld) -> list[int]:
+    return tokens_of(await world.generate(MAX_TOKENS))
 
 
-class WholeAnswerTest(unittest.TestCase):
-    def disturbed(
+class CompleteResponseTest(unittest.TestCase):
+    def generate_under_fault(
         self, fault: FaultKind, client_type: type[MemoryEngineClient] = MemoryEngineClient
     ) -> tuple[list[int], list[GenerationEnded]]:
         async def scenario(world: RequestsWorld) -> tuple[list[int], list[GenerationEnded]]:
             world.arm(fault)
-            return tokens_of(await world.generate(MAXIMUM_TOKENS)), generations_of(world)
+            return tokens_of(await world.generate(MAX_TOKENS)), generations_of(world)
 
         return simulate(scenario, client_type=client_type)
 
-    def test_cut_stream_goes_on_where_it_broke(self) -> None:
-        expected = simulate(undisturbed_tokens)
-        tokens, generations = self.disturbed(FaultKind.TRUNCATED_ANSWER)
+    def test_truncated_stream_is_resumed_after_its_last_token(self) -> None:
+        expected = simulate(tokens_without_fault)
+        tokens, generations = self.generate_under_fault(FaultKind.TRUNCATED_ANSWER)
         self.assertEqual(tokens, expected)
         outcomes = [entry.outcome for entry in generations]
         self.assertIn(GenerationOutcome.TRUNCATED, outcomes)
 
-    def test_cut_stream_is_short_without_the_check_of_its_end(self) -> None:
-        expected = simulate(undisturbed_tokens)
+    def test_truncated_stream_is_short_without_the_finish_check(self) -> None:
+        expected = simulate(tokens_without_fault)
         with mock.patch.object(CompletionProgress, "is_finished", True):
-            tokens, _ = self.disturbed(FaultKind.TRUNCATED_ANSWER, ForgivingEngineClient)
+            tokens, _ = self.generate_under_fault(
+                FaultKind.TRUNCATED_ANSWER, TruncationIgnoringEngineClient
+            )
         self.assertLess(len(tokens), len(expected))
-        tokens, _ = self.disturbed(FaultKind.TRUNCATED_ANSWER, ForgivingEngineClient)
+        tokens, _ = self.generate_under_fault(
+            FaultKind.TRUNCATED_ANSWER, TruncationIgnoringEngineClient
+        )
         self.assertEqual(tokens, expected)
 
-    def test_crossed_answer_is_not_delivered(self) -> None:
+    def test_response_of_another_request_is_not_delivered(self) -> None:
         async def scenario(world: RequestsWorld) -> list[list[int]]:
-            first = tokens_of(await world.generate(MAXIMUM_TOKENS))
+            first = tokens_of(await world.generate(MAX_TOKENS))
             world.arm(FaultKind.CROSSED_ANSWER, count=2)
-            return [first, tokens_of(await world.generate(MAXIMUM_TOKENS))]
+            return [first, tokens_of(await world.generate(MAX_TOKENS))]
 
         first, second = simulate(scenario)
         self.assertEqual(first, second)
 
-    def test_every_break_ends_in_a_typed_error(self) -> None:
+    def test_permanent_truncation_ends_in_a_typed_error(self) -> None:
         async def scenario(world: RequestsWorld) -> RequestFailedError | None:
             world.arm(FaultKind.TRUNCATED_ANSWER, count=None)
             try:
-                await world.generate(LONG_ANSWER_TOKENS)
+                await world.generate(LONG_COMPLETION_TOKENS)
             except RequestFailedError as error:
                 return error
             return None
@@ -110,8 +114,8 @@
         self.assertEqual(error.execution, Execution.MAY_HAVE_RUN)
 
 
-class RefusalTest(unittest.TestCase):
-    def test_not_run_only_if_no_engine_took_it(self) -> None:
+class RequestFailureTest(unittest.TestCase):
+    def test_not_run_only_if_no_engine_accepted_it(self) -> None:
         async def scenario(world: RequestsWorld) -> tuple[Execution, int]:
             for engine in world.engines:
                 world.network.cut_requests(url_of(engine.backend_id))
@@ -119,13 +123,13 @@
                 await world.generate()
             except RequestFailedError as error:
                 records = [entry for engine in world.engines for entry in engine.log.records()]
-                taken = [entry for entry in records if isinstance(entry, GenerationAccepted)]
-                return error.execution, len(taken)
+                accepted = [entry for entry in records if isinstance(entry, GenerationAccepted)]
+                return error.execution, len(accepted)
             raise AssertionError("the request was answered")
 
         self.assertEqual(simulate(scenario), (Execution.NOT_RUN, 0))
 
-    def lost_answer(self) -> tuple[RequestFailedError, int]:
+    def call_with_lost_response(self) -> tuple[RequestFailedError, int]:
         async def scenario(world: RequestsWorld) -> tuple[RequestFailedError, int]:
             for server in world.servers:
                 world.network.cut_answers(url_of(server.backend_id))
@@ -136,19 +140,19 @@
 
         return simulate(scenario, limits=RouteLimits(timeout_seconds=5.0))
 
-    def test_lost_answer_may_have_run_and_is_not_repeated(self) -> None:
-        error, executions = self.lost_answer()
+    def test_lost_response_may_have_run_and_is_not_repeated(self) -> None:
+        error, executions = self.call_with_lost_response()
         self.assertEqual(error.execution, Execution.MAY_HAVE_RUN)
         self.assertEqual(executions, 1)
 
-    def test_lost_answer_called_not_run_is_found_by_the_log(self) -> None:
-        everything = (BackendNotReachedError, BackendRefusedError, Exception)
-        with mock.patch.object(application_module, "PROVES_NOT_RUN", everything):
-            error, executions = self.lost_answer()
+    def test_lost_response_reported_as_not_run_contradicts_the_log(self) -> None:
+        all_errors = (BackendNotReachedError, BackendRefusedError, Exception)
+        with mock.patch.object(application_module, "NOT_RUN_ERRORS", all_errors):
+            error, executions = self.call_with_lost_response()
         self.assertEqual(error.execution, Execution.NOT_RUN)
         self.assertGreater(executions, 0)
 
-    def test_lookup_is_repeated_elsewhere(self) -> None:
+    def test_get_request_is_retried_on_another_server(self) -> None:
         async def scenario(world: RequestsWorld) -> ApplicationAnswer | RequestFailedError:
             world.network.cut_answers(url_of(world.servers[0].backend_id))
             world.network.cut_answers(url_of(world.servers[1].backend_id))
@@ -156,26 +160,26 @@
 
         self.assertIsInstance(simulate(scenario), ApplicationAnswer)
 
-    def test_a_node_without_a_configuration_says_so(self) -> None:
-        """Not that there is no such route, which would send the caller away for good."""
+    def test_node_without_configuration_is_not_ready(self) -> None:
+        """A ``NoRouteError`` would tell the caller not to retry."""
 
         async def scenario(world: RequestsWorld) -> list[type[object]]:
             empty = RouteTable(())
             world.services.live.set_routes(empty)
             world.services.applications.set_routes(empty)
-            refusals: list[type[object]] = []
+            errors: list[type[object]] = []
             for world.is_ready in (False, True):
-                refusals.append(type(await world.call("GET")))
+                errors.append(type(await world.call("GET")))
                 try:
                     await world.generate()
                 except RequestFailedError as error:
-                    refusals.append(type(error))
-            return refusals
+                    errors.append(type(error))
+            return errors
 
         expected = [NotReadyError, NotReadyError, NoRouteError, NoRouteError]
         self.assertEqual(simulate(scenario), expected)
 
-    def test_a_call_cancelled_on_its_way_leaves_nothing_behind(self) -> None:
+    def test_cancelled_call_leaves_no_unawaited_coroutine(self) -> None:
         async def scenario(world: RequestsWorld) -> None:
             backend = BackendAddress(backend_id=world.engines[0].backend_id, base_url="there")
             client = MemoryEngineClient(world.clock, {"there": world.engines[0]}, world.network)
@@ -190,15 +194,15 @@
             gc.collect()
         self.assertEqual([str(warning.message) for warning in caught], [])
 
-    def test_overload_refuses_at_once_and_says_when_to_come_back(self) -> None:
+    def test_overload_is_rejected_immediately_with_retry_after(self) -> None:
         async def scenario(world: RequestsWorld) -> tuple[float, RequestFailedError]:
-            running = asyncio.ensure_future(world.generate(200))
+            running_request = asyncio.ensure_future(world.generate(200))
             await world.clock.sleep(0.1)
             before = world.clock.monotonic()
             try:
                 await world.generate()
             except RequestFailedError as error:
-                running.cancel()
+                running_request.cancel()
                 return world.clock.monotonic() - before, error
             raise AssertionError("the request was admitted")
 
@@ -210,30 +214,30 @@
 
 
 class RetryTest(unittest.TestCase):
-    def attempts_while_all_fails(self) -> int:
+    def attempts_while_all_fail(self) -> int:
         async def scenario(world: RequestsWorld) -> int:
             world.arm(FaultKind.TRUNCATED_ANSWER, count=None)
-            for _ in range(REQUESTS_WHILE_ALL_FAILS):
+            for _ in range(FAILING_REQUESTS):
                 try:
-                    await world.generate(LONG_ANSWER_TOKENS)
+                    await world.generate(LONG_COMPLETION_TOKENS)
                 except RequestFailedError:
                     await world.clock.sleep(0.1)
             return len(generations_of(world))
 
-        return simulate(scenario, limits=RouteLimits(circuit=NEVER_OPEN))
+        return simulate(scenario, limits=RouteLimits(circuit=NEVER_OPENING_CIRCUIT))
 
-    def test_budget_bounds_the_attempts(self) -> None:
-        bounded = self.attempts_while_all_fails()
+    def test_retry_budget_limits_attempts(self) -> None:
+        limited = self.attempts_while_all_fail()
         with mock.patch.object(RetryBudget, "try_withdraw", lambda budget, now: True):
-            unbounded = self.attempts_while_all_fails()
-        self.assertLess(bounded, 0.7 * unbounded)
+            unlimited = self.attempts_while_all_fail()
+        self.assertLess(limited, 0.7 * unlimited)
 
 
-class ExplanationTest(unittest.TestCase):
-    def test_dispatch_names_every_candidate(self) -> None:
+class DecisionRecordTest(unittest.TestCase):
+    def test_decision_record_lists_every_candidate(self) -> None:
         async def scenario(world: RequestsWorld) -> int:
             await world.generate()
-            records = world.records("node~boot~1")
+            records = world.decision_records("node~boot~1")
             rejections = [verdict.rejection for verdict in records[0].candidates]
             self.assertEqual(rejections[0], None)
             self.assertEqual(rejections.count(RejectionReason.MODEL), 3)
