--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -61,7 +61,7 @@
     return tokens_of(await world.generate(MAX_TOKENS))
 
 
-class CompleteResponseTest(unittest.TestCase):
+class WholeAnswerTest(unittest.TestCase):
     def generate_under_fault(
         self, fault: FaultKind, client_type: type[MemoryEngineClient] = MemoryEngineClient
     ) -> tuple[list[int], list[GenerationEnded]]:
@@ -114,7 +114,7 @@
         self.assertEqual(error.execution, Execution.MAY_HAVE_RUN)
 
 
-class RequestFailureTest(unittest.TestCase):
+class RefusalTest(unittest.TestCase):
     def test_not_run_only_if_no_engine_accepted_it(self) -> None:
         async def scenario(world: RequestsWorld) -> tuple[Execution, int]:
             for engine in world.engines:
