--- a/drumbay/requests/application.py
+++ b/drumbay/requests/application.py
@@ -141,14 +141,14 @@
             response = await first
         else:
             response = await first_response(
-                self._clock, first, delay_seconds, lambda: self._hedge(state)
+                self._clock, first, delay_seconds, lambda: self._start_hedge(state)
             )
         # Measured from the first attempt: counting only a winning hedge's own latency would
         # shorten the hedge delay of later requests.
         latency.observe(self._clock.monotonic() - started_at)
         return response
 
-    def _hedge(
+    def _start_hedge(
         self, state: "_ApplicationRequestState"
     ) -> Coroutine[Any, Any, ApplicationAnswer] | None:
         """Return an attempt on another server, or ``None`` if the attempt limits forbid it."""
--- a/drumbay/requests/hedging.py
+++ b/drumbay/requests/hedging.py
@@ -22,7 +22,7 @@
     delay_seconds: float,
     start_hedge: Callable[[], Coroutine[Any, Any, ResultT] | None],
 ) -> ResultT:
-    """Return the result of an attempt or, if it is slow, of the faster of it and a hedge.
+    """Return the first success of an attempt and, if that is slow, of a hedged second one.
 
     Args:
         clock: Time source.
