--- a/drumbay/api/applications.py
+++ b/drumbay/api/applications.py
@@ -4,7 +4,7 @@
 
 from drumbay.api.base import ApiHandler
 from drumbay.identifiers import IdempotencyKey
-from drumbay.requests.errors import not_run
+from drumbay.requests.errors import invalid_request_error
 from drumbay.requests.records import ApplicationCall
 from drumbay.resources.schema import Role
 
@@ -57,7 +57,9 @@
         if key is None:
             return None
         if not 0 < len(key) <= MAXIMUM_KEY_CHARACTERS:
-            raise not_run(f"{IDEMPOTENCY_KEY_HEADER}: 1 to {MAXIMUM_KEY_CHARACTERS} characters")
+            raise invalid_request_error(
+                f"{IDEMPOTENCY_KEY_HEADER}: 1 to {MAXIMUM_KEY_CHARACTERS} characters"
+            )
         return IdempotencyKey(key)
 
     def _repeatable(self) -> bool | None:
@@ -65,5 +67,5 @@
         if text is None:
             return None
         if text not in ("true", "false"):
-            raise not_run(f"{REPEATABLE_HEADER}: expected true or false")
+            raise invalid_request_error(f"{REPEATABLE_HEADER}: expected true or false")
         return text == "true"
--- a/drumbay/api/base.py
+++ b/drumbay/api/base.py
@@ -23,7 +23,7 @@
     NotFoundError,
     NotReadyError,
     PermissionDeniedError,
-    not_run,
+    invalid_request_error,
 )
 from drumbay.resources.schema import Role
 
@@ -128,7 +128,7 @@
         try:
             return msgspec.json.decode(self.request.body, type=body_type)
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
-            raise not_run(str(error)) from error
+            raise invalid_request_error(str(error)) from error
 
     def integer_argument(self, name: str, default: int | None = None) -> int:
         """Return a query argument as an integer of at least 0.
@@ -140,7 +140,7 @@
         if text is None and default is not None:
             return default
         if text is None or not text.isdecimal():
-            raise not_run(f"query argument {name}: expected an integer of at least 0")
+            raise invalid_request_error(f"query argument {name}: expected an integer of at least 0")
         return int(text)
 
     def caller_timeout_seconds(self) -> float | None:
@@ -155,7 +155,7 @@
         try:
             return parse_timeout_seconds(text)
         except InvalidTimeoutError as error:
-            raise not_run(f"{TIMEOUT_HEADER}: {error}") from error
+            raise invalid_request_error(f"{TIMEOUT_HEADER}: {error}") from error
 
     def new_request_id(self) -> RequestId:
         """Give this request an id and name it in the answer."""
--- a/drumbay/api/diagnostics.py
+++ b/drumbay/api/diagnostics.py
@@ -8,7 +8,7 @@
 from drumbay.api.base import ApiHandler
 from drumbay.api.interface import NodeInterface
 from drumbay.explain.records import SubjectKind
-from drumbay.requests.errors import not_run
+from drumbay.requests.errors import invalid_request_error
 from drumbay.resources.schema import Role
 
 
@@ -23,7 +23,9 @@
         try:
             subject_kind = SubjectKind(kind)
         except ValueError as error:
-            raise not_run(f"unknown kind {kind}: expected request, sample or backend") from error
+            raise invalid_request_error(
+                f"unknown kind {kind}: expected request, sample or backend"
+            ) from error
         self.write_record(await self.node.explain(subject_kind, subject_id))
 
 
--- a/drumbay/api/interface.py
+++ b/drumbay/api/interface.py
@@ -17,7 +17,7 @@
     VersionSpan,
     WeightAnnouncement,
 )
-from drumbay.backends.interface import ApplicationAnswer, TokenChunk
+from drumbay.backends.interface import ApplicationResponse, TokenChunk
 from drumbay.explain.records import SubjectKind
 from drumbay.identifiers import Cursor, RequestId, Revision, StreamName, WeightVersion
 from drumbay.requests.records import ApplicationCall, LiveRequest
@@ -49,7 +49,7 @@
         """Return the version spans of a live request that was served here."""
         ...
 
-    async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
+    async def run_application(self, call: ApplicationCall) -> ApplicationResponse:
         """Run an application request."""
         ...
 
--- a/drumbay/api/resources.py
+++ b/drumbay/api/resources.py
@@ -3,7 +3,7 @@
 from drumbay.api.base import ApiHandler
 from drumbay.api.schema import ApplyBody
 from drumbay.identifiers import Revision
-from drumbay.requests.errors import not_run
+from drumbay.requests.errors import invalid_request_error
 
 
 class ResourceListHandler(ApiHandler):
@@ -25,14 +25,16 @@
         """Create or change the resource."""
         body = self.decode_body(ApplyBody)
         if (type(body.resource).__name__, body.resource.name) != (kind, name):
-            raise not_run("the resource's kind and name differ from those of the path")
+            raise invalid_request_error(
+                "the resource's kind and name differ from those of the path"
+            )
         self.write_record(await self.node.apply(body))
 
     async def delete(self, kind: str, name: str) -> None:
         """Remove the resource."""
         operation_id = self.get_query_argument("operation_id", None)
         if not operation_id:
-            raise not_run("query argument operation_id is missing")
+            raise invalid_request_error("query argument operation_id is missing")
         expected = self.get_query_argument("expected_revision", None)
         revision = (
             None if expected is None else Revision(self.integer_argument("expected_revision"))
--- a/drumbay/backends/guarded.py
+++ b/drumbay/backends/guarded.py
@@ -5,9 +5,9 @@
 
 from drumbay.backends.delegating import DelegatingEngineClient
 from drumbay.backends.interface import (
-    ApplicationAnswer,
     ApplicationClient,
     ApplicationRequest,
+    ApplicationResponse,
     BackendAddress,
     BackendRefusedError,
     EngineClient,
@@ -43,7 +43,7 @@
 
     async def exchange(
         self, server: BackendAddress, request: ApplicationRequest, *, timeout_seconds: float
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Run one request and return its complete response; see the interface.
 
         Raises:
--- a/drumbay/backends/http_application.py
+++ b/drumbay/backends/http_application.py
@@ -1,13 +1,13 @@
 """An application client over HTTP."""
 
-from drumbay.backends.answers import (
+from drumbay.backends.connector import HttpCall, HttpConnector
+from drumbay.backends.interface import ApplicationRequest, ApplicationResponse, BackendAddress
+from drumbay.backends.responses import (
     check_attempt_id,
     check_body_framing,
     decode_error_detail,
     raise_if_not_run,
 )
-from drumbay.backends.connector import HttpCall, HttpConnector
-from drumbay.backends.interface import ApplicationAnswer, ApplicationRequest, BackendAddress
 from drumbay.backends.wire import IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER
 
 DEFAULT_MAX_RESPONSE_BYTES = 8 << 20
@@ -28,7 +28,7 @@
 
     async def exchange(
         self, server: BackendAddress, request: ApplicationRequest, *, timeout_seconds: float
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Run one request and return its complete response; see the interface."""
         has_body = bool(request.body) or request.method in BODY_METHODS
         response = await self._connector.exchange(
@@ -48,7 +48,7 @@
             response.abort()
         if response.status in REJECTION_STATUSES:
             raise_if_not_run(response, decode_error_detail(body))
-        return ApplicationAnswer(
+        return ApplicationResponse(
             attempt_id=request.attempt_id,
             status=response.status,
             body=body,
--- a/drumbay/backends/http_engine.py
+++ b/drumbay/backends/http_engine.py
@@ -6,7 +6,6 @@
 
 import msgspec
 
-from drumbay.backends.answers import check_attempt_id, raise_for_status
 from drumbay.backends.chunk_validator import ChunkValidator
 from drumbay.backends.connector import HttpCall, HttpConnector
 from drumbay.backends.interface import (
@@ -19,6 +18,7 @@
     GenerationRequest,
     TokenChunk,
 )
+from drumbay.backends.responses import check_attempt_id, raise_for_status
 from drumbay.backends.sse import EventDecoder
 from drumbay.backends.transfer import StreamedResponse
 from drumbay.backends.wire import (
--- a/drumbay/backends/interface.py
+++ b/drumbay/backends/interface.py
@@ -249,7 +249,7 @@
     idempotency_key: str | None = None
 
 
-class ApplicationAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class ApplicationResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Complete response of an application server to one attempt."""
 
     attempt_id: AttemptId
@@ -263,7 +263,7 @@
 
     async def exchange(
         self, server: BackendAddress, request: ApplicationRequest, *, timeout_seconds: float
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Run one request and return its complete response.
 
         Raises:
--- a/drumbay/backends/memory.py
+++ b/drumbay/backends/memory.py
@@ -5,8 +5,8 @@
 
 from drumbay.backends.chunk_validator import ChunkValidator
 from drumbay.backends.interface import (
-    ApplicationAnswer,
     ApplicationRequest,
+    ApplicationResponse,
     BackendAddress,
     BackendError,
     BackendNotReachedError,
@@ -47,11 +47,11 @@
         self._blocked_requests: dict[str, None] = {}
         self._dropped_responses: dict[str, None] = {}
 
-    def cut_requests(self, base_url: str) -> None:
+    def block_requests(self, base_url: str) -> None:
         """Drop all requests to a backend; running streams break too."""
         self._blocked_requests[base_url] = None
 
-    def cut_answers(self, base_url: str) -> None:
+    def drop_responses(self, base_url: str) -> None:
         """Drop all responses of a backend; requests still reach it and run."""
         self._dropped_responses[base_url] = None
 
@@ -219,7 +219,7 @@
 
     async def exchange(
         self, server: BackendAddress, request: ApplicationRequest, *, timeout_seconds: float
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Run one request and return its complete response; see the interface."""
         service = self._servers.get(server.base_url)
         if service is None:
--- a/drumbay/backends/wire.py
+++ b/drumbay/backends/wire.py
@@ -40,7 +40,7 @@
     weight_version: WeightVersion | None = None
     target_tokens: int | None = None
 
-    def request(self, attempt_id: AttemptId) -> GenerationRequest:
+    def to_generation_request(self, attempt_id: AttemptId) -> GenerationRequest:
         """Return the generation request of an attempt."""
         return GenerationRequest(
             attempt_id=attempt_id,
@@ -88,7 +88,7 @@
     priority: int = 0
     weight_version: WeightVersion | None = None
 
-    def completion(self) -> CompletionBody:
+    def to_completion_body(self) -> CompletionBody:
         """Return the completion request for the messages joined into one prompt."""
         lines = [f"{message.role}: {message.content}" for message in self.messages]
         return CompletionBody(
@@ -160,7 +160,7 @@
     total_tokens: int
 
 
-class WholeCompletion(msgspec.Struct, frozen=True, kw_only=True):
+class CompletionResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Response to a completion request without streaming.
 
     Attributes:
--- a/drumbay/cli/acceptance.py
+++ b/drumbay/cli/acceptance.py
@@ -11,7 +11,7 @@
 from drumbay.acceptance.workload import Workload
 from drumbay.cli.errors import ExitCode, typed_exit
 from drumbay.clock import SystemClock
-from drumbay.requests.identity import node_of
+from drumbay.requests.identity import node_id_of
 
 
 def acceptance(
@@ -85,9 +85,9 @@
 
 def _example_of(result: AcceptanceResult, node_count: int) -> str | None:
     """Return a request id of a node that was not stopped: the last node may have been."""
-    holders = sorted({node_of(live.request_id) or "" for live in result.live})
+    holders = sorted({node_id_of(live.request_id) or "" for live in result.live})
     kept = holders[:-1] if len(holders) == node_count else holders
     for live in result.live:
-        if node_of(live.request_id) in kept:
+        if node_id_of(live.request_id) in kept:
             return live.request_id
     return None
--- a/drumbay/explain/service.py
+++ b/drumbay/explain/service.py
@@ -15,7 +15,7 @@
 from drumbay.explain.records import DecisionRecord, SubjectKind
 from drumbay.explain.store import DecisionStore
 from drumbay.identifiers import NodeId
-from drumbay.requests.identity import node_of
+from drumbay.requests.identity import node_id_of
 
 CALL_TIMEOUT_SECONDS = 2.0
 MAXIMUM_CONCURRENT_CALLS = 32
@@ -73,7 +73,7 @@
 
     def _peers_to_ask(self, kind: SubjectKind, subject_id: str) -> tuple[Address, ...]:
         others = [peer for peer in self._members() if peer.node_id != self._node_id]
-        holder = node_of(subject_id) if kind is SubjectKind.REQUEST else None
+        holder = node_id_of(subject_id) if kind is SubjectKind.REQUEST else None
         if holder is not None:
             others = [peer for peer in others if peer.node_id == holder]
         return tuple(peer.address for peer in others)
--- a/drumbay/node/node.py
+++ b/drumbay/node/node.py
@@ -17,7 +17,7 @@
     VersionSpan,
     WeightAnnouncement,
 )
-from drumbay.backends.interface import ApplicationAnswer, TokenChunk
+from drumbay.backends.interface import ApplicationResponse, TokenChunk
 from drumbay.exceptions import DrumbayError
 from drumbay.explain.records import SubjectKind
 from drumbay.identifiers import (
@@ -116,7 +116,7 @@
 
     def new_request_id(self) -> RequestId:
         """Return an id for a request that came in at this node."""
-        return self._identities.next_request()
+        return self._identities.next_request_id()
 
     def wall_seconds(self) -> int:
         """Return the node's wall clock in seconds since the Unix epoch."""
@@ -130,7 +130,7 @@
         """Return the version spans of a live request that was served here."""
         return self._requests.live.spans_of(request_id)
 
-    async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
+    async def run_application(self, call: ApplicationCall) -> ApplicationResponse:
         """Run an application request."""
         return await self._recorded.run_application(call)
 
--- a/drumbay/node/recorded.py
+++ b/drumbay/node/recorded.py
@@ -3,7 +3,7 @@
 from collections.abc import AsyncGenerator, Iterator
 from contextlib import aclosing, contextmanager
 
-from drumbay.backends.interface import ApplicationAnswer, TokenChunk
+from drumbay.backends.interface import ApplicationResponse, TokenChunk
 from drumbay.clock import Clock
 from drumbay.exceptions import DrumbayError, RequestFailedError
 from drumbay.explain.recorder import DecisionRecorder
@@ -52,7 +52,7 @@
                 async for chunk in chunks:
                     yield chunk
 
-    async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
+    async def run_application(self, call: ApplicationCall) -> ApplicationResponse:
         """Run an application request.
 
         Raises:
--- a/drumbay/node/request_services.py
+++ b/drumbay/node/request_services.py
@@ -13,9 +13,9 @@
 from drumbay.observability.metrics import NO_ROUTE, NodeMetrics
 from drumbay.requests.admission_gate import AdmissionGate
 from drumbay.requests.application import ApplicationRequestService
+from drumbay.requests.at_most_once import AtMostOnceRunner
 from drumbay.requests.dispatcher import Dispatcher
 from drumbay.requests.live import LiveRequestService
-from drumbay.requests.once import OnceRunner
 from drumbay.requests.route_table import RouteTable
 from drumbay.resources.schema import RouteKind
 from drumbay.routing.directory import BackendDirectory
@@ -42,7 +42,7 @@
         application_client: ApplicationClient,
         directory: BackendDirectory,
         recorder: DecisionRecorder,
-        once: OnceRunner,
+        once: AtMostOnceRunner,
         random: Random,
         is_ready: Callable[[], bool],
         metrics: NodeMetrics | None = None,
--- a/drumbay/node/services.py
+++ b/drumbay/node/services.py
@@ -31,8 +31,8 @@
 from drumbay.node.weights import WeightSupervisor
 from drumbay.observability.logs import log_event
 from drumbay.observability.metrics import NodeMetrics
-from drumbay.requests.claimed_once import ClaimedOnceRunner
-from drumbay.requests.identity import IdentityFactory
+from drumbay.requests.claimed_at_most_once import ClaimedAtMostOnceRunner
+from drumbay.requests.identity import RequestIdFactory
 from drumbay.routing.directory import BackendDirectory
 from drumbay.settings import NodeSettings
 from drumbay.tasks import TaskOwner
@@ -58,7 +58,7 @@
         self._node_id = NodeId(settings.node_id)
         self._tasks = TaskOwner()
         self._metrics = NodeMetrics()
-        self._identities = IdentityFactory(self._node_id, environment.boot_id)
+        self._identities = RequestIdFactory(self._node_id, environment.boot_id)
         self._coordination = CoordinationServices(settings, environment, self._tasks)
         self._directory = BackendDirectory()
         self._decisions = DecisionStore()
@@ -184,7 +184,7 @@
             ),
             directory=self._directory,
             recorder=self._recorder,
-            once=ClaimedOnceRunner(self._claims, self._clock, self._metrics),
+            once=ClaimedAtMostOnceRunner(self._claims, self._clock, self._metrics),
             random=environment.random,
             is_ready=lambda: self._coordination.configuration.readiness().ready,
             metrics=self._metrics,
--- a/drumbay/requests/application.py
+++ b/drumbay/requests/application.py
@@ -6,9 +6,9 @@
 import xxhash
 
 from drumbay.backends.interface import (
-    ApplicationAnswer,
     ApplicationClient,
     ApplicationRequest,
+    ApplicationResponse,
     BackendAddress,
     BackendError,
 )
@@ -21,18 +21,18 @@
 from drumbay.limits.retry_budget import RetryBudget
 from drumbay.observability.logs import log_event
 from drumbay.requests.admission_gate import AdmissionGate
+from drumbay.requests.at_most_once import AtMostOnceRunner
 from drumbay.requests.dispatcher import AttemptRequirements, Dispatcher
 from drumbay.requests.errors import (
     NOT_RUN_ERRORS,
     BackendFailedError,
     NoBackendError,
     RequestTimeoutError,
+    invalid_request_error,
     no_route_error,
-    not_run,
 )
 from drumbay.requests.hedging import first_response
 from drumbay.requests.identity import attempt_id_of
-from drumbay.requests.once import OnceRunner
 from drumbay.requests.records import ApplicationCall
 from drumbay.requests.route_table import CompiledRoute, RouteTable
 
@@ -60,7 +60,7 @@
         dispatcher: Dispatcher,
         gate: AdmissionGate,
         retry_budget: RetryBudget,
-        once: OnceRunner,
+        once: AtMostOnceRunner,
         is_ready: Callable[[], bool],
     ) -> None:
         """Create a service without routes."""
@@ -78,7 +78,7 @@
         """Replace the routes with those of the current configuration."""
         self._routes = routes
 
-    async def run(self, call: ApplicationCall) -> ApplicationAnswer:
+    async def run(self, call: ApplicationCall) -> ApplicationResponse:
         """Run one request and return its complete response.
 
         Raises:
@@ -100,10 +100,12 @@
                 return await self._dispatch(state, may_repeat=True)
             return await self._run_once(state)
 
-    async def _run_once(self, state: "_ApplicationRequestState") -> ApplicationAnswer:
+    async def _run_once(self, state: "_ApplicationRequestState") -> ApplicationResponse:
         call = state.call
         if call.idempotency_key is None:
-            raise not_run("a request that may not be repeated needs an Idempotency-Key")
+            raise invalid_request_error(
+                "a request that may not be repeated needs an Idempotency-Key"
+            )
         return await self._once.run(
             scope=state.compiled.route.name,
             key=call.idempotency_key,
@@ -114,7 +116,7 @@
 
     async def _dispatch(
         self, state: "_ApplicationRequestState", *, may_repeat: bool
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Try servers until one responds.
 
         A request that may have run is tried again only if ``may_repeat`` is set.
@@ -131,7 +133,7 @@
 
     async def _run_attempt(
         self, state: "_ApplicationRequestState", *, may_repeat: bool
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Try one server, with a hedged second attempt if it is slow and repeating is allowed."""
         started_at = self._clock.monotonic()
         first = self._start_attempt(state)
@@ -150,7 +152,7 @@
 
     def _start_hedge(
         self, state: "_ApplicationRequestState"
-    ) -> Coroutine[Any, Any, ApplicationAnswer] | None:
+    ) -> Coroutine[Any, Any, ApplicationResponse] | None:
         """Return an attempt on another server, or ``None`` if the attempt limits forbid it."""
         if state.attempt_count >= state.compiled.route.max_attempts:
             return None
@@ -165,7 +167,7 @@
 
     def _start_attempt(
         self, state: "_ApplicationRequestState"
-    ) -> Coroutine[Any, Any, ApplicationAnswer]:
+    ) -> Coroutine[Any, Any, ApplicationResponse]:
         """Select a server and return the coroutine that performs the exchange with it.
 
         Raises:
@@ -205,7 +207,7 @@
         state: "_ApplicationRequestState",
         address: BackendAddress,
         request: ApplicationRequest,
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         remaining_seconds = state.deadline.remaining_seconds(self._clock.monotonic())
         with self._dispatcher.attempt(address, request.attempt_id):
             return await self._client.exchange(address, request, timeout_seconds=remaining_seconds)
--- a/drumbay/requests/once.py
+++ b/drumbay/requests/at_most_once.py
@@ -3,13 +3,13 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from drumbay.backends.interface import ApplicationAnswer
+from drumbay.backends.interface import ApplicationResponse
 from drumbay.identifiers import IdempotencyKey
 
-Dispatch = Callable[[], Awaitable[ApplicationAnswer]]
+Dispatch = Callable[[], Awaitable[ApplicationResponse]]
 
 
-class OnceRunner(Protocol):
+class AtMostOnceRunner(Protocol):
     """Runs requests that are not repeatable."""
 
     async def run(
@@ -20,7 +20,7 @@
         digest: str,
         dispatch: Dispatch,
         remaining_seconds: float,
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Run ``dispatch`` at most once per scope and key, across all nodes and retries.
 
         Args:
--- a/drumbay/requests/claimed_once.py
+++ b/drumbay/requests/claimed_at_most_once.py
@@ -3,7 +3,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from drumbay.backends.interface import ApplicationAnswer, BackendRefusedError
+from drumbay.backends.interface import ApplicationResponse, BackendRefusedError
 from drumbay.claims.outcomes import ClaimAnswered, ClaimFailed, ClaimOutcome
 from drumbay.claims.records import StoredAnswer
 from drumbay.claims.service import ClaimService
@@ -11,8 +11,8 @@
 from drumbay.exceptions import DeadlineExceededError, Execution, RequestFailedError
 from drumbay.identifiers import AttemptId, IdempotencyKey
 from drumbay.observability.metrics import NodeMetrics
+from drumbay.requests.at_most_once import Dispatch
 from drumbay.requests.errors import RequestTimeoutError
-from drumbay.requests.once import Dispatch
 
 KEY_SEPARATOR = "/"
 RAN = "ran"
@@ -21,8 +21,8 @@
 RETRY_AFTER_SECONDS = 1.0
 
 
-class ClaimedOnceRunner:
-    """Implements :class:`drumbay.requests.once.OnceRunner` with the claim service.
+class ClaimedAtMostOnceRunner:
+    """Implements :class:`drumbay.requests.at_most_once.AtMostOnceRunner` with the claim service.
 
     Args:
         claims: Claims idempotency keys.
@@ -44,7 +44,7 @@
         digest: str,
         dispatch: Dispatch,
         remaining_seconds: float,
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Run ``dispatch`` at most once per scope and key.
 
         Raises:
@@ -63,7 +63,7 @@
         match outcome:
             case ClaimAnswered(answer=stored_answer, attempt_id=attempt_id, replayed=replayed):
                 self._metrics.record_claim(REPLAYED if replayed else RAN)
-                return ApplicationAnswer(
+                return ApplicationResponse(
                     attempt_id=attempt_id,
                     status=stored_answer.status,
                     body=stored_answer.body,
@@ -94,7 +94,7 @@
             ) from error
 
 
-async def _dispatch_claimed(dispatch: Dispatch) -> ApplicationAnswer:
+async def _dispatch_claimed(dispatch: Dispatch) -> ApplicationResponse:
     """Dispatch the request, translating "not run" errors to those of the claim service.
 
     Raises:
@@ -109,7 +109,7 @@
         raise
 
 
-def _to_stored_answer(response: ApplicationAnswer) -> StoredAnswer:
+def _to_stored_answer(response: ApplicationResponse) -> StoredAnswer:
     return StoredAnswer(
         status=response.status, content_type=response.content_type, body=response.body
     )
--- a/drumbay/requests/errors.py
+++ b/drumbay/requests/errors.py
@@ -100,7 +100,9 @@
     http_status: ClassVar[int] = 410
 
 
-def not_run(detail: str, retry_after_seconds: float | None = None) -> InvalidRequestError:
+def invalid_request_error(
+    detail: str, retry_after_seconds: float | None = None
+) -> InvalidRequestError:
     """Return the error of a malformed request."""
     return InvalidRequestError(
         detail, execution=Execution.NOT_RUN, retry_after_seconds=retry_after_seconds
--- a/drumbay/requests/identity.py
+++ b/drumbay/requests/identity.py
@@ -5,7 +5,7 @@
 SEPARATOR = "~"
 
 
-class IdentityFactory:
+class RequestIdFactory:
     """Creates request ids that are unique across nodes and restarts.
 
     Args:
@@ -18,7 +18,7 @@
         self._prefix = f"{node_id}{SEPARATOR}{boot_id}"
         self._request_count = 0
 
-    def next_request(self) -> RequestId:
+    def next_request_id(self) -> RequestId:
         """Return a new request id."""
         self._request_count += 1
         return RequestId(f"{self._prefix}{SEPARATOR}{self._request_count}")
@@ -29,7 +29,7 @@
     return AttemptId(f"{request_id}{SEPARATOR}{number}")
 
 
-def node_of(request_id: str) -> NodeId | None:
+def node_id_of(request_id: str) -> NodeId | None:
     """Return the node that created a request or attempt id, or ``None`` if it is malformed."""
     node_id, separator, _ = request_id.partition(SEPARATOR)
     return NodeId(node_id) if separator else None
--- a/drumbay/simulation/backend_paths.py
+++ b/drumbay/simulation/backend_paths.py
@@ -49,9 +49,9 @@
         for worker in self._deployment.workers:
             network.heal(worker.base_url)
             if self._is_cut(self._locations[node_id], worker.location):
-                network.cut_requests(worker.base_url)
+                network.block_requests(worker.base_url)
             elif self._is_cut(worker.location, self._locations[node_id]):
-                network.cut_answers(worker.base_url)
+                network.drop_responses(worker.base_url)
 
     def _is_cut(self, source: Location, target: Location) -> bool:
         return any(
--- a/drumbay/simulation/callers.py
+++ b/drumbay/simulation/callers.py
@@ -4,7 +4,7 @@
 from collections.abc import AsyncIterator
 from random import Random
 
-from drumbay.backends.interface import ApplicationAnswer, TokenChunk
+from drumbay.backends.interface import ApplicationResponse, TokenChunk
 from drumbay.exceptions import DrumbayError, Execution, RequestFailedError
 from drumbay.identifiers import IdempotencyKey, NodeId
 from drumbay.requests.records import ApplicationCall, LiveRequest
@@ -181,7 +181,7 @@
 
 async def _run_application(
     run: NodeRun, operation_id: str, path_prefix: str, *, repeatable: bool
-) -> ApplicationAnswer:
+) -> ApplicationResponse:
     call = ApplicationCall(
         request_id=run.node.new_request_id(),
         method="GET" if repeatable else "POST",
--- a/drumbay/simulation/gated_clients.py
+++ b/drumbay/simulation/gated_clients.py
@@ -7,9 +7,9 @@
 from collections.abc import AsyncIterator
 
 from drumbay.backends.interface import (
-    ApplicationAnswer,
     ApplicationClient,
     ApplicationRequest,
+    ApplicationResponse,
     BackendAddress,
     CacheEvent,
     EngineClient,
@@ -135,7 +135,7 @@
 
     async def exchange(
         self, server: BackendAddress, request: ApplicationRequest, *, timeout_seconds: float
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         """Run one request and return its whole answer."""
         return await self._process.call_out(
             self._client.exchange(server, request, timeout_seconds=timeout_seconds)
--- a/drumbay/standins/application_model.py
+++ b/drumbay/standins/application_model.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from drumbay.backends.interface import ApplicationAnswer, ApplicationRequest
+from drumbay.backends.interface import ApplicationRequest, ApplicationResponse
 from drumbay.clock import Clock
 from drumbay.identifiers import BackendId
 from drumbay.standins.execution_log import ApplicationExecuted
@@ -89,7 +89,7 @@
             status = HTTP_CREATED
             body = msgspec.json.encode(self._book(article))
         return ServiceResult(
-            answer=ApplicationAnswer(
+            answer=ApplicationResponse(
                 attempt_id=request.attempt_id, status=status, body=body, content_type=JSON_TYPE
             ),
             record=ApplicationExecuted(
--- a/drumbay/standins/engine_completions.py
+++ b/drumbay/standins/engine_completions.py
@@ -25,8 +25,8 @@
     Choice,
     CompletionBody,
     CompletionChunk,
+    CompletionResponse,
     Usage,
-    WholeCompletion,
 )
 from drumbay.exceptions import Execution
 from drumbay.identifiers import AttemptId
@@ -86,7 +86,7 @@
                 HTTP_BAD_REQUEST, "invalid_body", str(error), run=Execution.NOT_RUN
             )
             return
-        request = body.request(self._attempt_id)
+        request = body.to_generation_request(self._attempt_id)
         async with aclosing(self.engine.generate(request)) as chunks:
             if body.stream:
                 await self._send_stream(request, chunks)
@@ -165,11 +165,11 @@
             token_ids=chunk.token_ids,
         )
 
-    def _whole(self, request: GenerationRequest, chunks: list[TokenChunk]) -> WholeCompletion:
+    def _whole(self, request: GenerationRequest, chunks: list[TokenChunk]) -> CompletionResponse:
         tokens = tuple(token for chunk in chunks for token in chunk.token_ids)
         prompt_tokens = len(request.prompt) // CHARACTERS_PER_TOKEN + 1
         last = chunks[-1]
-        return WholeCompletion(
+        return CompletionResponse(
             id=last.attempt_id,
             object=self.object_name,
             model=request.model,
@@ -196,7 +196,7 @@
         Raises:
             msgspec.DecodeError: The body is not valid.
         """
-        return msgspec.json.decode(self.request.body, type=ChatCompletionBody).completion()
+        return msgspec.json.decode(self.request.body, type=ChatCompletionBody).to_completion_body()
 
     def delta_choice(self, chunk: TokenChunk) -> Choice:
         """Return the choice of a streamed chunk."""
--- a/drumbay/standins/scoring_model.py
+++ b/drumbay/standins/scoring_model.py
@@ -5,7 +5,7 @@
 import msgspec
 import xxhash
 
-from drumbay.backends.interface import ApplicationAnswer, ApplicationRequest
+from drumbay.backends.interface import ApplicationRequest, ApplicationResponse
 from drumbay.clock import Clock
 from drumbay.identifiers import BackendId
 from drumbay.standins.execution_log import ScoringExecuted
@@ -54,7 +54,7 @@
         """Score one completion."""
         score = score_of(msgspec.json.decode(request.body, type=ScoreRequest))
         return ServiceResult(
-            answer=ApplicationAnswer(
+            answer=ApplicationResponse(
                 attempt_id=request.attempt_id,
                 status=HTTP_OK,
                 body=msgspec.json.encode(ScoreAnswer(score=score)),
--- a/drumbay/standins/service_model.py
+++ b/drumbay/standins/service_model.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from drumbay.backends.interface import (
-    ApplicationAnswer,
     ApplicationRequest,
+    ApplicationResponse,
     BackendError,
     BackendNotReachedError,
     BackendRefusedError,
@@ -63,7 +63,7 @@
 
     code = "truncated_answer"
 
-    def __init__(self, answer: ApplicationAnswer) -> None:
+    def __init__(self, answer: ApplicationResponse) -> None:
         """Store the whole answer."""
         super().__init__("the answer was cut off")
         self.answer = answer
@@ -80,7 +80,7 @@
 class ServiceResult(msgspec.Struct, frozen=True, kw_only=True):
     """Answer of an operation, and the record of its execution."""
 
-    answer: ApplicationAnswer
+    answer: ApplicationResponse
     record: AnyExecutionRecord
 
 
@@ -103,8 +103,8 @@
         self.boot_id = boot_id
         self.ended = False
         self.slots = BatchSlots(max_running, lambda: None)
-        self.pending: dict[asyncio.Future[ApplicationAnswer], asyncio.Task[None]] = {}
-        self.previous_answer: ApplicationAnswer | None = None
+        self.pending: dict[asyncio.Future[ApplicationResponse], asyncio.Task[None]] = {}
+        self.previous_answer: ApplicationResponse | None = None
 
 
 class ServiceModel:
@@ -195,7 +195,7 @@
         self.crash()
         await self._context.tasks.close()
 
-    async def exchange(self, request: ApplicationRequest) -> ApplicationAnswer:
+    async def exchange(self, request: ApplicationRequest) -> ApplicationResponse:
         """Run one request; the work goes on when the caller stops waiting.
 
         Raises:
@@ -210,7 +210,7 @@
         if run.ended:
             raise ExchangeBrokenError(f"{self.backend_id} died")
         self._check_accepted(run, request)
-        answer: asyncio.Future[ApplicationAnswer] = asyncio.get_running_loop().create_future()
+        answer: asyncio.Future[ApplicationResponse] = asyncio.get_running_loop().create_future()
         # NOTE: an error that no caller waits for any more is not an unhandled one.
         answer.add_done_callback(asyncio.Future.exception)
         ticket = run.slots.enqueue(0)
@@ -245,7 +245,7 @@
         run: _Run,
         request: ApplicationRequest,
         ticket: Ticket,
-        answer: asyncio.Future[ApplicationAnswer],
+        answer: asyncio.Future[ApplicationResponse],
     ) -> None:
         try:
             await ticket.granted
@@ -267,7 +267,7 @@
         return result
 
     async def _answer(
-        self, run: _Run, result: ServiceResult, answer: asyncio.Future[ApplicationAnswer]
+        self, run: _Run, result: ServiceResult, answer: asyncio.Future[ApplicationResponse]
     ) -> None:
         faults = self.faults
         if faults.strikes(FaultKind.CRASH_AFTER_EFFECT):
@@ -288,8 +288,8 @@
     def _settle(
         self,
         run: _Run,
-        answer: asyncio.Future[ApplicationAnswer],
-        result: ApplicationAnswer | BackendError,
+        answer: asyncio.Future[ApplicationResponse],
+        result: ApplicationResponse | BackendError,
     ) -> None:
         run.pending.pop(answer, None)
         if answer.done():
--- a/drumbay/standins/trainer_server.py
+++ b/drumbay/standins/trainer_server.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from drumbay.backends.answers import raise_for_status
 from drumbay.backends.connector import HttpCall, HttpConnector
 from drumbay.backends.interface import BackendError, ExchangeBrokenError
+from drumbay.backends.responses import raise_for_status
 from drumbay.clock import Clock
 from drumbay.identifiers import Cursor, StreamName, WeightVersion
 from drumbay.standins.http_shell import EmulatorServer, JsonHandler
--- a/drumbay/standins/weight_store_server.py
+++ b/drumbay/standins/weight_store_server.py
@@ -5,9 +5,9 @@
 import msgspec
 from tornado.iostream import StreamClosedError
 
-from drumbay.backends.answers import raise_for_status
 from drumbay.backends.connector import HttpCall, HttpConnector
 from drumbay.backends.interface import ExchangeBrokenError
+from drumbay.backends.responses import raise_for_status
 from drumbay.clock import Clock
 from drumbay.exceptions import DrumbayError
 from drumbay.identifiers import BackendId, WeightVersion
--- a/tests/api_node.py
+++ b/tests/api_node.py
@@ -18,7 +18,7 @@
     VersionSpan,
     WeightAnnouncement,
 )
-from drumbay.backends.interface import ApplicationAnswer, FinishReason, TokenChunk
+from drumbay.backends.interface import ApplicationResponse, FinishReason, TokenChunk
 from drumbay.explain.records import SubjectKind
 from drumbay.identifiers import (
     AttemptId,
@@ -87,11 +87,11 @@
     def spans_of(self, request_id: RequestId) -> tuple[VersionSpan, ...]:
         return ()
 
-    async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
+    async def run_application(self, call: ApplicationCall) -> ApplicationResponse:
         self.calls.append(call)
         if self.failure is not None:
             raise self.failure
-        return ApplicationAnswer(
+        return ApplicationResponse(
             attempt_id=AttemptId("a"), status=200, body=b"done", content_type="text/plain"
         )
 
--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -6,9 +6,9 @@
 
 from drumbay.api.schema import BatchBody
 from drumbay.backends.interface import (
-    ApplicationAnswer,
     ApplicationClient,
     ApplicationRequest,
+    ApplicationResponse,
     BackendAddress,
     BackendNotReachedError,
     CacheEvent,
@@ -25,7 +25,7 @@
 from drumbay.identifiers import AttemptId, Cursor, IdempotencyKey, StreamName, WeightVersion
 from drumbay.node.environment import NodeEnvironment
 from drumbay.node.node import Node
-from drumbay.requests.once import Dispatch
+from drumbay.requests.at_most_once import Dispatch
 from drumbay.settings import NodeSettings
 from drumbay.simulation.cluster import NodeFactory
 
@@ -41,7 +41,7 @@
         digest: str,
         dispatch: Dispatch,
         remaining_seconds: float,
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         return await dispatch()
 
 
@@ -59,25 +59,25 @@
 
     async def exchange(
         self, server: BackendAddress, request: ApplicationRequest, *, timeout_seconds: float
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         try:
             return await self._client.exchange(server, request, timeout_seconds=timeout_seconds)
         except ExchangeBrokenError as error:
             raise BackendNotReachedError(str(error)) from error
 
 
-def make_optimistic_node(settings: NodeSettings, environment: NodeEnvironment) -> Node:
+def make_node_hiding_broken_exchanges(settings: NodeSettings, environment: NodeEnvironment) -> Node:
     client = NotReachedReportingClient(environment.application_client)
     return Node(settings, msgspec.structs.replace(environment, application_client=client))
 
 
-async def exchange_without_matching(
+async def exchange_without_attempt_check(
     client: MemoryApplicationClient,
     server: BackendAddress,
     request: ApplicationRequest,
     *,
     timeout_seconds: float,
-) -> ApplicationAnswer:
+) -> ApplicationResponse:
     """Replace the client's exchange; does not check that the response matches the request."""
     exchange = _Exchange(client._clock, client._network, server.base_url, timeout_seconds)
     return await exchange.call(client._servers[server.base_url].exchange(request))
@@ -126,7 +126,7 @@
         )
 
 
-class UnboundedNode(Node):
+class NodeWithoutStalenessLimit(Node):
     """Serves samples regardless of their staleness."""
 
     async def pull(
@@ -150,14 +150,14 @@
     return Node(settings, msgspec.structs.replace(environment, machine_list=None))
 
 
-class ImpatientNode(Node):
+class NodeWithoutDrain(Node):
     """Stops without draining the requests in flight."""
 
     async def drain(self) -> None:
         self._requests.gate.is_stopping = True
 
 
-def order_trusting_nodes() -> NodeFactory:
+def nodes_assuming_ordered_version() -> NodeFactory:
     """Return a factory of nodes that share the versions ordered by any of them."""
     ordered_versions: dict[BackendAddress, WeightVersion] = {}
 
--- a/tests/engine_world.py
+++ b/tests/engine_world.py
@@ -28,7 +28,7 @@
 TIMEOUT_SECONDS = 1000.0
 
 
-class Bench:
+class EngineHarness:
     """One engine with a client."""
 
     def __init__(self, parameters: EngineParameters | None = None) -> None:
--- a/tests/requests_world.py
+++ b/tests/requests_world.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from drumbay.backends.interface import (
-    ApplicationAnswer,
+    ApplicationResponse,
     BackendAddress,
     ExchangeBrokenError,
     GenerationRequest,
@@ -36,8 +36,8 @@
 from drumbay.limits.circuit_breaker import CircuitPolicy
 from drumbay.node.request_services import RequestServices
 from drumbay.observability.metrics import NodeMetrics
-from drumbay.requests.identity import IdentityFactory
-from drumbay.requests.once import Dispatch
+from drumbay.requests.at_most_once import Dispatch
+from drumbay.requests.identity import RequestIdFactory
 from drumbay.requests.records import ApplicationCall, LiveRequest
 from drumbay.resources.schema import (
     Backend,
@@ -69,7 +69,7 @@
     circuit: CircuitPolicy = CircuitPolicy()
 
 
-NO_LIMITS = RouteLimits()
+DEFAULT_LIMITS = RouteLimits()
 
 
 class TruncationIgnoringEngineClient(MemoryEngineClient):
@@ -96,7 +96,7 @@
         digest: str,
         dispatch: Dispatch,
         remaining_seconds: float,
-    ) -> ApplicationAnswer:
+    ) -> ApplicationResponse:
         return await dispatch()
 
 
@@ -127,7 +127,7 @@
         self.is_ready = True
         self.decisions = DecisionStore()
         node_id = NodeId("node")
-        self._request_ids = IdentityFactory(node_id, BootId("boot"))
+        self._request_ids = RequestIdFactory(node_id, BootId("boot"))
         engines_by_url = {url_of(engine.backend_id): engine for engine in self.engines}
         servers_by_url: Mapping[str, ServiceModel] = {
             url_of(server.backend_id): server for server in self.servers
@@ -158,7 +158,7 @@
             server.faults.apply(command)
 
     def new_request_id(self) -> RequestId:
-        return self._request_ids.next_request()
+        return self._request_ids.next_request_id()
 
     async def generate(self, max_tokens: int = 40) -> list[TokenChunk]:
         request = LiveRequest(
@@ -172,7 +172,7 @@
 
     async def call(
         self, method: str = "POST", repeatable: bool | None = None
-    ) -> ApplicationAnswer | RequestFailedError:
+    ) -> ApplicationResponse | RequestFailedError:
         call = ApplicationCall(
             request_id=self.new_request_id(),
             method=method,
@@ -236,7 +236,7 @@
 def simulate(
     scenario: Callable[[RequestsWorld], Awaitable[ResultT]],
     *,
-    limits: RouteLimits = NO_LIMITS,
+    limits: RouteLimits = DEFAULT_LIMITS,
     client_type: type[MemoryEngineClient] = MemoryEngineClient,
 ) -> ResultT:
     """Run a scenario on a new fixture in virtual time."""
--- a/tests/test_api_intake.py
+++ b/tests/test_api_intake.py
@@ -12,7 +12,7 @@
 from drumbay.api.application import make_application
 from drumbay.api.intake import RequestIntake
 from drumbay.api.interface import NodeInterface
-from drumbay.backends.interface import ApplicationAnswer
+from drumbay.backends.interface import ApplicationResponse
 from drumbay.identifiers import AttemptId, RequestId
 from drumbay.requests.records import ApplicationCall
 
@@ -31,10 +31,10 @@
     def new_request_id(self) -> RequestId:
         return RequestId("request-1")
 
-    async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
+    async def run_application(self, call: ApplicationCall) -> ApplicationResponse:
         self.began.set()
         await self.released.wait()
-        return ApplicationAnswer(
+        return ApplicationResponse(
             attempt_id=AttemptId("attempt-1"), status=200, body=self.body, content_type="text/plain"
         )
 
--- a/tests/test_backend_promises.py
+++ b/tests/test_backend_promises.py
@@ -10,8 +10,8 @@
 from drumbay.backends.connector import HttpConnector
 from drumbay.backends.http_application import HttpApplicationClient
 from drumbay.backends.interface import (
-    ApplicationAnswer,
     ApplicationRequest,
+    ApplicationResponse,
     BackendAddress,
     BackendError,
     BackendNotReachedError,
@@ -36,7 +36,7 @@
     FaultKind.SLOW,
 )
 
-Outcome = ApplicationAnswer | BackendError
+Outcome = ApplicationResponse | BackendError
 
 
 class AlwaysNotReachedTransfer(Transfer):
@@ -98,7 +98,7 @@
         logged_digests = {r.attempt_id: r.answer_digest for r in records}
         contradicted = [attempt_id for attempt_id, count in executions.items() if count > 1]
         for attempt_id, outcome in self.outcomes.items():
-            if isinstance(outcome, ApplicationAnswer):
+            if isinstance(outcome, ApplicationResponse):
                 agrees = logged_digests.get(attempt_id) == answer_digest(outcome.body)
             else:
                 claims_not_run = isinstance(outcome, BackendNotReachedError | BackendRefusedError)
@@ -112,7 +112,7 @@
         self.assertEqual(len(self.outcomes), ATTEMPTS)
         self.assertEqual(self.contradicted_attempts(), [])
         outcome_types = {type(outcome).__name__ for outcome in self.outcomes.values()}
-        self.assertLessEqual({"ApplicationAnswer", "ExchangeBrokenError"}, outcome_types)
+        self.assertLessEqual({"ApplicationResponse", "ExchangeBrokenError"}, outcome_types)
 
     async def test_failures_misreported_as_not_reached_are_detected(self) -> None:
         with mock.patch("drumbay.backends.connector.Transfer", AlwaysNotReachedTransfer):
--- a/tests/test_claimed_once.py
+++ b/tests/test_claimed_once.py
@@ -6,13 +6,13 @@
 
 from prometheus_client import CollectorRegistry
 
-from drumbay.backends.interface import ApplicationAnswer
+from drumbay.backends.interface import ApplicationResponse
 from drumbay.claims.service import ClaimService
 from drumbay.comm.interface import Address
 from drumbay.exceptions import Execution
 from drumbay.identifiers import IdempotencyKey
 from drumbay.observability.metrics import NodeMetrics
-from drumbay.requests.claimed_once import ClaimedOnceRunner
+from drumbay.requests.claimed_at_most_once import ClaimedAtMostOnceRunner
 from drumbay.requests.errors import RequestTimeoutError
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.virtual_time import run_simulation
@@ -32,7 +32,7 @@
 
     claims = mock.create_autospec(ClaimService, instance=True)
     claims.run_once = run_slowly
-    runner = ClaimedOnceRunner(claims, clock, NodeMetrics(CollectorRegistry()))
+    runner = ClaimedAtMostOnceRunner(claims, clock, NodeMetrics(CollectorRegistry()))
     started_at = clock.monotonic()
     execution = None
     try:
@@ -40,7 +40,7 @@
             scope="stock",
             key=IdempotencyKey("key"),
             digest="00",
-            dispatch=mock.AsyncMock(spec=ApplicationAnswer),
+            dispatch=mock.AsyncMock(spec=ApplicationResponse),
             remaining_seconds=LIMIT_SECONDS,
         )
     except RequestTimeoutError as error:
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -18,7 +18,7 @@
 from tests.engine_world import (
     ADDRESS,
     MODEL,
-    Bench,
+    EngineHarness,
     request,
     run,
 )
@@ -29,7 +29,7 @@
         async def scenario() -> None:
             elapsed = []
             for batch in (1, 12):
-                harness = Bench()
+                harness = EngineHarness()
                 started_at = harness.engine.log.records()[0].time_seconds
                 await asyncio.gather(*(harness.generate(request(f"a{n}")) for n in range(batch)))
                 elapsed.append(asyncio.get_running_loop().time() - started_at)
@@ -40,7 +40,7 @@
 
     def test_higher_priority_is_scheduled_first(self) -> None:
         async def scenario() -> None:
-            harness = Bench(EngineParameters(max_batch=1))
+            harness = EngineHarness(EngineParameters(max_batch=1))
             requests = [request("first"), request("low"), request("high", priority=5)]
             await asyncio.gather(*(harness.generate(item) for item in requests))
             self.assertEqual(list(harness.ended()), ["first", "high", "low"])
@@ -49,7 +49,7 @@
 
     def test_a_cached_prefix_shortens_prefill_until_the_weights_change(self) -> None:
         async def scenario() -> None:
-            harness = Bench()
+            harness = EngineHarness()
             prompt = "a long conversation " * 2000
             clock = asyncio.get_running_loop().time
             elapsed = []
@@ -67,7 +67,7 @@
     def test_cache_events_are_late_and_have_gaps(self) -> None:
         async def scenario() -> None:
             parameters = EngineParameters(cache_event_delay_seconds=5.0, cache_event_loss=0.3)
-            harness = Bench(parameters)
+            harness = EngineHarness(parameters)
             prompt = "x" * 64 * 40
             await harness.generate(request("a", 1, prompt=prompt))
             events_before_delay = await harness.client.cache_events(ADDRESS, 0, timeout_seconds=1.0)
@@ -84,7 +84,7 @@
 
     def test_a_resumed_completion_continues_the_tokens(self) -> None:
         async def scenario() -> None:
-            harness = Bench()
+            harness = EngineHarness()
             complete = await harness.generate(request("whole", 96))
             tokens = tuple(token for chunk in complete for token in chunk.token_ids)
             resumed = await harness.generate(request("rest", 96, resume_tokens=tokens[:40]))
@@ -96,7 +96,7 @@
 
     def test_cancel_ends_the_stream_and_frees_its_batch_slot(self) -> None:
         async def scenario() -> None:
-            harness = Bench(EngineParameters(max_batch=1))
+            harness = EngineHarness(EngineParameters(max_batch=1))
             running = asyncio.ensure_future(harness.generate(request("a", 5000)))
             waiting = asyncio.ensure_future(harness.generate(request("b", 16)))
             await asyncio.sleep(1.0)
@@ -108,7 +108,7 @@
 
     def test_frozen_engine_does_not_respond_and_continues_after_thaw(self) -> None:
         async def scenario() -> None:
-            harness = Bench()
+            harness = EngineHarness()
             stream = asyncio.ensure_future(harness.generate(request("a")))
             await asyncio.sleep(0.1)
             harness.engine.freeze()
@@ -123,7 +123,7 @@
 
     def test_the_load_report_lags(self) -> None:
         async def scenario() -> None:
-            harness = Bench(EngineParameters(load_report_lag_seconds=2.0))
+            harness = EngineHarness(EngineParameters(load_report_lag_seconds=2.0))
             stream = asyncio.ensure_future(harness.generate(request("a", 1000)))
             await asyncio.sleep(1.0)
             fresh = await harness.client.status(ADDRESS, timeout_seconds=1.0)
@@ -136,9 +136,9 @@
 
 
 class CacheTransferTest(unittest.TestCase):
-    async def resume_with_imported_cache(self, harness: Bench) -> GenerationRequest:
+    async def resume_with_imported_cache(self, harness: EngineHarness) -> GenerationRequest:
         """Import the cache of a partial completion into an engine; return the resuming request."""
-        first = Bench()
+        first = EngineHarness()
         first_request = request("first", 100, prompt="a long conversation " * 2000)
         partial = await first.generate(msgspec.structs.replace(first_request, max_tokens=48))
         export = await first.engine.export_cache(first_request.attempt_id)
@@ -151,8 +151,10 @@
         async def scenario() -> None:
             clock = asyncio.get_running_loop().time
             elapsed: list[float] = []
-            for harness in (Bench(), Bench()):
-                resumed = await self.resume_with_imported_cache(Bench() if elapsed else harness)
+            for harness in (EngineHarness(), EngineHarness()):
+                resumed = await self.resume_with_imported_cache(
+                    EngineHarness() if elapsed else harness
+                )
                 started_at = clock()
                 chunks = await harness.generate(resumed)
                 elapsed.append(clock() - started_at)
@@ -163,7 +165,7 @@
 
     def test_a_cache_of_other_weights_is_refused(self) -> None:
         async def scenario() -> None:
-            harness = Bench()
+            harness = EngineHarness()
             resumed = await self.resume_with_imported_cache(harness)
             await harness.load(2, 1)
             with self.assertRaises(BackendRefusedError) as caught:
@@ -178,7 +180,7 @@
 
     def test_a_cache_of_mixed_weights_is_not_exported(self) -> None:
         async def scenario() -> None:
-            harness = Bench()
+            harness = EngineHarness()
             generating = harness.generate(request("a", 600))
             await asyncio.gather(generating, harness.load(2, 1))
             with self.assertRaises(MixedVersionsError):
--- a/tests/test_engine_truth.py
+++ b/tests/test_engine_truth.py
@@ -29,14 +29,14 @@
     ADDRESS,
     MODEL,
     URL,
-    Bench,
+    EngineHarness,
     request,
     run,
     spans_of,
 )
 
 
-async def serve_through_a_swap(bench: Bench) -> list[AttemptId]:
+async def serve_through_a_swap(bench: EngineHarness) -> list[AttemptId]:
     """Return the attempts whose answer differs from the log or from its versions' tokens."""
     requests = [request(f"a{number}", 40 + 40 * number) for number in range(24)]
     served = (bench.generate(item) for item in requests)
@@ -66,7 +66,7 @@
 class TruthTest(unittest.TestCase):
     def test_answers_agree_with_the_log_and_with_the_versions(self) -> None:
         async def scenario() -> None:
-            bench = Bench()
+            bench = EngineHarness()
             self.assertEqual(await serve_through_a_swap(bench), [])
             versions = {span.weight_version for end in bench.ended().values() for span in end.spans}
             self.assertEqual(versions, {1, 2})
@@ -88,14 +88,14 @@
 
         async def scenario() -> None:
             with mock.patch("drumbay.standins.engine_run.EngineDecoder", NextVersionDecoder):
-                bench = Bench()
+                bench = EngineHarness()
             self.assertEqual(len(await serve_through_a_swap(bench)), 24)
 
         run(scenario)
 
     def test_a_swap_acknowledged_without_effect_shows_in_stamps_and_log_only(self) -> None:
         async def scenario() -> None:
-            bench = Bench()
+            bench = EngineHarness()
             bench.arm(FaultKind.SWAP_FAILS_ACKNOWLEDGED)
             await bench.load(2, 1)
             status = await bench.client.status(ADDRESS, timeout_seconds=1.0)
@@ -109,7 +109,7 @@
 
     def test_refused_requests_did_not_run(self) -> None:
         async def scenario() -> None:
-            bench = Bench(EngineParameters(max_batch=2, max_waiting=2))
+            bench = EngineHarness(EngineParameters(max_batch=2, max_waiting=2))
             names = [f"a{number}" for number in range(8)]
             results = await asyncio.gather(
                 *(bench.generate(request(name)) for name in names), return_exceptions=True
@@ -129,7 +129,7 @@
 
     def test_a_crash_breaks_streams_and_the_log_holds_what_was_produced(self) -> None:
         async def scenario() -> None:
-            bench = Bench()
+            bench = EngineHarness()
             stream = asyncio.ensure_future(bench.generate(request("a", 400)))
             await asyncio.sleep(1.0)
             first_boot = bench.engine.boot_id
@@ -147,20 +147,20 @@
 
     def test_a_process_started_again_with_its_seed_has_another_identity(self) -> None:
         async def scenario() -> None:
-            first = Bench().engine.boot_id
+            first = EngineHarness().engine.boot_id
             await asyncio.sleep(1.0)
-            self.assertNotEqual(Bench().engine.boot_id, first)
+            self.assertNotEqual(EngineHarness().engine.boot_id, first)
 
         run(scenario)
 
     def test_an_engine_behind_a_cut_goes_on_until_it_is_cancelled(self) -> None:
         async def scenario() -> None:
-            bench = Bench()
+            bench = EngineHarness()
             streams = [
                 asyncio.ensure_future(bench.generate(request(name, 400))) for name in ("a", "b")
             ]
             await asyncio.sleep(1.0)
-            bench.network.cut_answers(URL)
+            bench.network.drop_responses(URL)
             results = await asyncio.gather(*streams, return_exceptions=True)
             self.assertTrue(all(isinstance(r, ExchangeBrokenError) for r in results))
             self.assertEqual(bench.ended(), {})
@@ -176,7 +176,7 @@
 class OrderTest(unittest.TestCase):
     def test_an_older_fence_is_refused_before_and_during_a_load(self) -> None:
         async def scenario() -> None:
-            bench = Bench()
+            bench = EngineHarness()
             slow = asyncio.ensure_future(bench.load(2, 5))
             await asyncio.sleep(0.5)
             with self.assertRaises(StaleFenceError):
@@ -190,8 +190,8 @@
 
     def test_an_order_goes_on_when_its_answer_is_lost(self) -> None:
         async def scenario() -> None:
-            bench = Bench()
-            bench.network.cut_answers(URL)
+            bench = EngineHarness()
+            bench.network.drop_responses(URL)
             with self.assertRaises(ExchangeBrokenError):
                 await bench.load(2, 1)
             self.assertEqual(bench.engine.true_version, 2)
@@ -200,7 +200,7 @@
 
     def test_an_order_whose_answer_was_lost_took_effect(self) -> None:
         async def scenario() -> None:
-            bench = Bench()
+            bench = EngineHarness()
             bench.arm(FaultKind.ORDER_ANSWER_LOST)
             with self.assertRaises(ExchangeBrokenError):
                 await bench.load(2, 1)
@@ -210,7 +210,7 @@
 
     def test_a_version_that_is_not_loaded_is_refused(self) -> None:
         async def scenario() -> None:
-            bench = Bench()
+            bench = EngineHarness()
             with self.assertRaises(BackendRefusedError) as caught:
                 await bench.generate(request("a", weight_version=WeightVersion(2)))
             self.assertEqual(caught.exception.reason, "version_not_loaded")
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from drumbay.backends.interface import ApplicationAnswer
+from drumbay.backends.interface import ApplicationResponse
 from drumbay.limits.recent_latency import RecentLatency
 from drumbay.limits.retry_budget import RetryBudgetPolicy
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.execution_log import ApplicationExecuted
 from drumbay.standins.faults import FaultCommand, FaultKind
-from tests.requests_world import NO_LIMITS, RequestsWorld
+from tests.requests_world import DEFAULT_LIMITS, RequestsWorld
 
 REQUESTS = 400
 PAUSE_SECONDS = 0.05
@@ -30,13 +30,13 @@
 
 def run_requests(method: str) -> HedgingRun:
     async def main() -> HedgingRun:
-        world = RequestsWorld(NO_LIMITS)
+        world = RequestsWorld(DEFAULT_LIMITS)
         seconds: list[float] = []
 
         async def call() -> None:
             started_at = world.clock.monotonic()
             answer = await world.call(method)
-            assert isinstance(answer, ApplicationAnswer), answer
+            assert isinstance(answer, ApplicationResponse), answer
             seconds.append(world.clock.monotonic() - started_at)
 
         calls = []
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -11,7 +11,7 @@
 from tornado.web import Application
 
 from drumbay.api.application import make_application
-from drumbay.backends.interface import ApplicationAnswer, TokenChunk
+from drumbay.backends.interface import ApplicationResponse, TokenChunk
 from drumbay.node.environment import NodeEnvironment
 from drumbay.node.node import Node
 from drumbay.node.recorded import RecordedRequests
@@ -51,7 +51,7 @@
     def generate(self, request: LiveRequest) -> AsyncGenerator[TokenChunk, None]:
         return self.requests.generate(request)
 
-    async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
+    async def run_application(self, call: ApplicationCall) -> ApplicationResponse:
         return await self.requests.run_application(call)
 
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from drumbay.backends.interface import (
-    ApplicationAnswer,
+    ApplicationResponse,
     BackendAddress,
     BackendNotReachedError,
     BackendRefusedError,
@@ -118,7 +118,7 @@
     def test_not_run_only_if_no_engine_accepted_it(self) -> None:
         async def scenario(world: RequestsWorld) -> tuple[Execution, int]:
             for engine in world.engines:
-                world.network.cut_requests(url_of(engine.backend_id))
+                world.network.block_requests(url_of(engine.backend_id))
             try:
                 await world.generate()
             except RequestFailedError as error:
@@ -132,7 +132,7 @@
     def call_with_lost_response(self) -> tuple[RequestFailedError, int]:
         async def scenario(world: RequestsWorld) -> tuple[RequestFailedError, int]:
             for server in world.servers:
-                world.network.cut_answers(url_of(server.backend_id))
+                world.network.drop_responses(url_of(server.backend_id))
             error = await world.call("POST")
             await world.clock.sleep(1.0)
             assert isinstance(error, RequestFailedError)
@@ -153,12 +153,12 @@
         self.assertGreater(executions, 0)
 
     def test_get_request_is_retried_on_another_server(self) -> None:
-        async def scenario(world: RequestsWorld) -> ApplicationAnswer | RequestFailedError:
-            world.network.cut_answers(url_of(world.servers[0].backend_id))
-            world.network.cut_answers(url_of(world.servers[1].backend_id))
+        async def scenario(world: RequestsWorld) -> ApplicationResponse | RequestFailedError:
+            world.network.drop_responses(url_of(world.servers[0].backend_id))
+            world.network.drop_responses(url_of(world.servers[1].backend_id))
             return await world.call("GET")
 
-        self.assertIsInstance(simulate(scenario), ApplicationAnswer)
+        self.assertIsInstance(simulate(scenario), ApplicationResponse)
 
     def test_node_without_configuration_is_not_ready(self) -> None:
         """A ``NoRouteError`` would tell the caller not to retry."""
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -6,8 +6,8 @@
 from collections import Counter
 
 from drumbay.backends.interface import (
-    ApplicationAnswer,
     ApplicationRequest,
+    ApplicationResponse,
     BackendAddress,
     BackendNotReachedError,
     BackendRefusedError,
@@ -37,7 +37,7 @@
         self.network = BackendNetwork(clock)
         self.client = MemoryApplicationClient(clock, {URL: self.server}, self.network)
 
-    async def send(self, name: str) -> ApplicationAnswer:
+    async def send(self, name: str) -> ApplicationResponse:
         request = ApplicationRequest(
             attempt_id=AttemptId(name), method="POST", path="/orders/tile", idempotency_key="k"
         )
@@ -83,10 +83,10 @@
     def test_lost_response_is_broken_and_blocked_request_did_not_run(self) -> None:
         async def scenario() -> None:
             harness = ServiceHarness()
-            harness.network.cut_answers(URL)
+            harness.network.drop_responses(URL)
             with self.assertRaises(ExchangeBrokenError):
                 await harness.send("a")
-            harness.network.cut_requests(URL)
+            harness.network.block_requests(URL)
             with self.assertRaises(BackendNotReachedError):
                 await harness.send("b")
             self.assertEqual(harness.executions(), {"a": 1})
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -36,7 +36,7 @@
 from drumbay.simulation.scenario import find_scenario
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.engine_model import EngineModel
-from tests.requests_world import MODEL, NO_LIMITS, RequestsWorld
+from tests.requests_world import DEFAULT_LIMITS, MODEL, RequestsWorld
 
 ENGINE = BackendId("engine")
 STREAM = StreamName("stream")
@@ -176,7 +176,7 @@
 
     def _live_seconds(self, priority_of: Callable[[int], int]) -> float:
         async def main() -> float:
-            world = RequestsWorld(NO_LIMITS)
+            world = RequestsWorld(DEFAULT_LIMITS)
             rollouts = [
                 asyncio.ensure_future(_run_rollout(engine, number))
                 for engine in world.engines
--- a/tests/test_simulation_promises.py
+++ b/tests/test_simulation_promises.py
@@ -86,14 +86,14 @@
             Promise.REFUSED_NOT_RUN,
             small_scenario(load=LOOKUPS, with_trainer=False),
             answers(BackendFaultKind.TRUNCATED_ANSWER, 20),
-            broken_nodes.make_optimistic_node,
+            broken_nodes.make_node_hiding_broken_exchanges,
         )
 
     def test_whole_answers_need_matching(self) -> None:
         scenario = small_scenario(load=LOOKUPS, with_trainer=False)
         faults = answers(BackendFaultKind.CROSSED_ANSWER, 5)
         with mock.patch.object(
-            MemoryApplicationClient, "exchange", broken_nodes.exchange_without_matching
+            MemoryApplicationClient, "exchange", broken_nodes.exchange_without_attempt_check
         ):
             broken = self.broken_promises(scenario, faults, Node)
         self.assertIn(Promise.WHOLE_ANSWERS, broken)
@@ -111,7 +111,10 @@
             for engine in ENGINES
         )
         self.assert_guarded(
-            Promise.SAMPLE_VERSIONS, small_scenario(), faults, broken_nodes.order_trusting_nodes()
+            Promise.SAMPLE_VERSIONS,
+            small_scenario(),
+            faults,
+            broken_nodes.nodes_assuming_ordered_version(),
         )
 
     def test_staleness_needs_the_trainers_bound(self) -> None:
@@ -120,7 +123,9 @@
             for at in (35.0, 41.0, 47.0)
             for engine in ENGINES
         )
-        self.assert_guarded(Promise.STALENESS, small_scenario(), faults, broken_nodes.UnboundedNode)
+        self.assert_guarded(
+            Promise.STALENESS, small_scenario(), faults, broken_nodes.NodeWithoutStalenessLimit
+        )
 
     def test_exactly_once_needs_the_replicated_log(self) -> None:
         scenario = small_scenario()
@@ -148,7 +153,7 @@
             Promise.PLANNED_STOP,
             small_scenario(load=load, with_trainer=False),
             answers(BackendFaultKind.LATE_ANSWER, 200),
-            broken_nodes.ImpatientNode,
+            broken_nodes.NodeWithoutDrain,
         )
 
 
