--- a/drumbay/node/__init__.py
+++ b/drumbay/node/__init__.py
@@ -1,1 +1,1 @@
-"""The node process: the shell that joins the services."""
+"""The node process: constructs, wires and runs its services."""
--- a/drumbay/node/backend_subset.py
+++ b/drumbay/node/backend_subset.py
@@ -1,8 +1,8 @@
-"""Which back ends this node watches: its share, and those that what it owns needs.
+"""Selects the backends that this node watches: its subset of each group, and pinned ones.
 
-The share comes from :mod:`drumbay.routing.subsets`. The number of back ends that a node
-watches over all groups bounds what it spends on polling them, so a group gets a part of it
-by its size. Groups up to a threshold are watched whole by every node.
+Subsets are computed by :mod:`drumbay.routing.subsets`. To bound the cost of polling, large
+groups divide a fixed number of watched backends per node in proportion to their sizes. Small
+groups are watched completely by every node.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,45 +22,46 @@
 
 
 class WatchPolicy(msgspec.Struct, frozen=True, kw_only=True):
-    """How many back ends one node watches; see ``docs/CAPACITY.md`` for the figures.
+    """How many backends one node watches; see ``docs/CAPACITY.md``.
 
     Attributes:
-        whole_group_size: Groups up to this size are watched whole.
-        total_degree: Back ends of the larger groups together, shared out by size.
-        least_degree: Fewest back ends of a larger group.
+        max_full_watch_size: Groups up to this size are watched completely.
+        total_degree: Total watched backends of all larger groups, divided in proportion to
+            their sizes.
+        min_degree: Minimum number of watched backends of a larger group.
     """
 
-    whole_group_size: int = 16
+    max_full_watch_size: int = 16
     total_degree: int = 32
-    least_degree: int = 8
+    min_degree: int = 8
 
 
 def group_degree(group_size: int, total_size: int, policy: WatchPolicy) -> int:
-    """Return how many back ends of a group one node watches.
+    """Return how many backends of a group one node watches.
 
     Args:
-        group_size: Back ends of the group.
-        total_size: Back ends of all groups above the threshold.
-        policy: Bounds.
+        group_size: Number of backends in the group.
+        total_size: Number of backends in all groups above the threshold.
+        policy: Limits and thresholds.
     """
-    if group_size <= policy.whole_group_size:
+    if group_size <= policy.max_full_watch_size:
         return group_size
-    share = round(policy.total_degree * group_size / total_size)
-    return max(policy.least_degree, share)
+    proportional_degree = round(policy.total_degree * group_size / total_size)
+    return max(policy.min_degree, proportional_degree)
 
 
-def share_of_node(
+def assign_backends(
     node_id: NodeId,
     nodes: tuple[NodeMember, ...],
     groups: Iterable[BackendGroup],
     policy: WatchPolicy,
 ) -> frozenset[BackendId]:
-    """Return the back ends of one node over all groups."""
-    ordered = sorted(groups, key=lambda group: group.name)
-    sizes = [len(group.backends) for group in ordered]
-    total_size = sum(size for size in sizes if size > policy.whole_group_size)
+    """Return the backends of all groups that one node is assigned."""
+    sorted_groups = sorted(groups, key=lambda group: group.name)
+    sizes = [len(group.backends) for group in sorted_groups]
+    total_size = sum(size for size in sizes if size > policy.max_full_watch_size)
     assigned: list[BackendId] = []
-    for group, size in zip(ordered, sizes, strict=True):
+    for group, size in zip(sorted_groups, sizes, strict=True):
         workers = [
             WorkerMember(backend_id=BackendId(backend.id), zone=backend.zone)
             for backend in group.backends
@@ -71,13 +72,13 @@
 
 
 class BackendSubset:
-    """Keeps the directory's set of watched back ends up to date.
+    """Keeps the directory's set of watched backends up to date.
 
     Args:
         node_id: This node.
-        nodes: Returns the live nodes; the same tuple while they do not change.
-        directory: Told what to watch.
-        policy: Bounds of the set.
+        nodes: Returns the live nodes; the same tuple object while they do not change.
+        directory: Updated with the watched backends.
+        policy: How many backends to watch.
     """
 
     def __init__(
@@ -87,48 +88,48 @@
         directory: BackendDirectory,
         policy: WatchPolicy | None = None,
     ) -> None:
-        """Create a subset of no groups."""
+        """Create a subset without groups."""
         self._node_id = node_id
         self._nodes = nodes
         self._directory = directory
         self._policy = policy or WatchPolicy()
         self._groups: tuple[BackendGroup, ...] = ()
-        self._assigned_for: tuple[NodeMember, ...] | None = None
+        self._assigned_nodes: tuple[NodeMember, ...] | None = None
         self._assigned: frozenset[BackendId] = frozenset()
         self._pinned: dict[str, frozenset[BackendId]] = {}
 
     @property
     def assigned(self) -> frozenset[BackendId]:
-        """Return this node's share, without what is pinned."""
+        """Return this node's subset, without pinned backends."""
         return self._assigned
 
     def set_groups(self, view: ConfigurationView) -> None:
-        """Take in the groups in force; a change that leaves them alone costs nothing."""
+        """Apply the current groups; recomputes the subset only if they changed."""
         groups = tuple(group for _, group in sorted(view.groups.items()))
         if groups != self._groups:
             self._groups = groups
-            self._assigned_for = None
+            self._assigned_nodes = None
         self.refresh()
 
     def refresh(self) -> bool:
-        """Work out the share anew if the live nodes changed; return whether it changed."""
+        """Recompute the subset if nodes or groups changed; return whether the subset changed."""
         nodes = self._nodes()
-        if nodes is self._assigned_for:
+        if nodes is self._assigned_nodes:
             return False
-        self._assigned_for = nodes
-        assigned = share_of_node(self._node_id, nodes, self._groups, self._policy)
+        self._assigned_nodes = nodes
+        assigned = assign_backends(self._node_id, nodes, self._groups, self._policy)
         if assigned == self._assigned:
             return False
         self._assigned = assigned
-        self._tell()
+        self._update_directory()
         return True
 
     def pin(self, owner: str, backend_ids: Iterable[BackendId]) -> bool:
-        """Watch back ends besides the share; return whether the set for ``owner`` changed.
+        """Watch backends in addition to the subset; return whether the set of ``owner`` changed.
 
         Args:
-            owner: What needs them; a later call for it replaces its set.
-            backend_ids: The back ends; none ends the pin.
+            owner: Name of the component that needs them; a later call replaces its set.
+            backend_ids: The backends; empty to remove the pin.
         """
         pinned = frozenset(backend_ids)
         if pinned == self._pinned.get(owner, frozenset()):
@@ -137,8 +138,8 @@
             self._pinned[owner] = pinned
         else:
             self._pinned.pop(owner)
-        self._tell()
+        self._update_directory()
         return True
 
-    def _tell(self) -> None:
+    def _update_directory(self) -> None:
         self._directory.set_watched(self._assigned.union(*self._pinned.values()))
--- a/drumbay/node/backends.py
+++ b/drumbay/node/backends.py
@@ -1,4 +1,4 @@
-"""Back ends of a node: directory, reports, and records of what changed."""
+"""Keeps a node's view of its backends up to date and records availability changes."""
 
 from random import Random
 
@@ -15,19 +15,18 @@
 from drumbay.tasks import TaskOwner
 
 SUBSET_REFRESH_SECONDS = 5.0
-"""Working out the subset costs tens of milliseconds at hundreds of nodes and back ends, so
-a burst of membership changes is taken as one."""
+"""Coalesces bursts of membership changes, since computing the subset is expensive."""
 
 
 class BackendSupervisor:
-    """Feeds the directory and records each change of a back end's availability.
+    """Updates the backend directory and records each change of a backend's availability.
 
     Args:
-        clock: Time.
-        engine_client: Talks to engines.
-        directory: Takes what is learned.
-        subset: Says which back ends are watched.
-        recorder: Takes decision records.
+        clock: Source of the current time.
+        engine_client: Engine API client.
+        directory: Updated with reports and configuration.
+        subset: Selects the backends to watch.
+        recorder: Receives decision records.
         task_owner: Owns the polling tasks.
         random: Source of jitter.
     """
@@ -42,7 +41,7 @@
         task_owner: TaskOwner,
         random: Random,
     ) -> None:
-        """Create a supervisor that watches nothing yet."""
+        """Create a supervisor; it watches no backends yet."""
         self._clock = clock
         self._directory = directory
         self._subset = subset
@@ -53,29 +52,29 @@
         )
 
     def start(self) -> None:
-        """Start to follow the live nodes."""
-        self._task_owner.spawn(self._follow_members(), "backend-subset")
+        """Start refreshing the subset as nodes join and leave."""
+        self._task_owner.spawn(self._refresh_subset(), "backend-subset")
 
     def apply_configuration(self, view: ConfigurationView) -> None:
-        """Take in the groups and drains in force."""
+        """Apply the current groups and drains."""
         changes = self._directory.apply_configuration(view, self._clock.monotonic())
         self._record_changes(changes)
         self._subset.set_groups(view)
         self._monitor.watch_all()
 
     def pin(self, owner: str, backend_ids: tuple[BackendId, ...]) -> None:
-        """Watch back ends that something owned by this node needs; none ends it."""
+        """Watch backends that ``owner`` needs; an empty tuple removes the pin."""
         if self._subset.pin(owner, backend_ids):
             self._monitor.watch_all()
 
-    async def _follow_members(self) -> None:
+    async def _refresh_subset(self) -> None:
         while True:
             await self._clock.sleep(SUBSET_REFRESH_SECONDS)
             if self._subset.refresh():
                 self._monitor.watch_all()
 
     def set_leaving(self, leaving: tuple[BackendId, ...]) -> None:
-        """Take in which back ends the machine list names as leaving."""
+        """Mark the backends whose machines the platform is about to remove."""
         self._record_changes(self._directory.set_leaving(leaving))
 
     def _record_changes(self, changes: tuple[AvailabilityChange, ...]) -> None:
--- a/drumbay/node/batches.py
+++ b/drumbay/node/batches.py
@@ -1,4 +1,4 @@
-"""Batches as trainers receive them."""
+"""Converts batches to the HTTP responses that trainers receive."""
 
 from drumbay.api.schema import BatchBody, DeliveredSample
 from drumbay.delivery.batch import Batch
@@ -7,18 +7,18 @@
 
 
 def batch_body(batch: Batch) -> BatchBody:
-    """Return a fixed batch as the answer to a pull."""
+    """Return the response to a pull that has a batch."""
     return BatchBody(
         stream=batch.stream,
         cursor=batch.cursor,
         next_cursor=batch.cursor + 1,
         oldest_version=batch.oldest_version,
-        samples=tuple(_delivered(batch, sample) for sample in batch.samples),
+        samples=tuple(_delivered_sample(batch, sample) for sample in batch.samples),
     )
 
 
 def empty_batch_body(request: PullRequest) -> BatchBody:
-    """Return the answer to a pull while no sample is ready."""
+    """Return the response to a pull while no sample is ready."""
     return BatchBody(
         stream=request.stream,
         cursor=request.cursor,
@@ -27,7 +27,7 @@
     )
 
 
-def _delivered(batch: Batch, sample: Sample) -> DeliveredSample:
+def _delivered_sample(batch: Batch, sample: Sample) -> DeliveredSample:
     versions = dict.fromkeys(span.weight_version for span in sample.spans)
     return DeliveredSample(
         sample_id=sample.key.sample_id(batch.stream),
--- a/drumbay/node/cluster_view.py
+++ b/drumbay/node/cluster_view.py
@@ -1,4 +1,4 @@
-"""Who the other nodes are, in the forms in which the services ask for it."""
+"""Views of the cluster membership for the other services of a node."""
 
 from collections.abc import Iterable, Iterator
 
@@ -16,18 +16,17 @@
 
 
 class ClusterView:
-    """Adapts the membership to what each service needs.
+    """Converts the membership to the types that other services use.
 
-    What it returns is worked out again only when the members change. The same tuple is
-    returned until then, also after news that does not concern its content, so that callers
-    can tell by identity that nothing changed.
+    Results are cached: the same tuple object is returned until its content changes, so that
+    callers can detect changes by identity.
 
     Args:
-        membership: The membership of this node.
+        membership: This node's membership service.
     """
 
     def __init__(self, membership: MembershipService) -> None:
-        """Read from ``membership``."""
+        """Create a view of ``membership``."""
         self._membership = membership
         self._members: tuple[Member, ...] = ()
         self._peers: tuple[PeerView, ...] = ()
@@ -37,7 +36,7 @@
 
     def _refresh(self) -> None:
         members = self._membership.members()
-        # NOTE: a member that did not change is the same object, so this compares pointers.
+        # An unchanged member is the same object, so this comparison is cheap.
         if members == self._members:
             return
         self._members = members
@@ -52,7 +51,7 @@
         )
 
     def peers(self) -> tuple[PeerView, ...]:
-        """Return the live nodes, this one included, sorted by identifier."""
+        """Return the live nodes including this one, sorted by identifier."""
         self._refresh()
         return self._peers
 
@@ -62,12 +61,12 @@
         return self._node_ids
 
     def subset_nodes(self) -> tuple[NodeMember, ...]:
-        """Return the live nodes among which back ends are shared out, sorted."""
+        """Return the live nodes among which backends are divided, sorted by identifier."""
         self._refresh()
         return self._subset_nodes
 
     def peer_addresses(self) -> tuple[Address, ...]:
-        """Return the addresses of the live nodes, this one included."""
+        """Return the addresses of the live nodes, including this one."""
         self._refresh()
         return tuple(self._addresses.values())
 
@@ -77,15 +76,15 @@
         return self._addresses.get(node_id)
 
     def replica_candidates(self) -> tuple[ReplicaCandidate, ...]:
-        """Return the live nodes that have a disk."""
+        """Return the live nodes that have a data folder."""
         return tuple(
             ReplicaCandidate(node_id=peer.node_id, address=peer.address, zone=peer.zone)
             for peer in self.peers()
             if peer.has_data_folder
         )
 
-    def bodies(self) -> tuple[MemberBody, ...]:
-        """Return every known member as operators see it."""
+    def member_bodies(self) -> tuple[MemberBody, ...]:
+        """Return every known member for the status endpoint."""
         return tuple(
             MemberBody(
                 node_id=member.node_id,
@@ -99,7 +98,7 @@
 
 
 def _peers_of(members: Iterable[Member]) -> Iterator[PeerView]:
-    """Yield the members that count as live."""
+    """Yield the reachable members."""
     for member in members:
         if member.is_reachable:
             yield PeerView(
@@ -107,9 +106,9 @@
                 address=member.address,
                 zone=member.zone,
                 region=member.region,
-                has_data_folder=_has_disk(member),
+                has_data_folder=_has_data_folder(member),
             )
 
 
-def _has_disk(member: Member) -> bool:
+def _has_data_folder(member: Member) -> bool:
     return member.labels.get(DATA_FOLDER_LABEL) == LABEL_SET
--- a/drumbay/node/coordination.py
+++ b/drumbay/node/coordination.py
@@ -21,14 +21,14 @@
 
 
 class CoordinationServices:
-    """The services by which nodes act together.
+    """Services that coordinate the nodes of a cluster.
 
     Attributes:
         membership: Failure detection among nodes.
-        cluster: The live nodes, as the other services need them.
-        configuration: The operators' configuration in force.
-        operators: Operators' writes.
-        ownership: Leases with fences.
+        cluster: Views of the live nodes for the other services.
+        configuration: The operators' current configuration.
+        operators: Configuration writes by operators.
+        ownership: Leases with fencing tokens.
         replica_set: The newest known replica set.
     """
 
@@ -89,11 +89,11 @@
             policy=ReplacementPolicy(),
             other_parts=(StreamStateCopier(environment.transport),),
         )
-        self._has_disk = data_folder is not None
+        self._has_data_folder = data_folder is not None
 
     def _watches_key_value_service(self) -> bool:
-        """Return whether this node watches the service rather than hear from others."""
-        return self._has_disk or self.configuration.watching
+        """Return whether this node watches the key-value service itself."""
+        return self._has_data_folder or self.configuration.watching
 
     def start(self) -> None:
         """Start every service."""
@@ -101,11 +101,11 @@
         self.configuration.start()
         self.ownership.start()
         self._task_owner.spawn(self.replica_set.run(), "replica-set-watch")
-        if self._has_disk:
+        if self._has_data_folder:
             self._task_owner.spawn(self._reconfigurator.run(), "replica-set-change")
 
     def stream_replicas(self) -> ReplicaView:
-        """Return the replica set as stream owners use it."""
+        """Return the active replica set, in the form that stream owners use."""
         current = self.replica_set.replica_set()
         if current is None or not current.is_active:
             return NO_REPLICAS
--- a/drumbay/node/environment.py
+++ b/drumbay/node/environment.py
@@ -1,4 +1,4 @@
-"""Everything a node takes from outside: time, network, platform, back ends, randomness."""
+"""External dependencies of a node: time, network, platform, backends, randomness."""
 
 from collections.abc import Callable
 from random import Random
@@ -17,21 +17,21 @@
 
 
 class NodeEnvironment(msgspec.Struct, frozen=True, kw_only=True):
-    """The outside world of one node; real, hollow or simulated.
+    """External dependencies of one node; real, emulated or simulated.
 
     Attributes:
-        clock: Time.
-        transport: Exchange with other nodes.
+        clock: Source of the current time.
+        transport: Messages to and from other nodes.
         store: The platform's key-value service.
-        engine_client: Talks to engines.
-        application_client: Talks to application servers.
+        engine_client: Engine API client.
+        application_client: Application server client.
         machine_list: The platform's machine list; ``None`` if there is none.
-        weight_store: The weight store; ``None`` if versions are only announced.
-        open_log: Opens record logs below the data folder.
-        random: Seeded source of random numbers.
-        boot_id: Identity of this run of the process.
-        run_blocking: Does what waits for the disk off the event loop.
-        refused_frames: Returns the frames refused so far, by code, for the metrics.
+        weight_store: The weight store; ``None`` if trainers announce all versions.
+        open_log: Opens record logs in the data folder.
+        random: Random number generator; seeded in simulations.
+        boot_id: Identifier of this process incarnation.
+        run_blocking: Runs blocking disk operations off the event loop.
+        refused_frames: Returns the number of rejected frames by code, for the metrics.
     """
 
     clock: Clock
--- a/drumbay/node/node.py
+++ b/drumbay/node/node.py
@@ -1,4 +1,4 @@
-"""One node: its planned stop, and the operations that the HTTP interface offers."""
+"""One node: its HTTP operations and its planned stop."""
 
 from collections.abc import AsyncGenerator
 
@@ -28,7 +28,7 @@
     WeightVersion,
 )
 from drumbay.node.batches import batch_body, empty_batch_body
-from drumbay.node.failures import stream_failure
+from drumbay.node.request_errors import stream_request_error
 from drumbay.node.services import NodeServices
 from drumbay.node.stop_sequence import StopStep, run_stop_steps
 from drumbay.node.stream_messages import CheckpointRequest, PullRequest, SubmitStepRequest
@@ -37,10 +37,10 @@
 from drumbay.resources.schema import AccessToken
 
 DRAIN_POLL_SECONDS = 0.05
-OWNERSHIP_LIMIT_SECONDS = 5.0
-MEMBERSHIP_LIMIT_SECONDS = 5.0
-TASKS_LIMIT_SECONDS = 8.0
-LOGS_LIMIT_SECONDS = 5.0
+OWNERSHIP_STOP_TIMEOUT_SECONDS = 5.0
+MEMBERSHIP_LEAVE_TIMEOUT_SECONDS = 5.0
+TASKS_CLOSE_TIMEOUT_SECONDS = 8.0
+LOGS_CLOSE_TIMEOUT_SECONDS = 5.0
 
 
 class Node(NodeServices):
@@ -48,83 +48,85 @@
 
     Args:
         settings: Settings of the node.
-        environment: Everything from outside; real, hollow or simulated.
+        environment: External dependencies; real, emulated or simulated.
     """
 
-    def refuse_new_requests(self) -> None:
-        """Take no more requests; those in flight go on."""
+    def reject_new_requests(self) -> None:
+        """Reject new requests; those in flight continue."""
         self._requests.gate.is_stopping = True
         self._operations.is_stopping = True
         log_event("node_draining", node_id=self._node_id, in_flight=self._requests.gate.in_flight)
 
     @property
-    def longest_request_seconds(self) -> float:
-        """Return the longest time that a request in flight may take by its route."""
-        return self._requests.longest_timeout_seconds
+    def max_request_seconds(self) -> float:
+        """Return the maximum timeout of any request in flight, by its route."""
+        return self._requests.max_timeout_seconds
 
     async def drain(self) -> None:
-        """Refuse new requests and wait until those in flight have ended."""
-        self.refuse_new_requests()
+        """Reject new requests and wait until those in flight have ended."""
+        self.reject_new_requests()
         await self.wait_idle()
 
     async def wait_idle(self) -> None:
         """Wait until no request is in flight."""
-        # A caller that went away leaves the gate, while its unrepeatable request goes on.
-        while self._in_flight() > 0:
+        # A non-idempotent request continues after its caller disconnects and leaves the gate.
+        while self._in_flight_count() > 0:
             await self._clock.sleep(DRAIN_POLL_SECONDS)
 
-    def _in_flight(self) -> int:
+    def _in_flight_count(self) -> int:
         requests = self._requests.gate.in_flight + self._claims.dispatches_under_way
         return requests + self._operations.in_flight
 
     async def stop(self) -> None:
-        """Stop in an orderly way: drain, then the steps of :meth:`stop_steps`."""
+        """Carry out the planned stop: drain, then run :meth:`stop_steps`."""
         await self.drain()
         await run_stop_steps(self.stop_steps())
 
     def stop_steps(self) -> tuple[StopStep, ...]:
-        """Return the steps after the drain: hand over, leave the membership, close the logs."""
+        """Return the steps after the drain: release leases, leave the cluster, close the logs."""
         coordination = self._coordination
         steps = [
             StopStep(
                 name="give-up-ownership",
                 run=coordination.ownership.stop,
-                limit_seconds=OWNERSHIP_LIMIT_SECONDS,
+                timeout_seconds=OWNERSHIP_STOP_TIMEOUT_SECONDS,
             ),
             StopStep(
                 name="leave-membership",
                 run=coordination.membership.leave,
-                limit_seconds=MEMBERSHIP_LIMIT_SECONDS,
+                timeout_seconds=MEMBERSHIP_LEAVE_TIMEOUT_SECONDS,
+            ),
+            StopStep(
+                name="end-tasks", run=self._tasks.close, timeout_seconds=TASKS_CLOSE_TIMEOUT_SECONDS
             ),
-            StopStep(name="end-tasks", run=self._tasks.close, limit_seconds=TASKS_LIMIT_SECONDS),
         ]
         if self._replicas is not None:
             steps.append(
                 StopStep(
                     name="close-logs",
                     run=self._replicas.close,
-                    limit_seconds=LOGS_LIMIT_SECONDS,
+                    timeout_seconds=LOGS_CLOSE_TIMEOUT_SECONDS,
                 )
             )
         return tuple(steps)
 
     async def close(self) -> None:
-        """End every task and close the logs at once."""
+        """Cancel every task and close the logs immediately."""
         await self._tasks.close()
         if self._replicas is not None:
             await self._replicas.close()
 
     def new_request_id(self) -> RequestId:
-        """Return an id for a request that came in at this node."""
+        """Return an id for a new request at this node."""
         return self._identities.next_request()
 
     def wall_seconds(self) -> int:
-        """Return the node's wall clock in seconds since the Unix epoch."""
+        """Return the current time in whole seconds since the Unix epoch."""
         return int(self._clock.wall())
 
     def generate(self, request: LiveRequest) -> AsyncGenerator[TokenChunk, None]:
         """Serve a live generation request."""
-        return self._recorded.generate(request)
+        return self._recorded_requests.generate(request)
 
     def spans_of(self, request_id: RequestId) -> tuple[VersionSpan, ...]:
         """Return the version spans of a live request that was served here."""
@@ -132,10 +134,10 @@
 
     async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
         """Run an application request."""
-        return await self._recorded.run_application(call)
+        return await self._recorded_requests.run_application(call)
 
     async def submit_rollouts(self, submission: RolloutSubmission) -> RolloutReceipt:
-        """Take the samples of a step."""
+        """Submit the prompts of a training step."""
         request = SubmitStepRequest(
             stream=StreamName(submission.stream),
             step=submission.step,
@@ -144,7 +146,7 @@
         try:
             owner = await self._streams.submit(request)
         except DrumbayError as error:
-            raise stream_failure(error) from error
+            raise stream_request_error(error) from error
         return RolloutReceipt(stream=submission.stream, step=submission.step, owner=owner)
 
     async def pull(
@@ -154,7 +156,7 @@
         max_samples: int,
         oldest_version: WeightVersion,
     ) -> BatchBody:
-        """Return the batch at a cursor, fixing it if this is the first pull."""
+        """Return the batch at a cursor; the first pull determines its content."""
         request = PullRequest(
             stream=stream,
             cursor=cursor,
@@ -164,20 +166,20 @@
         try:
             reply = await self._streams.pull(request)
         except DrumbayError as error:
-            raise stream_failure(error) from error
+            raise stream_request_error(error) from error
         if reply.batch is None:
             return empty_batch_body(request)
         return batch_body(reply.batch)
 
     async def checkpointed(self, stream: StreamName, cursor: Cursor) -> None:
-        """Take note of the next cursor that a trainer's checkpoint holds."""
+        """Record the next cursor in a trainer's checkpoint."""
         try:
-            await self._streams.checkpointed(CheckpointRequest(stream=stream, cursor=cursor))
+            await self._streams.record_checkpoint(CheckpointRequest(stream=stream, cursor=cursor))
         except DrumbayError as error:
-            raise stream_failure(error) from error
+            raise stream_request_error(error) from error
 
     async def announce_weights(self, model: str, announcement: WeightAnnouncement) -> None:
-        """Take note of a newly published weight version."""
+        """Register a newly published weight version."""
         await self._weights.announce(model, announcement.version)
 
     async def apply(self, body: ApplyBody) -> ApplyOutcomeBody:
@@ -191,11 +193,11 @@
         return await self._operations.delete(kind, name, operation_id, expected_revision)
 
     async def operation(self, operation_id: str) -> ApplyOutcomeBody:
-        """Return what became of an earlier change."""
+        """Return the outcome of an earlier change."""
         return await self._operations.operation(operation_id)
 
     def resources(self, kind: str | None, name: str | None) -> ResourceListBody:
-        """Return the resources that are in force at this node."""
+        """Return the resources of this node's current configuration."""
         return self._operations.resources(kind, name)
 
     async def explain(self, kind: SubjectKind, subject_id: str) -> ExplanationBody:
@@ -215,7 +217,7 @@
             configuration_revision=self._configuration_revision(),
             configuration_state=readiness.reason.value,
             configuration_confirmed_age_seconds=readiness.confirmed_age_seconds,
-            members=coordination.cluster.bodies(),
+            members=coordination.cluster.member_bodies(),
             owned=tuple(self._delivery.owned_streams),
         )
 
@@ -224,5 +226,5 @@
         return self._metrics.registry
 
     def access_tokens(self) -> tuple[AccessToken, ...]:
-        """Return the tokens that are in force at this node."""
+        """Return the access tokens of this node's current configuration."""
         return tuple(self._coordination.configuration.snapshot().tokens.values())
--- a/drumbay/node/operations.py
+++ b/drumbay/node/operations.py
@@ -1,4 +1,4 @@
-"""Operators' operations on resources, as the HTTP interface offers them."""
+"""Resource operations for operators, behind the HTTP interface."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -32,12 +32,12 @@
     """Reads and writes resources for operators.
 
     Args:
-        configuration: The configuration in force.
+        configuration: The current configuration.
         operators: Writes through the key-value service.
 
     Attributes:
-        in_flight: Operations under way, which a planned stop waits for.
-        is_stopping: Whether changes are refused since the node stops.
+        in_flight: Number of running operations; a planned stop waits for them.
+        is_stopping: Whether changes are rejected because the node is stopping.
     """
 
     def __init__(self, configuration: ConfigurationService, operators: OperatorService) -> None:
@@ -48,7 +48,7 @@
         self._operators = operators
 
     @contextmanager
-    def _counted(self) -> Iterator[None]:
+    def _count_in_flight(self) -> Iterator[None]:
         self.in_flight += 1
         try:
             yield
@@ -64,7 +64,7 @@
             )
 
     def resources(self, kind: str | None, name: str | None) -> ResourceListBody:
-        """Return the resources in force, of one kind and name if given."""
+        """Return the current resources, filtered by kind and name if given."""
         view = self._configuration.snapshot()
         items = [
             ResourceBody(resource=resource, mod_revision=_revision_of(view, resource))
@@ -77,18 +77,18 @@
         """Create or change a resource.
 
         Raises:
-            RequestFailedError: The change was refused.
+            RequestFailedError: The change was rejected.
         """
         self._require_running()
         try:
             check_resource(body.resource)
-            with self._counted():
+            with self._count_in_flight():
                 result = await self._operators.apply(
                     body.resource, body.expected_revision, body.operation_id
                 )
         except DrumbayError as error:
-            raise _as_request_failure(error) from error
-        return _outcome(result)
+            raise _to_request_error(error) from error
+        return _to_outcome_body(result)
 
     async def delete(
         self, kind: str, name: str, operation_id: str, expected_revision: Revision | None
@@ -96,30 +96,30 @@
         """Remove a resource.
 
         Raises:
-            NotFoundError: There is no such resource in force here.
-            RequestFailedError: The change was refused.
+            NotFoundError: The resource does not exist in the current configuration.
+            RequestFailedError: The change was rejected.
         """
         self._require_running()
         found = self.resources(kind, name).items
         if not found:
             raise NotFoundError(f"{kind}/{name} does not exist", execution=Execution.NOT_RUN)
         try:
-            with self._counted():
+            with self._count_in_flight():
                 result = await self._operators.delete(
                     found[0].resource, expected_revision, operation_id
                 )
         except DrumbayError as error:
-            raise _as_request_failure(error) from error
-        return _outcome(result)
+            raise _to_request_error(error) from error
+        return _to_outcome_body(result)
 
     async def operation(self, operation_id: str) -> ApplyOutcomeBody:
-        """Return what became of an earlier change."""
-        with self._counted():
-            return _outcome(await self._operators.operation_status(operation_id))
+        """Return the outcome of an earlier change."""
+        with self._count_in_flight():
+            return _to_outcome_body(await self._operators.operation_status(operation_id))
 
 
 def all_resources(view: ConfigurationView) -> list[AnyResource]:
-    """Return every resource of a view, by kind and name."""
+    """Return every resource of a view, sorted by kind and name."""
     resources: list[AnyResource] = []
     resources.extend(view.groups.values())
     resources.extend(view.routes.values())
@@ -136,7 +136,7 @@
     return view.resource_revisions.get(key, Revision(0))
 
 
-def _outcome(result: WriteResult) -> ApplyOutcomeBody:
+def _to_outcome_body(result: WriteResult) -> ApplyOutcomeBody:
     if result.outcome is WriteOutcome.REFUSED:
         raise NotReadyError(
             f"the change was not made: {result.detail}",
@@ -150,7 +150,7 @@
     )
 
 
-def _as_request_failure(error: DrumbayError) -> RequestFailedError:
+def _to_request_error(error: DrumbayError) -> RequestFailedError:
     if isinstance(error, RequestFailedError):
         return error
     if isinstance(error, ConflictError | OperationReusedError):
--- a/drumbay/node/process.py
+++ b/drumbay/node/process.py
@@ -1,4 +1,4 @@
-"""One node as a process: real clock, network, disk and back ends, and its signals."""
+"""Runs one node as a process with real clock, network, disk, backends and signals."""
 
 import asyncio
 import secrets
@@ -27,15 +27,15 @@
 from drumbay.weights.http_store import HttpWeightStoreClient
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-NETWORK_LIMIT_SECONDS = 8.0
+NETWORK_CLOSE_TIMEOUT_SECONDS = 8.0
 
 
 async def run_node(settings: NodeSettings, cluster_key: bytes) -> None:
-    """Run a node until it is told to stop.
+    """Run a node until it receives a stop signal.
 
-    The first SIGTERM or SIGINT starts a planned stop: new requests are refused, those in
-    flight run to their end. A second one ends the process at once. Nothing is lost by that:
-    what must last is on the disks of a majority before it is acted upon.
+    The first SIGTERM or SIGINT starts a planned stop: new requests are rejected, those in
+    flight complete. A second one terminates the process immediately, without data loss: durable
+    state is written to a majority of replicas before it takes effect.
 
     Raises:
         ListenError: The peer address cannot be used.
@@ -83,12 +83,12 @@
     await _wait_for_signal()
     stop = PlannedStop(node, server, settings.stop, clock)
     await stop.drain()
-    network = StopStep(
+    close_network = StopStep(
         name="close-network",
         run=lambda: _close_network(connector, transport, transport_tasks),
-        limit_seconds=NETWORK_LIMIT_SECONDS,
+        timeout_seconds=NETWORK_CLOSE_TIMEOUT_SECONDS,
     )
-    await stop.finish(network)
+    await stop.finish(close_network)
     log_event("node_stopped", node_id=settings.node_id)
 
 
@@ -101,12 +101,12 @@
 
 
 async def _wait_for_signal() -> None:
-    """Wait for the first signal; a second one then ends the process at once."""
+    """Wait for the first stop signal and restore the default action for the next one."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in STOP_SIGNALS:
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in STOP_SIGNALS:
+        loop.add_signal_handler(signal_number, stop.set)
     await stop.wait()
-    for number in STOP_SIGNALS:
-        loop.remove_signal_handler(number)
-        signal.signal(number, signal.SIG_DFL)
+    for signal_number in STOP_SIGNALS:
+        loop.remove_signal_handler(signal_number)
+        signal.signal(signal_number, signal.SIG_DFL)
--- a/drumbay/node/recorded.py
+++ b/drumbay/node/recorded_requests.py
@@ -1,4 +1,4 @@
-"""Requests with a decision record and metrics of how each one ended."""
+"""Serves requests and records the outcome of each in decision records and metrics."""
 
 from collections.abc import AsyncGenerator, Iterator
 from contextlib import aclosing, contextmanager
@@ -17,14 +17,14 @@
 CANCELLED = "cancelled"
 
 
-class RecordedRequests:
-    """Serves callers' requests and records their ends.
+class RecordingRequestService:
+    """Serves callers' requests and records their outcomes.
 
     Args:
-        services: Serve the requests.
-        recorder: Takes the decision records.
-        clock: Time.
-        metrics: Counts requests and measures their durations.
+        services: Services that handle the requests.
+        recorder: Receives the decision records.
+        clock: Source of the current time.
+        metrics: Request counts and durations.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         clock: Clock,
         metrics: NodeMetrics,
     ) -> None:
-        """Record what the services do."""
+        """Wrap the services."""
         self._services = services
         self._recorder = recorder
         self._clock = clock
@@ -44,10 +44,10 @@
         """Serve a live generation request.
 
         Raises:
-            RequestFailedError: It was not served.
+            RequestFailedError: The request failed.
         """
         route = self._services.live_route_name(request.model)
-        with self._recorded(request.request_id, route):
+        with self._record_outcome(request.request_id, route):
             async with aclosing(self._services.live.generate(request)) as chunks:
                 async for chunk in chunks:
                     yield chunk
@@ -56,14 +56,16 @@
         """Run an application request.
 
         Raises:
-            RequestFailedError: It was not served.
+            RequestFailedError: The request failed.
         """
-        with self._recorded(call.request_id, self._services.application_route_name(call.path)):
+        with self._record_outcome(
+            call.request_id, self._services.application_route_name(call.path)
+        ):
             return await self._services.applications.run(call)
 
     @contextmanager
-    def _recorded(self, request_id: RequestId, route: str) -> Iterator[None]:
-        """Record how the block ends; a caller that goes away cancels it."""
+    def _record_outcome(self, request_id: RequestId, route: str) -> Iterator[None]:
+        """Record the outcome of the block; it is cancelled if the caller disconnects."""
         started_at = self._clock.monotonic()
         outcome = CANCELLED
         try:
--- a/drumbay/node/replicas.py
+++ b/drumbay/node/replicas.py
@@ -1,4 +1,4 @@
-"""The disk-holding half of a node: replicas of claims and of sample streams."""
+"""Replicas of claims and of sample streams on a node with a data folder."""
 
 from pathlib import Path
 from random import Random
@@ -20,15 +20,15 @@
 
 
 class NodeReplicas:
-    """Replicas that keep what must outlast this node's process.
+    """Replicas whose state survives a restart of the process.
 
     Args:
-        clock: Time.
-        transport: Where owners and dispatchers reach the replicas.
+        clock: Source of the current time.
+        transport: Messages from owners and dispatchers to the replicas.
         node_id: This node.
         data_folder: Folder for the logs.
         open_log: Opens a log.
-        random: Source of store identities.
+        random: Generates store identifiers.
         task_owner: Owns the replicas' tasks.
     """
 
@@ -43,7 +43,7 @@
         random: Random,
         task_owner: TaskOwner,
     ) -> None:
-        """Open the logs; the replicas serve after :meth:`start`.
+        """Open the logs; :meth:`start` starts serving.
 
         Raises:
             StorageError: A log cannot be opened.
@@ -61,21 +61,21 @@
             limits=TableLimits(),
             task_owner=task_owner,
         )
-        # NOTE: the streams' epoch is that of the claim store, not the node's view of the set:
-        # a sealed store, or one that lost its disk, must not vote on streams either.
+        # Streams use the epoch of the claim store rather than the node's view of the replica
+        # set: a sealed store, or one that lost its disk, must not vote on streams either.
         self.streams = DeliveryReplica(transport, open_stream_log(), self.claims.voting_epoch)
         self._reopener = ReplicaReopener(self.streams, open_stream_log, clock, task_owner)
         self._stream_transfer = StreamTransfer(transport, self.streams)
 
     def start(self) -> None:
-        """Restore the replicas and begin to serve."""
+        """Restore the replicas and start serving."""
         self.claims.start()
         self.streams.start()
         self._reopener.start()
         self._stream_transfer.start()
 
     async def close(self) -> None:
-        """Stop to vote and close the logs."""
+        """Stop voting and close the logs."""
         await self.claims.close()
         await self.streams.close()
 
--- a/drumbay/node/failures.py
+++ b/drumbay/node/request_errors.py
@@ -1,4 +1,4 @@
-"""Turns failures of the services into callers' final answers."""
+"""Maps errors of internal services to the errors returned to callers."""
 
 from drumbay.comm.interface import RemoteFailureError
 from drumbay.delivery import exceptions as delivery
@@ -19,11 +19,10 @@
 )
 
 
-def stream_failure(error: DrumbayError) -> RequestFailedError:
-    """Return the answer to a trainer whose request on a stream failed.
+def stream_request_error(error: DrumbayError) -> RequestFailedError:
+    """Return the error for a trainer whose stream request failed.
 
-    Submissions and pulls may be sent again: they have no effect the second time, so what
-    is unknown about the first one does no harm.
+    Stream requests are idempotent, so the trainer may retry one whose outcome is unknown.
     """
     code = error.remote_code if isinstance(error, RemoteFailureError) else error.code
     if code in _STALE_CODES:
--- a/drumbay/node/request_services.py
+++ b/drumbay/node/request_services.py
@@ -1,4 +1,4 @@
-"""The request path of a node, joined: routes, admission, dispatch, live and application."""
+"""The request path of a node: routes, admission, dispatch, live and application requests."""
 
 from collections.abc import Callable
 from random import Random
@@ -23,14 +23,14 @@
 
 
 class RequestServices:
-    """Everything that serves callers' requests on one node.
+    """Creates and connects the services that handle callers' requests on one node.
 
     Attributes:
-        gate: Admission of requests.
-        dispatcher: Choice of back ends.
+        gate: Admission control.
+        dispatcher: Selects backends.
         live: Live generation requests.
         applications: Application requests.
-        longest_timeout_seconds: Longest time limit that any route has had.
+        max_timeout_seconds: Maximum timeout that any route has had since the start.
     """
 
     def __init__(
@@ -47,18 +47,18 @@
         is_ready: Callable[[], bool],
         metrics: NodeMetrics | None = None,
     ) -> None:
-        """Join the services; there are no routes until a configuration comes."""
+        """Create the services; there are no routes until a configuration is applied."""
         now = clock.monotonic()
-        budget = RetryBudget(RetryBudgetPolicy(), now)
+        retry_budget = RetryBudget(RetryBudgetPolicy(), now)
         self.routes = RouteTable(())
-        self.longest_timeout_seconds = 0.0
+        self.max_timeout_seconds = 0.0
         self.gate = AdmissionGate(clock, AdmissionController(AdmissionPolicy(), now), metrics)
         self.dispatcher = Dispatcher(clock, zone, directory, recorder, random, metrics=metrics)
         self.live = LiveRequestService(
-            clock, engine_client, self.dispatcher, self.gate, budget, is_ready
+            clock, engine_client, self.dispatcher, self.gate, retry_budget, is_ready
         )
         self.applications = ApplicationRequestService(
-            clock, application_client, self.dispatcher, self.gate, budget, once, is_ready
+            clock, application_client, self.dispatcher, self.gate, retry_budget, once, is_ready
         )
 
     def live_route_name(self, model: str) -> str:
@@ -72,7 +72,7 @@
         return compiled.route.name if compiled else NO_ROUTE
 
     def apply_configuration(self, view: ConfigurationView) -> None:
-        """Take in the routes in force; with an invalid selector the earlier ones stay."""
+        """Apply the current routes; if a selector is invalid, the previous routes are kept."""
         routes = tuple(view.routes.values())
         try:
             table = RouteTable(routes)
@@ -80,8 +80,8 @@
             log_event("routes_refused", level="ERROR", detail=str(error))
             return
         self.routes = table
-        limits = (route.timeout_seconds for route in routes)
-        self.longest_timeout_seconds = max((self.longest_timeout_seconds, *limits))
+        timeouts = (route.timeout_seconds for route in routes)
+        self.max_timeout_seconds = max((self.max_timeout_seconds, *timeouts))
         self.gate.set_routes(routes)
         self.live.set_routes(table)
         self.applications.set_routes(table)
--- a/drumbay/node/rollouts.py
+++ b/drumbay/node/rollouts.py
@@ -38,8 +38,8 @@
 OWNERSHIP_PREFIX = "stream."
 
 
-class _OwnedRollouts:
-    """One owned stream: its policy, runner and what is known of its trainer and engines."""
+class _OwnedStream:
+    """State of one owned stream: policy, runner, trainer progress and usable engines."""
 
     def __init__(self, policy: WeightPolicy, runner: RolloutRunner, floor: WeightVersion) -> None:
         self.policy = policy
@@ -55,16 +55,16 @@
     """Runs one rollout runner per owned stream.
 
     Args:
-        clock: Time.
-        boot_id: Identity of this run of the process.
-        engine_client: Talks to engines.
-        directory: Back ends as this node knows them.
+        clock: Source of the current time.
+        boot_id: Identifier of this process incarnation.
+        engine_client: Engine API client.
+        directory: This node's view of the backends.
         delivery: The replicated log of the owned streams.
-        ownership: Says whether a stream's lease still holds.
-        recorder: Takes decision records.
+        ownership: Leases with fencing tokens.
+        recorder: Receives decision records.
         task_owner: Owns the runners' tasks.
-        pin_engines: Told, by stream, which engines must be watched while it is owned.
-        metrics: Counts finished samples.
+        pin_engines: Called with the engines that must be watched for an owned stream.
+        metrics: Counts of finished samples.
     """
 
     def __init__(
@@ -94,15 +94,15 @@
         self._pin_engines = pin_engines
         self._policies: dict[StreamName, WeightPolicy] = {}
         self._policy_engines = PolicyEngines(directory)
-        self._owned: dict[StreamName, _OwnedRollouts] = {}
+        self._owned: dict[StreamName, _OwnedStream] = {}
         self._allotments = EngineAllotments()
 
     def set_policies(self, policies: tuple[WeightPolicy, ...]) -> None:
-        """Take in the weight policies in force."""
+        """Apply the current weight policies."""
         self._policies = {policy.stream: policy for policy in policies}
 
     def start_stream(self, stream: StreamName, fence: Fence) -> None:
-        """Begin to generate the missing samples of a stream."""
+        """Start generating the missing samples of a stream."""
         policy = self._policies.get(stream)
         if policy is None:
             return
@@ -121,10 +121,10 @@
             may_send=lambda: self._still_owns(stream, fence),
         )
         floor = self._delivery.recorded_floor(stream)
-        self._owned[stream] = _OwnedRollouts(policy, runner, floor)
-        self._announce_floor(stream, self._owned[stream])
+        self._owned[stream] = _OwnedStream(policy, runner, floor)
+        self._update_forecast(stream, self._owned[stream])
         runner.start()
-        self._task_owner.spawn(self._follow_engines(stream), f"rollout-engines-{stream}")
+        self._task_owner.spawn(self._run_engine_updates(stream), f"rollout-engines-{stream}")
         self.refresh(stream)
 
     def stop_stream(self, stream: StreamName) -> None:
@@ -136,7 +136,7 @@
             self._pin_engines(OWNERSHIP_PREFIX + stream, ())
 
     def refresh(self, stream: StreamName) -> None:
-        """Give the runner the samples that are missing now."""
+        """Update the runner with the samples that are currently missing."""
         owned = self._owned.get(stream)
         if owned is None:
             return
@@ -150,7 +150,7 @@
         )
 
     def observe_floor(self, stream: StreamName, oldest_version: WeightVersion) -> None:
-        """Take note of the oldest version that the trainer now accepts."""
+        """Record the oldest weight version that the trainer accepts."""
         owned = self._owned.get(stream)
         if owned is None:
             return
@@ -159,10 +159,10 @@
         except NotOwnerError:
             return
         owned.progress.observe_pull(oldest_version, delivered, self._clock.monotonic())
-        self._announce_floor(stream, owned)
+        self._update_forecast(stream, owned)
 
-    def _announce_floor(self, stream: StreamName, owned: _OwnedRollouts) -> None:
-        """Give the scheduler a forecast, if it differs from the last one."""
+    def _update_forecast(self, stream: StreamName, owned: _OwnedStream) -> None:
+        """Send the scheduler a new staleness forecast, if it changed."""
         try:
             progress = self._delivery.progress(stream)
         except NotOwnerError:
@@ -225,15 +225,15 @@
         )
         log_event("sample_finished", sample_id=sample_id, tokens=len(sample.token_ids))
 
-    async def _follow_engines(self, stream: StreamName) -> None:
-        """Tell the runner which engines may be used, while the stream is owned."""
+    async def _run_engine_updates(self, stream: StreamName) -> None:
+        """Periodically update the runner with the usable engines, while the stream is owned."""
         owned = self._owned.get(stream)
         while owned is not None and self._owned.get(stream) is owned:
-            self._announce_floor(stream, owned)
-            self._report_engines(stream, owned)
+            self._update_forecast(stream, owned)
+            self._update_engines(stream, owned)
             await self._clock.sleep(ENGINE_REFRESH_SECONDS)
 
-    def _report_engines(self, stream: StreamName, owned: _OwnedRollouts) -> None:
+    def _update_engines(self, stream: StreamName, owned: _OwnedStream) -> None:
         policy = self._policies.get(stream)
         if policy is None:
             return
@@ -241,27 +241,27 @@
         self._pin_engines(
             OWNERSHIP_PREFIX + stream, tuple(address.backend_id for address in engines)
         )
-        views = [
+        usable_views = [
             view
             for view in self._directory.views_for(engines, self._clock.monotonic())
             if view.unavailability is None
         ]
-        usable = tuple(view.backend_id for view in views)
+        usable_engines = tuple(view.backend_id for view in usable_views)
         for backend_id in owned.engines:
-            if backend_id not in usable:
+            if backend_id not in usable_engines:
                 owned.runner.handle(EngineLost(backend_id=backend_id))
-        owned.engines = usable
-        for view in views:
+        owned.engines = usable_engines
+        for view in usable_views:
             owned.runner.handle(self._engine_report(stream, policy, view))
 
     def _engine_report(
         self, stream: StreamName, policy: WeightPolicy, view: BackendView
     ) -> EngineReported:
-        rollouts = {
+        running_by_stream = {
             name: owned.runner.running_on(view.backend_id) for name, owned in self._owned.items()
         }
         allotment = self._allotments.allot(
-            stream, policy.sharing, view, rollouts, self._clock.monotonic()
+            stream, policy.sharing, view, running_by_stream, self._clock.monotonic()
         )
         return EngineReported(
             backend_id=view.backend_id,
--- a/drumbay/node/server.py
+++ b/drumbay/node/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a node process, and its planned stop."""
+"""The HTTP server of a node process."""
 
 import ssl
 
@@ -16,7 +16,7 @@
 from drumbay.settings import HttpSettings
 
 IDLE_POLL_SECONDS = 0.05
-LAST_BYTES_SECONDS = 0.25
+FLUSH_DELAY_SECONDS = 0.25
 
 
 class CertificateError(ConfigurationError):
@@ -29,13 +29,13 @@
     """Serves callers, trainers and operators.
 
     Args:
-        node: Carries out the operations.
+        node: Executes the operations.
         settings: Address, certificate and authentication.
-        clock: Time.
+        clock: Source of the current time.
     """
 
     def __init__(self, node: NodeInterface, settings: HttpSettings, clock: Clock) -> None:
-        """Create a server that does not listen yet."""
+        """Create a server; :meth:`start` starts listening."""
         self._settings = settings
         self._clock = clock
         self._intake = RequestIntake()
@@ -48,19 +48,19 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests have not got their whole answer."""
+        """Return the number of requests whose response is not completely written."""
         return self._intake.in_flight
 
     def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
             OSError: The address cannot be used.
         """
         self._server.listen(self._settings.port, self._settings.host)
 
-    def refuse_new_requests(self) -> None:
-        """Go on accepting connections, and answer their requests with a typed refusal."""
+    def reject_new_requests(self) -> None:
+        """Keep accepting connections, but answer new requests with a typed error."""
         self._intake.is_stopping = True
 
     async def wait_idle(self) -> None:
@@ -69,13 +69,13 @@
             await self._clock.sleep(IDLE_POLL_SECONDS)
 
     def stop_listening(self) -> None:
-        """Accept no more connections; those that are open stay open."""
+        """Stop accepting connections; open connections stay open."""
         self._server.stop()
 
     async def close(self) -> None:
-        """Close the connections that are open."""
-        # A streamed answer's end mark is counted as written when it is queued.
-        await self._clock.sleep(LAST_BYTES_SECONDS)
+        """Close all open connections."""
+        # Lets queued bytes drain: the end of a streamed response counts as written once queued.
+        await self._clock.sleep(FLUSH_DELAY_SECONDS)
         await self._server.close_all_connections()
 
 
--- a/drumbay/node/services.py
+++ b/drumbay/node/services.py
@@ -1,4 +1,4 @@
-"""The services of one node: made, joined, started, and told of the configuration."""
+"""Constructs, wires and starts the services of one node, and applies configuration changes."""
 
 from pathlib import Path
 
@@ -22,7 +22,7 @@
 from drumbay.node.coordination import CoordinationServices
 from drumbay.node.environment import NodeEnvironment
 from drumbay.node.operations import ResourceOperations
-from drumbay.node.recorded import RecordedRequests
+from drumbay.node.recorded_requests import RecordingRequestService
 from drumbay.node.replicas import NodeReplicas
 from drumbay.node.request_services import RequestServices
 from drumbay.node.rollouts import RolloutSupervisor
@@ -39,15 +39,15 @@
 
 
 class NodeServices:
-    """The services of one node, joined.
+    """The services of one node.
 
     Args:
         settings: Settings of the node.
-        environment: Everything from outside; real, hollow or simulated.
+        environment: External dependencies; real, emulated or simulated.
     """
 
     def __init__(self, settings: NodeSettings, environment: NodeEnvironment) -> None:
-        """Join the services; nothing runs before :meth:`start`.
+        """Create the services; :meth:`start` starts them.
 
         Raises:
             StorageError: The data folder cannot be used.
@@ -83,9 +83,9 @@
         )
         self._machines = self._make_machine_watcher()
         guarded = GuardedEngineClient(environment.engine_client, self._may_send)
-        self._engine_client = ObservedEngineClient(guarded, self._observe_stamp)
+        self._engine_client = ObservedEngineClient(guarded, self._observe_token_version)
         self._requests = self._make_request_services()
-        self._recorded = RecordedRequests(
+        self._recorded_requests = RecordingRequestService(
             self._requests, self._recorder, self._clock, self._metrics
         )
         self._replicas = self._make_replicas()
@@ -205,13 +205,13 @@
         )
 
     async def _may_send(self, backend_id: BackendId) -> bool:
-        """Return whether a back end may get work, also after a pause of this process."""
+        """Return whether a backend may receive work; refreshes a stale machine list first."""
         if self._machines is not None:
             await self._machines.ensure_fresh()
         return not self._directory.is_leaving(backend_id)
 
-    def _observe_stamp(self, model: str, engine: BackendAddress, chunk: TokenChunk) -> None:
-        self._weights.observe_stamp(model, engine, chunk)
+    def _observe_token_version(self, model: str, engine: BackendAddress, chunk: TokenChunk) -> None:
+        self._weights.observe_token_version(model, engine, chunk)
 
     def _configuration_revision(self) -> Revision:
         return self._coordination.configuration.snapshot().revision
--- a/drumbay/node/state_metrics.py
+++ b/drumbay/node/state_metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics read off a node's state whenever ``/metrics`` is asked for."""
+"""Prometheus metrics that are computed from a node's state on each scrape."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -15,20 +15,20 @@
 from drumbay.routing.directory import BackendDirectory
 
 AVAILABLE = "none"
-"""Value of the label ``reason`` for back ends that may get work."""
+"""Value of the label ``reason`` for available backends."""
 
 
 class NodeStateCollector(Collector):
-    """Reads the state of one node's services; costs nothing between two scrapes.
+    """Collects metrics from the state of one node's services, on each scrape.
 
     Args:
-        clock: Time.
+        clock: Source of the current time.
         coordination: Membership and configuration.
-        directory: Back ends as the node knows them.
-        delivery: Streams that the node owns.
-        weights: Rollouts of weights that the node owns.
-        in_flight: Returns the requests in flight.
-        refused_frames: Returns the frames refused so far, by code.
+        directory: The node's view of the backends.
+        delivery: The streams owned by the node.
+        weights: The weight rollouts owned by the node.
+        in_flight: Returns the number of requests in flight.
+        refused_frames: Returns the number of rejected frames by code.
     """
 
     def __init__(
@@ -52,20 +52,20 @@
         self._refused_frames = refused_frames
 
     def describe(self) -> tuple[Metric, ...]:
-        """Return nothing, so that registering does not read the state."""
+        """Return nothing, so that registration does not collect metrics."""
         return ()
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every metric as of now."""
+        """Yield every metric with its current value."""
         yield _gauge("drumbay_requests_in_flight", "Requests in flight.", self._in_flight())
-        yield from self._configuration()
-        yield self._members()
-        yield self._backends()
-        yield from self._streams()
-        yield from self._rollouts()
-        yield self._frames()
-
-    def _configuration(self) -> Iterator[Metric]:
+        yield from self._configuration_metrics()
+        yield self._member_metric()
+        yield self._backend_metric()
+        yield from self._stream_metrics()
+        yield from self._weight_rollout_metrics()
+        yield self._frame_metric()
+
+    def _configuration_metrics(self) -> Iterator[Metric]:
         readiness = self._coordination.configuration.readiness()
         yield _gauge(
             "drumbay_configuration_revision", "Revision in force.", int(readiness.revision)
@@ -79,14 +79,14 @@
             age.add_metric((), readiness.confirmed_age_seconds)
         yield age
 
-    def _members(self) -> Metric:
+    def _member_metric(self) -> Metric:
         counts = Counter(member.state for member in self._coordination.membership.members())
         family = GaugeMetricFamily("drumbay_members", "Known nodes by state.", labels=("state",))
         for state in MemberState:
             family.add_metric((state.name.lower(),), counts[state])
         return family
 
-    def _backends(self) -> Metric:
+    def _backend_metric(self) -> Metric:
         views = self._directory.views(self._clock.monotonic())
         reasons = Counter(
             AVAILABLE if view.unavailability is None else view.unavailability.value
@@ -99,7 +99,7 @@
             family.add_metric((reason,), reasons[reason])
         return family
 
-    def _streams(self) -> Iterator[Metric]:
+    def _stream_metrics(self) -> Iterator[Metric]:
         owned = GaugeMetricFamily(
             "drumbay_stream_owned", "1 for each stream that this node owns.", labels=("stream",)
         )
@@ -122,7 +122,7 @@
             missing.add_metric((stream,), missing_count)
         yield from (owned, delivered, missing)
 
-    def _rollouts(self) -> Iterator[Metric]:
+    def _weight_rollout_metrics(self) -> Iterator[Metric]:
         target = GaugeMetricFamily(
             "drumbay_weights_target_version",
             "Version that this node rolls out, for the models whose rollout it owns.",
@@ -140,7 +140,7 @@
             loading.add_metric((rollout.model,), rollout.loading_engines)
         yield from (target, done, loading)
 
-    def _frames(self) -> Metric:
+    def _frame_metric(self) -> Metric:
         family = CounterMetricFamily(
             "drumbay_frames_refused", "Frames of other nodes refused, by code.", labels=("code",)
         )
@@ -149,5 +149,5 @@
         return family
 
 
-def _gauge(name: str, text: str, value: float) -> GaugeMetricFamily:
-    return GaugeMetricFamily(name, text, value=value)
+def _gauge(name: str, help_text: str, value: float) -> GaugeMetricFamily:
+    return GaugeMetricFamily(name, help_text, value=value)
--- a/drumbay/node/stop_sequence.py
+++ b/drumbay/node/stop_sequence.py
@@ -1,4 +1,4 @@
-"""Runs the steps of a planned stop, each within a time limit."""
+"""Runs the steps of a planned stop, each with a timeout."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,36 +9,36 @@
 
 
 class StopStep(msgspec.Struct, frozen=True, kw_only=True):
-    """One step of a stop.
+    """One step of a planned stop.
 
     Attributes:
         name: Name in the logs.
-        run: Carries out the step.
-        limit_seconds: After this time the next step begins all the same.
+        run: Executes the step.
+        timeout_seconds: Time after which the step is cancelled and the next one starts.
     """
 
     name: str
     run: Callable[[], Awaitable[object]]
-    limit_seconds: float
+    timeout_seconds: float
 
 
 async def run_stop_steps(steps: tuple[StopStep, ...]) -> bool:
-    """Run steps in order; a step that fails or takes too long does not hold up the next.
+    """Run steps in order; a failed or timed-out step does not block the next.
 
     Returns:
-        Whether every step ended by itself.
+        Whether every step succeeded within its timeout.
     """
-    is_complete = True
+    all_succeeded = True
     for step in steps:
-        is_complete = await _run_step(step) and is_complete
-    return is_complete
+        all_succeeded = await _run_step(step) and all_succeeded
+    return all_succeeded
 
 
 async def _run_step(step: StopStep) -> bool:
     task = asyncio.ensure_future(_await_step(step))
-    # NOTE: asyncio.wait leaves a task that does not end alone; wait_for and timeout would
-    # wait for the end of its cancellation, for ever if it ignores that.
-    await asyncio.wait((task,), timeout=step.limit_seconds)
+    # asyncio.wait returns at the timeout; wait_for and timeout would also await the cancelled
+    # task, forever if it ignores cancellation.
+    await asyncio.wait((task,), timeout=step.timeout_seconds)
     if not task.done():
         task.cancel()
         log_event("stop_step_timed_out", level="ERROR", step=step.name)
--- a/drumbay/node/stream_messages.py
+++ b/drumbay/node/stream_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a node hands a trainer's request to the owner of its stream."""
+"""Messages that forward a trainer's request to the owner of its stream."""
 
 from drumbay.comm.interface import Message
 from drumbay.delivery.batch import Batch
@@ -15,7 +15,7 @@
 
 
 class StreamAcknowledgement(Message, frozen=True, kw_only=True):
-    """The owner has carried out a request."""
+    """The owner has executed the request."""
 
     owner: NodeId
 
--- a/drumbay/node/streams.py
+++ b/drumbay/node/streams.py
@@ -1,4 +1,4 @@
-"""Sample streams on one node: ownership, the owner's work, and the way to other owners."""
+"""Sample streams on one node: ownership, and forwarding of requests to stream owners."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol, TypeVar
@@ -32,7 +32,7 @@
 PULL_WAIT_SECONDS = 1.0
 TAKE_OVER_RETRY_SECONDS = 0.5
 REPLICA_SET_POLL_SECONDS = 0.5
-RESOURCE_PREFIX = "stream."
+OWNERSHIP_PREFIX = "stream."
 
 ResultT = TypeVar("ResultT")
 ReplyT = TypeVar("ReplyT", bound=Message)
@@ -42,7 +42,7 @@
     """Generates the samples of the streams that this node owns."""
 
     def start_stream(self, stream: StreamName, fence: Fence) -> None:
-        """Begin to generate the missing samples of a stream."""
+        """Start generating the missing samples of a stream."""
         ...
 
     def stop_stream(self, stream: StreamName) -> None:
@@ -50,23 +50,23 @@
         ...
 
     def observe_floor(self, stream: StreamName, oldest_version: WeightVersion) -> None:
-        """Take note of the oldest version that the trainer now accepts."""
+        """Record the oldest weight version that the trainer accepts."""
         ...
 
 
 class StreamService:
-    """Takes trainers' requests at any node and has the stream's owner carry them out.
+    """Accepts trainers' requests at any node and forwards them to the stream's owner.
 
     Args:
-        clock: Time.
-        transport: Exchange with other nodes.
+        clock: Source of the current time.
+        transport: Messages to and from other nodes.
         node_id: This node.
-        ownership: Says which streams this node owns.
+        ownership: Leases with fencing tokens.
         delivery: The replicated log of the owned streams.
         worker: Generates samples of the owned streams.
         address_of: Returns the address of a live node.
-        task_owner: Owns take-overs under way.
-        metrics: Counts refused pulls.
+        task_owner: Owns the background tasks.
+        metrics: Counts of pulls rejected as stale.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         task_owner: TaskOwner,
         metrics: NodeMetrics | None = None,
     ) -> None:
-        """Create a service that owns no stream."""
+        """Create a service; it owns no stream yet."""
         self._metrics = metrics or NodeMetrics()
         self._clock = clock
         self._transport = transport
@@ -92,30 +92,30 @@
         self._worker = worker
         self._address_of = address_of
         self._task_owner = task_owner
-        self._known: frozenset[StreamName] = frozenset()
+        self._streams: frozenset[StreamName] = frozenset()
 
     def start(self) -> None:
-        """Serve other nodes' requests and follow this node's ownerships."""
+        """Start serving other nodes' requests and handling ownership changes."""
         self._transport.handle_calls(SubmitStepRequest, self._handle_submit)
         self._transport.handle_calls(PullRequest, self._handle_pull)
         self._transport.handle_calls(CheckpointRequest, self._handle_checkpoint)
         self._ownership.add_listener(self._handle_ownership)
-        self._task_owner.spawn(self._follow_replica_set(), "stream-replica-set")
+        self._task_owner.spawn(self._recover_outdated_streams(), "stream-replica-set")
 
     def set_streams(self, streams: frozenset[StreamName]) -> None:
-        """Campaign for the streams of the configuration in force."""
-        for stream in sorted(streams - self._known):
-            self._ownership.campaign(RESOURCE_PREFIX + stream)
-        for stream in sorted(self._known - streams):
+        """Campaign for ownership of the configured streams."""
+        for stream in sorted(streams - self._streams):
+            self._ownership.campaign(OWNERSHIP_PREFIX + stream)
+        for stream in sorted(self._streams - streams):
             self._task_owner.spawn(
-                self._ownership.withdraw(RESOURCE_PREFIX + stream), f"withdraw-{stream}"
+                self._ownership.withdraw(OWNERSHIP_PREFIX + stream), f"withdraw-{stream}"
             )
-        self._known = streams
+        self._streams = streams
 
     def _handle_ownership(self, change: OwnershipChange) -> None:
-        if not change.name.startswith(RESOURCE_PREFIX):
+        if not change.name.startswith(OWNERSHIP_PREFIX):
             return
-        stream = StreamName(change.name.removeprefix(RESOURCE_PREFIX))
+        stream = StreamName(change.name.removeprefix(OWNERSHIP_PREFIX))
         if change.standing is Standing.VALID:
             if stream not in self._delivery.owned_streams:
                 self._task_owner.spawn(self._take_over(stream, change.fence), f"take-over-{stream}")
@@ -125,7 +125,7 @@
 
     async def _take_over(self, stream: StreamName, fence: Fence) -> None:
         """Recover the stream's log, retrying while this node holds the fence."""
-        name = RESOURCE_PREFIX + stream
+        name = OWNERSHIP_PREFIX + stream
         while self._ownership.fence_to_continue(name, self._clock.monotonic()) == fence:
             try:
                 await self._delivery.take_over(stream, fence)
@@ -146,27 +146,27 @@
             return
 
     async def _report_deposed(self, stream: StreamName, fence: Fence | None) -> None:
-        """Give up a lease whose successor the replicas have promised."""
+        """Give up the lease of a stream that has a newer owner."""
         if fence is None:
             return
         log_event("stream_owner_deposed", level="WARNING", stream=stream, fence=fence)
-        await self._ownership.report_refusal(RESOURCE_PREFIX + stream, fence)
+        await self._ownership.report_refusal(OWNERSHIP_PREFIX + stream, fence)
 
-    async def _as_owner(self, stream: StreamName, work: Awaitable[ResultT]) -> ResultT:
-        """Do the owner's work; a replica that has promised a newer owner ends the lease.
+    async def _run_as_owner(self, stream: StreamName, operation: Awaitable[ResultT]) -> ResultT:
+        """Run an operation as owner; gives up the lease if a newer owner exists.
 
         Raises:
             OwnerDeposedError: A newer owner exists.
         """
-        name = RESOURCE_PREFIX + stream
+        name = OWNERSHIP_PREFIX + stream
         fence = self._ownership.fence_to_continue(name, self._clock.monotonic())
         try:
-            return await work
+            return await operation
         except OwnerDeposedError:
             await self._report_deposed(stream, fence)
             raise
 
-    async def _follow_replica_set(self) -> None:
+    async def _recover_outdated_streams(self) -> None:
         """Recover the owned streams again after each change of the replica set."""
         while True:
             await self._clock.sleep(REPLICA_SET_POLL_SECONDS)
@@ -179,42 +179,42 @@
                     )
 
     async def submit(self, request: SubmitStepRequest) -> NodeId:
-        """Record a step; returns the owner.
+        """Record a step and return the owner.
 
         Raises:
-            DrumbayError: No owner has recorded it.
+            DrumbayError: No owner recorded the step.
         """
-        reply = await self._at_owner(request.stream, request, self._handle_submit)
-        return _expect(reply, StreamAcknowledgement).owner
+        reply = await self._call_owner(request.stream, request, self._handle_submit)
+        return _expect_reply(reply, StreamAcknowledgement).owner
 
     async def pull(self, request: PullRequest) -> PullReply:
         """Return the batch at a cursor.
 
         Raises:
-            DrumbayError: No owner has returned it.
+            DrumbayError: No owner returned a batch.
         """
-        reply = await self._at_owner(request.stream, request, self._handle_pull)
-        return _expect(reply, PullReply)
+        reply = await self._call_owner(request.stream, request, self._handle_pull)
+        return _expect_reply(reply, PullReply)
 
-    async def checkpointed(self, request: CheckpointRequest) -> None:
+    async def record_checkpoint(self, request: CheckpointRequest) -> None:
         """Trim a stream below a trainer's checkpoint.
 
         Raises:
-            DrumbayError: No owner has carried it out.
+            DrumbayError: No owner trimmed the stream.
         """
-        await self._at_owner(request.stream, request, self._handle_checkpoint)
+        await self._call_owner(request.stream, request, self._handle_checkpoint)
 
-    async def _at_owner(
+    async def _call_owner(
         self,
         stream: StreamName,
         request: Message,
-        serve: Callable[..., Awaitable[Message]],
+        serve_locally: Callable[..., Awaitable[Message]],
     ) -> Message:
-        """Serve a request here if this node owns the stream, else at its likely owners."""
+        """Serve a request locally if this node owns the stream, else forward it."""
         if stream in self._delivery.owned_streams:
-            return await serve(request)
+            return await serve_locally(request)
         last_error: DrumbayError = NotOwnerError(f"no owner of stream {stream} is known")
-        for candidate in self._ownership.likely_owners(RESOURCE_PREFIX + stream):
+        for candidate in self._ownership.likely_owners(OWNERSHIP_PREFIX + stream):
             address = self._address_of(candidate)
             if candidate == self._node_id or address is None:
                 continue
@@ -231,21 +231,21 @@
         raise last_error
 
     async def _handle_submit(self, request: SubmitStepRequest) -> StreamAcknowledgement:
-        work = self._delivery.submit_step(request.stream, request.step, request.prompts)
-        await self._as_owner(request.stream, work)
+        operation = self._delivery.submit_step(request.stream, request.step, request.prompts)
+        await self._run_as_owner(request.stream, operation)
         return StreamAcknowledgement(owner=self._node_id)
 
     async def _handle_pull(self, request: PullRequest) -> PullReply:
         self._worker.observe_floor(request.stream, request.oldest_version)
         try:
-            work = self._delivery.pull(
+            operation = self._delivery.pull(
                 request.stream,
                 request.cursor,
                 request.max_samples,
                 request.oldest_version,
                 wait_seconds=PULL_WAIT_SECONDS,
             )
-            batch = await self._as_owner(request.stream, work)
+            batch = await self._run_as_owner(request.stream, operation)
         except NothingReadyError:
             return PullReply(batch=None)
         except StaleBatchError:
@@ -254,12 +254,12 @@
         return PullReply(batch=batch)
 
     async def _handle_checkpoint(self, request: CheckpointRequest) -> StreamAcknowledgement:
-        work = self._delivery.checkpointed(request.stream, request.cursor)
-        await self._as_owner(request.stream, work)
+        operation = self._delivery.checkpointed(request.stream, request.cursor)
+        await self._run_as_owner(request.stream, operation)
         return StreamAcknowledgement(owner=self._node_id)
 
 
-def _expect(reply: Message, reply_type: type[ReplyT]) -> ReplyT:
+def _expect_reply(reply: Message, reply_type: type[ReplyT]) -> ReplyT:
     if not isinstance(reply, reply_type):
         raise TransportError(f"unexpected reply {type(reply).__name__}")
     return reply
--- a/drumbay/node/weights.py
+++ b/drumbay/node/weights.py
@@ -21,13 +21,13 @@
 from drumbay.weights.service import WeightRolloutService
 from drumbay.weights.store_interface import WeightStoreClient, WeightStoreUnavailableError
 
-RESOURCE_PREFIX = "weights."
+OWNERSHIP_PREFIX = "weights."
 DEFAULT_STORE_INTERVAL_SECONDS = 1.0
 ANNOUNCE_TIMEOUT_SECONDS = 2.0
 
 
 class OwnedRollout(msgspec.Struct, frozen=True, kw_only=True):
-    """State of a rollout that this node owns."""
+    """State of a weight rollout that this node owns."""
 
     model: str
     target: WeightVersion
@@ -36,26 +36,26 @@
 
 
 class AnnounceVersionRequest(Message, frozen=True, kw_only=True):
-    """A trainer has published a version."""
+    """Announces a version that a trainer has published."""
 
     model: str
     version: WeightVersion
 
 
 class VersionNoted(Message, frozen=True, kw_only=True):
-    """The receiver took note of a published version."""
+    """Acknowledges a published version."""
 
 
 class WeightSupervisor:
-    """Owns some models' rollouts and feeds them with published versions.
+    """Runs the weight rollouts of the models that this node owns.
 
     Args:
-        environment: The outside world of the node.
+        environment: External dependencies of the node.
         node_id: This node.
-        ownership: Leases with fences.
-        configuration: The configuration in force.
-        directory: Back ends as this node knows them.
-        record: Takes decision records.
+        ownership: Leases with fencing tokens.
+        configuration: The current configuration.
+        directory: This node's view of the backends.
+        record: Receives decision records.
         address_of: Returns the address of a live node.
         task_owner: Owns the background tasks.
         store_interval_seconds: Time between two reads of the weight store.
@@ -94,30 +94,30 @@
             engines_of=PolicyEngines(directory).of,
             lease_fence=self._lease_fence,
             owner_address=self._owner_address,
-            needs=_no_needs,
+            needs=_no_version_needs,
             record=record,
             task_owner=task_owner,
         )
 
     def start(self) -> None:
-        """Serve announcements and start the rollouts."""
+        """Start serving announcements and running rollouts."""
         self._transport.handle_calls(AnnounceVersionRequest, self._handle_announcement)
         self._service.start()
         if self._store is not None:
-            self._task_owner.spawn(self._follow_store(self._store), "weight-store")
+            self._task_owner.spawn(self._run_store_polling(self._store), "weight-store")
 
     def set_policies(self, policies: tuple[WeightPolicy, ...]) -> None:
-        """Campaign for the models of the policies in force."""
+        """Campaign for ownership of the models of the current policies."""
         models = frozenset(policy.model for policy in policies)
         for model in sorted(models - self._models):
-            self._ownership.campaign(RESOURCE_PREFIX + model)
+            self._ownership.campaign(OWNERSHIP_PREFIX + model)
         for model in sorted(self._models - models):
-            withdrawal = self._ownership.withdraw(RESOURCE_PREFIX + model)
+            withdrawal = self._ownership.withdraw(OWNERSHIP_PREFIX + model)
             self._task_owner.spawn(withdrawal, f"withdraw-weights-{model}")
         self._models = models
 
-    def observe_stamp(self, model: str, engine: BackendAddress, chunk: TokenChunk) -> None:
-        """Take in which version and boot an engine stamped on its tokens."""
+    def observe_token_version(self, model: str, engine: BackendAddress, chunk: TokenChunk) -> None:
+        """Record the weight version and boot id that an engine reported with its tokens."""
         reported = self._directory.reported_version(engine.backend_id)
         if reported is None:
             return
@@ -126,15 +126,15 @@
         )
 
     async def announce(self, model: str, version: WeightVersion) -> None:
-        """Tell the nodes that may own the model's rollout about a published version."""
+        """Announce a published version to the nodes that may own the model's rollout."""
         self._service.publish(model, version)
         request = AnnounceVersionRequest(model=model, version=version)
-        for candidate in self._ownership.likely_owners(RESOURCE_PREFIX + model):
+        for candidate in self._ownership.likely_owners(OWNERSHIP_PREFIX + model):
             address = self._address_of(candidate)
             if candidate != self._node_id and address is not None:
-                await self._tell(address, request)
+                await self._send_announcement(address, request)
 
-    async def _tell(self, address: Address, request: AnnounceVersionRequest) -> None:
+    async def _send_announcement(self, address: Address, request: AnnounceVersionRequest) -> None:
         try:
             await self._transport.call(address, request, timeout_seconds=ANNOUNCE_TIMEOUT_SECONDS)
         except TransportError as error:
@@ -144,11 +144,11 @@
         self._service.publish(request.model, request.version)
         return VersionNoted()
 
-    async def _follow_store(self, store: WeightStoreClient) -> None:
+    async def _run_store_polling(self, store: WeightStoreClient) -> None:
         """Poll the weight store for the models that this node may own."""
         while True:
             for model in sorted(self._models):
-                if self._node_id in self._ownership.likely_owners(RESOURCE_PREFIX + model):
+                if self._node_id in self._ownership.likely_owners(OWNERSHIP_PREFIX + model):
                     await self._poll_store(store, model)
             await self._clock.sleep(self._store_interval_seconds)
 
@@ -176,18 +176,18 @@
         )
 
     def _lease_fence(self, model: str) -> Fence | None:
-        # NOTE: engines check the fence, so a rollout goes on while the key-value service is
-        # out; see docs/design/ownership.md.
-        name = RESOURCE_PREFIX + model
+        # Engines check the fence, so a rollout may continue during an outage of the key-value
+        # service; see docs/design/ownership.md.
+        name = OWNERSHIP_PREFIX + model
         return self._ownership.fence_to_continue(name, self._clock.monotonic())
 
     def _owner_address(self, model: str) -> Address | None:
         """Return the address of the node that most likely owns a model's rollout."""
-        for candidate in self._ownership.likely_owners(RESOURCE_PREFIX + model):
+        for candidate in self._ownership.likely_owners(OWNERSHIP_PREFIX + model):
             return self._address_of(candidate)
         return None
 
 
-def _no_needs(model: str) -> tuple[VersionNeed, ...]:
-    """Return no version that must stay loaded: running samples go on under the next one."""
+def _no_version_needs(model: str) -> tuple[VersionNeed, ...]:
+    """Return no required versions: running samples continue under the next version."""
     return ()
--- a/tests/test_backend_subset.py
+++ b/tests/test_backend_subset.py
@@ -1,4 +1,4 @@
-"""A node watches its share of large groups, all of small ones, and what it owns needs."""
+"""Which backends a node watches, and how often it polls them."""
 
 import unittest
 from collections import Counter
@@ -12,7 +12,7 @@
 )
 from drumbay.configuration.view import ConfigurationView
 from drumbay.identifiers import BackendId, NodeId
-from drumbay.node.backend_monitor import BackendMonitor, PollPace
+from drumbay.node.backend_monitor import BackendMonitor, PollPolicy
 from drumbay.node.backend_subset import BackendSubset, WatchPolicy, group_degree
 from drumbay.resources.schema import Backend, BackendGroup, BackendKind, Selector
 from drumbay.routing.directory import BackendDirectory
@@ -43,7 +43,7 @@
 
 
 class CountingClient(IdleEngineClient):
-    """Counts polls by engine; some engines cannot be reached."""
+    """Counts polls per engine; the engines in ``unreachable`` fail."""
 
     def __init__(self, unreachable: frozenset[str] = frozenset()) -> None:
         super().__init__(lambda engine: "model")
@@ -70,7 +70,7 @@
         self.directory = BackendDirectory()
         self.directory.apply_configuration(self.view, 0.0)
 
-    def subset(self, node_id: str = "n00") -> BackendSubset:
+    def make_subset(self, node_id: str = "n00") -> BackendSubset:
         subset = BackendSubset(NodeId(node_id), lambda: self.nodes, self.directory)
         subset.set_groups(self.view)
         return subset
@@ -78,36 +78,36 @@
     def watched(self) -> Counter[str]:
         return Counter(view.backend_id.split("-")[0] for view in self.directory.watched_views(0.0))
 
-    def test_the_share_bounds_large_groups_and_keeps_small_ones_whole(self) -> None:
-        self.subset()
+    def test_large_groups_are_watched_in_part_and_small_groups_completely(self) -> None:
+        self.make_subset()
         watched = self.watched()
         self.assertEqual(watched["small"], 6)
         self.assertLess(watched["large"], 60)
         self.assertGreaterEqual(watched["large"], 32)
 
-    def test_every_back_end_is_watched_by_two_nodes_at_least(self) -> None:
-        holders: Counter[str] = Counter()
+    def test_every_backend_is_watched_by_at_least_two_nodes(self) -> None:
+        watcher_counts: Counter[str] = Counter()
         for node in NODES:
-            holders.update(self.subset(node.node_id).assigned)
-        self.assertEqual(len(holders), 126)
-        self.assertGreaterEqual(min(holders.values()), 2)
+            watcher_counts.update(self.make_subset(node.node_id).assigned)
+        self.assertEqual(len(watcher_counts), 126)
+        self.assertGreaterEqual(min(watcher_counts.values()), 2)
 
-    def test_pinned_back_ends_are_watched_until_the_pin_ends(self) -> None:
-        subset = self.subset()
+    def test_pinned_backends_are_watched_until_they_are_unpinned(self) -> None:
+        subset = self.make_subset()
         before = self.watched()
-        every = [
+        all_backend_ids = [
             address.backend_id
             for address in self.directory.select(compile_selector(Selector()), "large")
         ]
-        self.assertEqual(len(every), 120)
-        self.assertTrue(subset.pin("stream.s", every))
-        self.assertFalse(subset.pin("stream.s", every))
+        self.assertEqual(len(all_backend_ids), 120)
+        self.assertTrue(subset.pin("stream.s", all_backend_ids))
+        self.assertFalse(subset.pin("stream.s", all_backend_ids))
         self.assertEqual(self.watched()["large"], 120)
         subset.pin("stream.s", ())
         self.assertEqual(self.watched(), before)
 
-    def test_the_share_follows_nodes_and_groups(self) -> None:
-        subset = self.subset()
+    def test_subset_is_recomputed_when_nodes_or_groups_change(self) -> None:
+        subset = self.make_subset()
         self.assertFalse(subset.refresh())
         self.nodes = NODES[:2]
         self.assertTrue(subset.refresh())
@@ -117,7 +117,7 @@
         subset.set_groups(self.view)
         self.assertEqual(self.watched(), Counter(large=10))
 
-    def test_degrees_are_shared_out_by_size(self) -> None:
+    def test_group_degree_is_proportional_to_group_size(self) -> None:
         policy = WatchPolicy()
         self.assertEqual(group_degree(16, 700, policy), 16)
         self.assertEqual(group_degree(700, 700, policy), 32)
@@ -125,11 +125,11 @@
         self.assertEqual(group_degree(88, 700, policy), 8)
 
 
-class PollPaceTest(unittest.TestCase):
+class PollPolicyTest(unittest.TestCase):
     def polls(
         self, backends: int, seconds: float, unreachable: frozenset[str] = frozenset()
     ) -> Counter[str]:
-        """Return the polls that one node makes of a group within a time."""
+        """Return how often one node polls each backend of a group within ``seconds``."""
         client = CountingClient(unreachable)
 
         async def main() -> None:
@@ -147,18 +147,18 @@
         run_simulation(main)
         return client.counts
 
-    def test_a_small_set_is_asked_each_second_with_its_cache_events(self) -> None:
+    def test_small_set_is_polled_every_second_with_cache_events(self) -> None:
         counts = self.polls(6, seconds=10.5)
         self.assertEqual(counts[BackendId("e-0")], 11)
         self.assertEqual(counts["events"], 66)
 
-    def test_the_polls_of_a_large_set_are_bounded(self) -> None:
+    def test_poll_rate_of_a_large_set_is_bounded(self) -> None:
         counts = self.polls(64, seconds=120.0)
         self.assertEqual(counts["events"], 0)
         self.assertLess(counts.total() / 120.0, 7.0)
         self.assertEqual(len(counts), 64)
 
-    def test_a_failing_engine_is_asked_again_soon_until_it_counts_as_lost(self) -> None:
+    def test_failing_engine_is_polled_again_soon(self) -> None:
         counts = self.polls(64, seconds=20.0, unreachable=frozenset({"e-5"}))
         self.assertGreaterEqual(counts["e-5"], 3)
-        self.assertEqual(PollPace().interval_seconds(700), 15.0)
+        self.assertEqual(PollPolicy().interval_seconds(700), 15.0)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: counted over HTTP with real request services, and read off a simulated node."""
+"""Metrics of requests over HTTP, and of the state of simulated nodes."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 from drumbay.backends.interface import ApplicationAnswer, TokenChunk
 from drumbay.node.environment import NodeEnvironment
 from drumbay.node.node import Node
-from drumbay.node.recorded import RecordedRequests
+from drumbay.node.recorded_requests import RecordingRequestService
 from drumbay.observability.metrics import NodeMetrics
 from drumbay.requests.records import ApplicationCall, LiveRequest
 from drumbay.settings import NodeSettings
@@ -27,8 +27,8 @@
 SCRAPE_SECONDS = 50.0
 
 
-def samples_of(text: str) -> dict[str, float]:
-    """Return every sample of a scrape by ``name{label=value,...}``."""
+def parse_samples(text: str) -> dict[str, float]:
+    """Parse a scrape into values by ``name{label=value,...}``."""
     samples = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
@@ -38,13 +38,13 @@
 
 
 class MeasuredNode(StandInNode):
-    """Serves requests by the real services over emulated back ends."""
+    """Serves requests with the real services and emulated backends."""
 
     def __init__(self) -> None:
         super().__init__()
         self.metrics = NodeMetrics(self.registry)
         self.world = RequestsWorld(RouteLimits(max_concurrency=1), metrics=self.metrics)
-        self.requests = RecordedRequests(
+        self.requests = RecordingRequestService(
             self.world.services, self.world.recorder, self.world.clock, self.metrics
         )
 
@@ -64,7 +64,7 @@
         return MeasuredNode()
 
     def scrape(self) -> dict[str, float]:
-        return samples_of(self.fetch("/metrics").body.decode())
+        return parse_samples(self.fetch("/metrics").body.decode())
 
     def complete(self, model: str) -> int:
         body = json.dumps({"model": model, "prompt": "p", "max_tokens": 2})
@@ -101,7 +101,7 @@
             node = Node(settings, environment)
 
             def scrape() -> None:
-                scrapes.append(samples_of(generate_latest(node.metrics_registry()).decode()))
+                scrapes.append(parse_samples(generate_latest(node.metrics_registry()).decode()))
 
             asyncio.get_running_loop().call_later(SCRAPE_SECONDS, scrape)
             return node
@@ -115,12 +115,12 @@
             self.assertIn("drumbay_configuration_confirmed_age_seconds{}", scrape)
             self.assertGreaterEqual(scrape["drumbay_members{state=alive}"], 2)
             self.assertGreater(scrape["drumbay_backends{reason=none}"], 0)
-        total = {name: sum(scrape.get(name, 0) for scrape in scrapes) for name in WANTED}
-        self.assertEqual([name for name, value in total.items() if value == 0], [])
-        self.assertEqual(total["drumbay_stream_owned{stream=drafts}"], 1)
+        totals = {name: sum(scrape.get(name, 0) for scrape in scrapes) for name in EXPECTED_NONZERO}
+        self.assertEqual([name for name, value in totals.items() if value == 0], [])
+        self.assertEqual(totals["drumbay_stream_owned{stream=drafts}"], 1)
 
 
-WANTED = (
+EXPECTED_NONZERO = (
     "drumbay_stream_owned{stream=drafts}",
     "drumbay_stream_delivered_samples{stream=drafts}",
     "drumbay_samples_finished_total{stream=drafts}",
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""The planned stop: steps bounded in time, and a node process that cuts off nothing."""
+"""The planned stop: step timeouts, and a node process that completes requests in flight."""
 
 import asyncio
 import signal
@@ -15,25 +15,25 @@
 from drumbay.standins.execution_log import GenerationAccepted, GenerationEnded
 from tests.process_deployment import Deployment, group_of, live_route
 
-LIMIT_SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 MODEL = "model"
 LONG_TOKENS = 60
 STEP_SECONDS = "0.1"
 
 
-def _return(run: Awaitable[object]) -> Awaitable[object]:
-    return run
+def _return(operation: Awaitable[object]) -> Awaitable[object]:
+    return operation
 
 
 class StopStepsTest(unittest.IsolatedAsyncioTestCase):
-    async def run_steps(self, *runs: Awaitable[object]) -> bool:
+    async def run_steps(self, *operations: Awaitable[object]) -> bool:
         steps = tuple(
-            StopStep(name=f"step-{number}", run=partial(_return, run), limit_seconds=0.05)
-            for number, run in enumerate(runs)
+            StopStep(name=f"step-{number}", run=partial(_return, operation), timeout_seconds=0.05)
+            for number, operation in enumerate(operations)
         )
-        return await asyncio.wait_for(run_stop_steps(steps), LIMIT_SECONDS)
+        return await asyncio.wait_for(run_stop_steps(steps), TIMEOUT_SECONDS)
 
-    async def test_a_step_that_hangs_ignoring_cancellation_does_not_hold_up_the_next(self) -> None:
+    async def test_step_that_ignores_cancellation_does_not_block_the_next(self) -> None:
         released = asyncio.Event()
         done: list[str] = []
 
@@ -44,28 +44,28 @@
                 except asyncio.CancelledError:
                     continue
 
-        async def note() -> None:
+        async def record() -> None:
             done.append("next")
 
-        self.assertFalse(await self.run_steps(ignore_cancellation(), note()))
+        self.assertFalse(await self.run_steps(ignore_cancellation(), record()))
         self.assertEqual(done, ["next"])
         released.set()
 
-    async def test_a_step_that_fails_does_not_hold_up_the_next(self) -> None:
+    async def test_failing_step_does_not_block_the_next(self) -> None:
         done: list[str] = []
 
         async def fail() -> None:
             raise OSError
 
-        async def note() -> None:
+        async def record() -> None:
             done.append("next")
 
-        self.assertFalse(await self.run_steps(fail(), note()))
+        self.assertFalse(await self.run_steps(fail(), record()))
         self.assertEqual(done, ["next"])
 
 
 class NodeProcessStopTest(unittest.IsolatedAsyncioTestCase):
-    """One engine that decodes slowly; one node stops idle, one with a request in flight."""
+    """Stops an idle node, and one with a request in flight on a slow engine."""
 
     async def asyncSetUp(self) -> None:
         self.deployment = Deployment()
@@ -73,60 +73,64 @@
         key_value = self.deployment.start_standin("key-value", "key-value")
         arguments = ("--name", "engine-1", "--model", MODEL, "--step-seconds", STEP_SECONDS)
         self.deployment.start_standin("engine-1", "engine", *arguments)
-        self.deployment.start_nodes(key_value, lame_duck_seconds=(0.5, LIMIT_SECONDS, 0.5))
+        self.deployment.start_nodes(key_value, lame_duck_seconds=(0.5, TIMEOUT_SECONDS, 0.5))
         await self.deployment.wait_ready()
         await self.deployment.apply(
             group_of(self.deployment, "engine", MODEL, "engine-1"), live_route(MODEL)
         )
 
-    async def test_nothing_is_cut_off_and_new_requests_are_refused(self) -> None:
-        with self.subTest("an idle node refuses, and a second signal ends it at once"):
+    async def test_requests_in_flight_complete_and_new_requests_are_rejected(self) -> None:
+        with self.subTest(
+            "an idle node rejects requests; a second signal terminates it immediately"
+        ):
             await self.stop_idle_node("node-2")
-        with self.subTest("a request in flight ends whole"):
+        with self.subTest("a request in flight completes"):
             await self.stop_busy_node("node-1")
 
     async def stop_idle_node(self, name: str) -> None:
         host = self.deployment.url(name).removeprefix("http://")
-        kept = HTTPConnection(host, timeout=LIMIT_SECONDS)
-        self.addCleanup(kept.close)
-        before = await asyncio.to_thread(_complete, kept)
-        self.assertEqual(before.status, 200)
+        persistent = HTTPConnection(host, timeout=TIMEOUT_SECONDS)
+        self.addCleanup(persistent.close)
+        initial = await asyncio.to_thread(_send_completion, persistent)
+        self.assertEqual(initial.status, 200)
         self.deployment.signal(name, signal.SIGTERM)
         await self.wait_not_ready(name)
-        # Over the connection that was open before the stop, then over a new one.
-        for connection in (kept, HTTPConnection(host, timeout=LIMIT_SECONDS)):
-            self.check_refusal(await asyncio.to_thread(_complete, connection))
+        # Over the existing connection, then over a new one.
+        for connection in (persistent, HTTPConnection(host, timeout=TIMEOUT_SECONDS)):
+            self.check_rejection(await asyncio.to_thread(_send_completion, connection))
             connection.close()
         self.deployment.signal(name, signal.SIGTERM)
         self.assertEqual(await self.deployment.wait_end(name), -signal.SIGTERM)
 
     async def stop_busy_node(self, name: str) -> None:
-        in_flight = await self.begin_long_request(name)
+        in_flight = await self.start_long_request(name)
         self.deployment.signal(name, signal.SIGTERM)
         await self.wait_not_ready(name)
         host = self.deployment.url(name).removeprefix("http://")
-        refused = await asyncio.to_thread(_complete, HTTPConnection(host, timeout=LIMIT_SECONDS))
-        self.check_refusal(refused)
-        self.assertFalse(in_flight.done(), "the refusal did not come beside the request")
-        answer = await in_flight
-        self.assertEqual(len(answer.token_ids), LONG_TOKENS)
+        rejected = await asyncio.to_thread(
+            _send_completion, HTTPConnection(host, timeout=TIMEOUT_SECONDS)
+        )
+        self.check_rejection(rejected)
+        self.assertFalse(in_flight.done(), "the rejection did not arrive during the request")
+        response = await in_flight
+        self.assertEqual(len(response.token_ids), LONG_TOKENS)
         self.assertEqual(await self.deployment.wait_end(name), 0)
         produced = [
             span.count
             for entry in await self.deployment.execution_log("engine-1")
-            if isinstance(entry, GenerationEnded) and entry.attempt_id.startswith(answer.id)
+            if isinstance(entry, GenerationEnded) and entry.attempt_id.startswith(response.id)
             for span in entry.spans
         ]
         self.assertEqual(sum(produced), LONG_TOKENS)
 
-    async def begin_long_request(self, name: str) -> "asyncio.Task[CompletionAnswer]":
-        """Send a request to a node and return once the engine works on it."""
+    async def start_long_request(self, name: str) -> "asyncio.Task[CompletionAnswer]":
+        """Send a request to a node and return once the engine has accepted it."""
         body = CompletionBody(model=MODEL, prompt="long", max_tokens=LONG_TOKENS)
         url = self.deployment.url(name) + "/v1/completions"
 
         async def send() -> CompletionAnswer:
-            answer = await self.deployment.caller.send("POST", url, msgspec.json.encode(body))
-            return msgspec.json.decode(answer.body, type=CompletionAnswer)
+            response = await self.deployment.caller.send("POST", url, msgspec.json.encode(body))
+            return msgspec.json.decode(response.body, type=CompletionAnswer)
 
         task = asyncio.ensure_future(send())
         while not await self.is_accepted_from(name):
@@ -141,7 +145,7 @@
         )
 
     async def wait_not_ready(self, name: str) -> None:
-        """Wait until the node says that it takes no new work; it must still accept connections."""
+        """Wait until the node reports itself not ready; it must still accept connections."""
         while True:
             try:
                 await self.deployment.caller.send("GET", self.deployment.url(name) + "/readyz")
@@ -150,25 +154,27 @@
                 return
             await asyncio.sleep(0.01)
 
-    def check_refusal(self, answer: "Answer") -> None:
-        """Check for a typed refusal that proves that nothing ran and says when to come back."""
-        error = msgspec.json.decode(answer.body, type=ErrorBody).error
-        self.assertEqual((answer.status, error.code, error.run), (503, "not_ready", "not_run"))
-        self.assertGreaterEqual(int(answer.headers["Retry-After"]), 1)
-        self.assertEqual(answer.headers["Connection"], "close")
+    def check_rejection(self, response: "Response") -> None:
+        """Check for a typed error that reports ``not_run`` and a retry time."""
+        error = msgspec.json.decode(response.body, type=ErrorBody).error
+        self.assertEqual((response.status, error.code, error.run), (503, "not_ready", "not_run"))
+        self.assertGreaterEqual(int(response.headers["Retry-After"]), 1)
+        self.assertEqual(response.headers["Connection"], "close")
 
 
-class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """One HTTP answer."""
+class Response(msgspec.Struct, frozen=True, kw_only=True):
+    """One HTTP response."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
 
-def _complete(connection: HTTPConnection) -> Answer:
-    """Ask for one token over a connection that is kept open."""
+def _send_completion(connection: HTTPConnection) -> Response:
+    """Request a one-token completion over a persistent connection."""
     body = msgspec.json.encode(CompletionBody(model=MODEL, prompt="short", max_tokens=1))
     connection.request("POST", "/v1/completions", body)
-    answer = connection.getresponse()
-    return Answer(status=answer.status, headers=dict(answer.getheaders()), body=answer.read())
+    response = connection.getresponse()
+    return Response(
+        status=response.status, headers=dict(response.getheaders()), body=response.read()
+    )
--- a/tests/test_stream_ownership.py
+++ b/tests/test_stream_ownership.py
@@ -1,4 +1,4 @@
-"""A stream owner that the replicas have replaced gives up its lease."""
+"""A stream owner releases its lease once the replicas have promised a newer owner."""
 
 import unittest
 from unittest import mock
@@ -9,7 +9,7 @@
 from drumbay.delivery.service import DeliveryService
 from drumbay.identifiers import Cursor, Fence, NodeId, StreamName, WeightVersion
 from drumbay.node.stream_messages import PullRequest
-from drumbay.node.streams import RESOURCE_PREFIX, StreamService
+from drumbay.node.streams import OWNERSHIP_PREFIX, StreamService
 from drumbay.ownership.manager import OwnershipManager
 from drumbay.simulation.transport import SimulatedTransport
 from drumbay.tasks import TaskOwner
@@ -40,12 +40,12 @@
     async def pull(self) -> Message:
         return await self.make_service().pull(PULL)
 
-    async def test_refusal_ends_the_lease(self) -> None:
+    async def test_superseded_owner_reports_its_lease(self) -> None:
         with self.assertRaises(OwnerDeposedError):
             await self.pull()
-        self.ownership.report_refusal.assert_awaited_once_with(RESOURCE_PREFIX + STREAM, FENCE)
+        self.ownership.report_refusal.assert_awaited_once_with(OWNERSHIP_PREFIX + STREAM, FENCE)
 
-    async def test_without_the_report_the_lease_goes_on(self) -> None:
+    async def test_lease_is_kept_without_the_report(self) -> None:
         with (
             mock.patch.object(StreamService, "_report_deposed", mock.AsyncMock()),
             self.assertRaises(OwnerDeposedError),
