--- a/drumbay/api/application.py
+++ b/drumbay/api/application.py
@@ -1,4 +1,4 @@
-"""The tornado application of a node: which path is served by which handler."""
+"""The Tornado application of a node, which maps paths to handlers."""
 
 from tornado.web import Application
 
@@ -22,8 +22,8 @@
     WeightVersionsHandler,
 )
 
-MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
-MAXIMUM_HEADER_BYTES = 64 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
+MAX_HEADER_BYTES = 64 * 1024
 
 
 def make_application(
@@ -32,36 +32,36 @@
     """Return the HTTP application that serves ``node``.
 
     Args:
-        node: Carries out the operations.
+        node: Executes the operations.
         authentication: Whether bearer tokens are required.
-        intake: Counts the requests, and says whether new ones are taken.
+        intake: Counts requests in flight and rejects new ones during a planned stop.
     """
-    arguments = {
+    api_arguments = {
         "node": node,
         "authentication": authentication,
         "intake": intake or RequestIntake(),
     }
-    probe = {"node": node}
+    probe_arguments = {"node": node}
     return Application(
         [
-            (r"/v1/completions", CompletionsHandler, arguments),
-            (r"/v1/chat/completions", ChatCompletionsHandler, arguments),
-            (r"/app/.*", ApplicationHandler, arguments),
-            (r"/v1/rollouts", RolloutsHandler, arguments),
-            (r"/v1/streams/([^/]+)/samples", SamplesHandler, arguments),
-            (r"/v1/streams/([^/]+)/checkpoint", CheckpointHandler, arguments),
-            (r"/v1/models/([^/]+)/versions", WeightVersionsHandler, arguments),
-            (r"/v1/resources", ResourceListHandler, arguments),
-            (r"/v1/resources/([^/]+)", ResourceListHandler, arguments),
-            (r"/v1/resources/([^/]+)/([^/]+)", ResourceHandler, arguments),
-            (r"/v1/operations/([^/]+)", OperationHandler, arguments),
-            (r"/v1/explain/([^/]+)/([^/]+)", ExplainHandler, arguments),
-            (r"/v1/status", StatusHandler, arguments),
-            (r"/healthz", HealthHandler, probe),
-            (r"/readyz", ReadyHandler, probe),
-            (r"/metrics", MetricsHandler, probe),
+            (r"/v1/completions", CompletionsHandler, api_arguments),
+            (r"/v1/chat/completions", ChatCompletionsHandler, api_arguments),
+            (r"/app/.*", ApplicationHandler, api_arguments),
+            (r"/v1/rollouts", RolloutsHandler, api_arguments),
+            (r"/v1/streams/([^/]+)/samples", SamplesHandler, api_arguments),
+            (r"/v1/streams/([^/]+)/checkpoint", CheckpointHandler, api_arguments),
+            (r"/v1/models/([^/]+)/versions", WeightVersionsHandler, api_arguments),
+            (r"/v1/resources", ResourceListHandler, api_arguments),
+            (r"/v1/resources/([^/]+)", ResourceListHandler, api_arguments),
+            (r"/v1/resources/([^/]+)/([^/]+)", ResourceHandler, api_arguments),
+            (r"/v1/operations/([^/]+)", OperationHandler, api_arguments),
+            (r"/v1/explain/([^/]+)/([^/]+)", ExplainHandler, api_arguments),
+            (r"/v1/status", StatusHandler, api_arguments),
+            (r"/healthz", HealthHandler, probe_arguments),
+            (r"/readyz", ReadyHandler, probe_arguments),
+            (r"/metrics", MetricsHandler, probe_arguments),
         ],
         default_handler_class=UnknownPathHandler,
-        default_handler_args=arguments,
+        default_handler_args=api_arguments,
         log_function=lambda handler: None,
     )
--- a/drumbay/api/applications.py
+++ b/drumbay/api/applications.py
@@ -1,4 +1,4 @@
-"""Plain application requests under ``/app/``."""
+"""Application requests under ``/app/``."""
 
 from typing import ClassVar
 
@@ -11,31 +11,31 @@
 IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 REPEATABLE_HEADER = "Drumbay-Repeatable"
 APPLICATION_PREFIX = "/app"
-MAXIMUM_KEY_CHARACTERS = 255
+MAX_KEY_CHARACTERS = 255
 
 
 class ApplicationHandler(ApiHandler):
-    """Any method under ``/app/``; the rest of the path goes to the application."""
+    """Forwards requests under ``/app/`` to the application; the prefix is removed."""
 
     allowed_roles: ClassVar[tuple[Role, ...]] = (Role.CALLER, Role.OPERATOR)
 
     async def get(self) -> None:
-        """Run a GET request."""
-        await self._run()
+        """Forward a GET request."""
+        await self._forward()
 
     async def post(self) -> None:
-        """Run a POST request."""
-        await self._run()
+        """Forward a POST request."""
+        await self._forward()
 
     async def put(self) -> None:
-        """Run a PUT request."""
-        await self._run()
+        """Forward a PUT request."""
+        await self._forward()
 
     async def delete(self) -> None:
-        """Run a DELETE request."""
-        await self._run()
+        """Forward a DELETE request."""
+        await self._forward()
 
-    async def _run(self) -> None:
+    async def _forward(self) -> None:
         request = self.request
         call = ApplicationCall(
             request_id=self.new_request_id(),
@@ -44,23 +44,23 @@
             body=request.body,
             content_type=request.headers.get("Content-Type", "application/octet-stream"),
             idempotency_key=self._idempotency_key(),
-            repeatable=self._repeatable(),
-            timeout_seconds=self.caller_timeout_seconds(),
+            repeatable=self._is_repeatable(),
+            timeout_seconds=self.requested_timeout_seconds(),
         )
-        answer = await self.node.run_application(call)
-        self.set_status(answer.status)
-        self.set_header("Content-Type", answer.content_type)
-        await self.finish(answer.body)
+        response = await self.node.run_application(call)
+        self.set_status(response.status)
+        self.set_header("Content-Type", response.content_type)
+        await self.finish(response.body)
 
     def _idempotency_key(self) -> IdempotencyKey | None:
         key = self.request.headers.get(IDEMPOTENCY_KEY_HEADER)
         if key is None:
             return None
-        if not 0 < len(key) <= MAXIMUM_KEY_CHARACTERS:
-            raise not_run(f"{IDEMPOTENCY_KEY_HEADER}: 1 to {MAXIMUM_KEY_CHARACTERS} characters")
+        if not 0 < len(key) <= MAX_KEY_CHARACTERS:
+            raise not_run(f"{IDEMPOTENCY_KEY_HEADER}: 1 to {MAX_KEY_CHARACTERS} characters")
         return IdempotencyKey(key)
 
-    def _repeatable(self) -> bool | None:
+    def _is_repeatable(self) -> bool | None:
         text = self.request.headers.get(REPEATABLE_HEADER)
         if text is None:
             return None
--- a/drumbay/api/base.py
+++ b/drumbay/api/base.py
@@ -1,4 +1,4 @@
-"""Base of the HTTP handlers: typed bodies, typed errors, bearer tokens."""
+"""Base class of the HTTP handlers: typed bodies, typed errors, bearer tokens."""
 
 import asyncio
 import hashlib
@@ -38,73 +38,73 @@
 
 
 class ApiHandler(RequestHandler):
-    """A handler that speaks JSON and turns exceptions into typed error bodies."""
+    """Base handler with JSON bodies, authorization and typed error responses."""
 
     allowed_roles: ClassVar[tuple[Role, ...]] = (Role.OPERATOR,)
-    served_while_stopping: ClassVar[bool] = False
+    available_while_stopping: ClassVar[bool] = False
 
     def initialize(
         self, node: NodeInterface, authentication: bool, intake: RequestIntake | None = None
     ) -> None:
-        """Take the node that carries out the operations.
+        """Store the dependencies; Tornado calls this for each request.
 
         Args:
-            node: Carries out the operations.
+            node: Executes the operations.
             authentication: Whether bearer tokens are required.
-            intake: Counts the requests, and says whether new ones are taken.
+            intake: Counts requests in flight and rejects new ones during a planned stop.
         """
         self.node = node
         self.authentication = authentication
         self.intake = intake or RequestIntake()
         self.request_id: RequestId | None = None
-        self._is_counted = False
+        self._is_in_flight = False
 
     def prepare(self) -> None:
-        """Refuse a request at a stopping node, and one whose bearer token does not allow it."""
+        """Reject requests while the node is stopping, and unauthorized ones."""
         self.intake.begin()
-        self._is_counted = True
+        self._is_in_flight = True
         if self.intake.is_stopping:
-            # Asks the client to send its next request over a new connection, to another node.
+            # Makes the client reconnect, so that its next request can reach another node.
             self.set_header("Connection", "close")
-            if not self.served_while_stopping:
+            if not self.available_while_stopping:
                 raise NotReadyError(
                     "this node is stopping",
                     execution=Execution.NOT_RUN,
                     retry_after_seconds=STOPPING_RETRY_AFTER_SECONDS,
                 )
         if self.authentication:
-            self._check_role(self._role_of_bearer())
+            self._authorize(self._authenticate())
 
     def finish(self, chunk: str | bytes | dict[str, Any] | None = None) -> "asyncio.Future[None]":
-        """End the answer; the request is in flight until its last byte is written."""
+        """Finish the response; the request is in flight until its last byte is written."""
         try:
             written = super().finish(chunk)
         except BaseException:
-            self._end_count()
+            self._mark_finished()
             raise
-        written.add_done_callback(lambda future: self._end_count())
+        written.add_done_callback(lambda future: self._mark_finished())
         return written
 
     def compute_etag(self) -> str | None:
         """Return no entity tag.
 
-        Tornado would hash every answer, and answer 304 in the name of an application that
-        knows nothing of the tag.
+        The default would hash every response, and answer 304 for applications that do not use
+        entity tags.
         """
         return None
 
-    def _end_count(self) -> None:
-        if self._is_counted:
-            self._is_counted = False
+    def _mark_finished(self) -> None:
+        if self._is_in_flight:
+            self._is_in_flight = False
             self.intake.end()
 
-    def _check_role(self, role: Role) -> None:
+    def _authorize(self, role: Role) -> None:
         if role not in self.allowed_roles:
             raise PermissionDeniedError(
                 f"the role {role} may not do this", execution=Execution.NOT_RUN
             )
 
-    def _role_of_bearer(self) -> Role:
+    def _authenticate(self) -> Role:
         header = self.request.headers.get("Authorization", "")
         if header.startswith(BEARER_PREFIX):
             digest = hashlib.sha256(header.removeprefix(BEARER_PREFIX).encode()).hexdigest()
@@ -134,7 +134,7 @@
         """Return a query argument as an integer of at least 0.
 
         Raises:
-            InvalidRequestError: It is missing or no such integer.
+            InvalidRequestError: It is missing or not such an integer.
         """
         text = self.get_query_argument(name, None)
         if text is None and default is not None:
@@ -143,11 +143,11 @@
             raise not_run(f"query argument {name}: expected an integer of at least 0")
         return int(text)
 
-    def caller_timeout_seconds(self) -> float | None:
-        """Return the time limit the caller stated, if any.
+    def requested_timeout_seconds(self) -> float | None:
+        """Return the timeout that the caller requested, if any.
 
         Raises:
-            InvalidRequestError: The header is no positive, finite number of seconds.
+            InvalidRequestError: The header is not a positive, finite number of seconds.
         """
         text = self.request.headers.get(TIMEOUT_HEADER)
         if text is None:
@@ -158,14 +158,14 @@
             raise not_run(f"{TIMEOUT_HEADER}: {error}") from error
 
     def new_request_id(self) -> RequestId:
-        """Give this request an id and name it in the answer."""
+        """Assign this request an id and return it in a response header."""
         request_id = self.node.new_request_id()
         self.request_id = request_id
         self.set_header(REQUEST_ID_HEADER, request_id)
         return request_id
 
-    def write_record(self, record: msgspec.Struct, status: int = 200) -> None:
-        """Answer with a record as JSON."""
+    def write_json(self, record: msgspec.Struct, status: int = 200) -> None:
+        """Send a record as a JSON response."""
         self.set_status(status)
         self.set_header("Content-Type", JSON_CONTENT_TYPE)
         self.finish(msgspec.json.encode(record))
@@ -181,7 +181,7 @@
                 request_id=self.request_id,
             )
         if isinstance(error, HTTPError):
-            return _detail_of_http_error(error)
+            return _http_error_detail(error)
         code = error.code if isinstance(error, DrumbayError) else DrumbayError.code
         return ErrorDetail(
             code=code,
@@ -191,7 +191,7 @@
         )
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer with the typed body of the exception that ended the handler."""
+        """Send the exception that ended the handler as a typed error body."""
         exception_info = kwargs.get("exc_info")
         error = exception_info[1] if exception_info else HTTPError(status_code)
         detail = self.error_detail(error)
@@ -199,7 +199,7 @@
             self.set_header("Connection", "close")
         if isinstance(error, RequestFailedError):
             self.set_status(error.http_status)
-        # NOTE: tornado has cleared the headers set before the failure.
+        # Tornado has cleared the headers that were set before the error.
         if self.request_id is not None:
             self.set_header(REQUEST_ID_HEADER, self.request_id)
         if self.get_status() == UNAUTHORIZED_STATUS:
@@ -210,7 +210,7 @@
         self.finish(msgspec.json.encode(ErrorBody(error=detail)))
 
     def log_exception(self, *arguments: Any) -> None:
-        """Log a failed request as one event; refusals are ordinary."""
+        """Log a failed request as one event; expected errors are logged at INFO."""
         error = arguments[1]
         level = "INFO" if isinstance(error, RequestFailedError | HTTPError) else "ERROR"
         log_event(
@@ -224,10 +224,10 @@
 
 
 class UnknownPathHandler(ApiHandler):
-    """Any path that no handler serves."""
+    """Handles paths that no other handler matches."""
 
     def prepare(self) -> None:
-        """Refuse the request.
+        """Reject the request.
 
         Raises:
             NotFoundError: Always.
@@ -235,11 +235,11 @@
         raise NotFoundError(f"no such path: {self.request.path}", execution=Execution.NOT_RUN)
 
 
-def _detail_of_http_error(error: HTTPError) -> ErrorDetail:
-    """Return a refusal of tornado itself, made before any handler ran."""
-    is_method = error.status_code == METHOD_NOT_ALLOWED_STATUS
+def _http_error_detail(error: HTTPError) -> ErrorDetail:
+    """Return the error that Tornado raised before the handler ran."""
+    is_method_not_allowed = error.status_code == METHOD_NOT_ALLOWED_STATUS
     return ErrorDetail(
-        code="method_not_allowed" if is_method else InvalidRequestError.code,
+        code="method_not_allowed" if is_method_not_allowed else InvalidRequestError.code,
         detail=error.log_message or error.reason or str(error),
         run=Execution.NOT_RUN.value,
     )
--- a/drumbay/api/completions.py
+++ b/drumbay/api/completions.py
@@ -1,4 +1,4 @@
-"""OpenAI-compatible completions and chat completions, whole or streamed (SSE)."""
+"""OpenAI-compatible completions and chat completions, optionally streamed (SSE)."""
 
 import asyncio
 from contextlib import aclosing
@@ -29,13 +29,13 @@
 class CompletionsHandler(ApiHandler):
     """``POST /v1/completions``."""
 
-    answer_object: ClassVar[str] = "text_completion"
+    response_object: ClassVar[str] = "text_completion"
     event_object: ClassVar[str] = "text_completion"
 
     allowed_roles: ClassVar[tuple[Role, ...]] = (Role.CALLER, Role.OPERATOR)
 
-    _serving: "asyncio.Task[None] | None" = None
-    _is_caller_gone = False
+    _task: "asyncio.Task[None] | None" = None
+    _is_disconnected = False
 
     async def post(self) -> None:
         """Serve one completion."""
@@ -50,61 +50,61 @@
             max_tokens=body.max_tokens,
             seed=body.seed,
             target_tokens=body.target_tokens,
-            timeout_seconds=self.caller_timeout_seconds(),
+            timeout_seconds=self.requested_timeout_seconds(),
         )
-        self._serving = asyncio.current_task()
+        self._task = asyncio.current_task()
         try:
             if body.stream:
                 await self._stream(request)
             else:
-                await self._answer_whole(request)
+                await self._respond(request)
         except asyncio.CancelledError:
-            if not self._is_caller_gone:
+            if not self._is_disconnected:
                 raise
         finally:
-            self._serving = None
+            self._task = None
 
     def on_connection_close(self) -> None:
-        """Cancel the generation: nobody waits for its answer any more."""
-        self._is_caller_gone = True
-        if self._serving is not None:
-            self._serving.cancel()
+        """Cancel the generation when the client disconnects."""
+        self._is_disconnected = True
+        if self._task is not None:
+            self._task.cancel()
 
-    async def _answer_whole(self, request: LiveRequest) -> None:
+    async def _respond(self, request: LiveRequest) -> None:
         async with aclosing(self.node.generate(request)) as generation:
             chunks = [chunk async for chunk in generation]
         token_ids = tuple(token for chunk in chunks for token in chunk.token_ids)
         finish_reason = chunks[-1].finish_reason
         text = "".join(chunk.text for chunk in chunks)
-        answer = CompletionAnswer(
+        response = CompletionAnswer(
             id=request.request_id,
-            object=self.answer_object,
-            created=self.node.wall_seconds(),
+            object=self.response_object,
+            created=self.node.unix_seconds(),
             model=request.model,
-            choices=(self.whole_choice(text, finish_reason),),
+            choices=(self.response_choice(text, finish_reason),),
             usage=Usage(completion_tokens=len(token_ids)),
             text=text,
             token_ids=token_ids,
             finish_reason=finish_reason.value if finish_reason else "",
-            spans=self.node.spans_of(request.request_id),
+            spans=self.node.version_spans(request.request_id),
         )
-        self.write_record(answer)
+        self.write_json(response)
 
     async def _stream(self, request: LiveRequest) -> None:
-        """Stream chunks; a failure after the first one becomes a typed error event."""
-        started = False
+        """Stream chunks; an error after the first one is sent as a typed error event."""
+        has_started = False
         try:
             async with aclosing(self.node.generate(request)) as generation:
                 async for chunk in generation:
-                    if not started:
-                        started = True
+                    if not has_started:
+                        has_started = True
                         self.set_header("Content-Type", EVENT_STREAM_CONTENT_TYPE)
                     await self._write_chunk(request, chunk)
             self.write(END_OF_STREAM)
         except StreamClosedError:
             return
         except Exception as error:
-            if not started:
+            if not has_started:
                 raise
             self.log_exception(type(error), error)
             self._write_event(msgspec.json.encode(ErrorBody(error=self.error_detail(error))))
@@ -114,7 +114,7 @@
         event = CompletionEvent(
             id=request.request_id,
             object=self.event_object,
-            created=self.node.wall_seconds(),
+            created=self.node.unix_seconds(),
             model=request.model,
             choices=(self.event_choice(chunk),),
             attempt_id=chunk.attempt_id,
@@ -126,12 +126,12 @@
         self._write_event(msgspec.json.encode(event))
         await self.flush()
 
-    def whole_choice(self, text: str, finish_reason: FinishReason | None) -> Choice:
-        """Return the choice of a whole answer."""
+    def response_choice(self, text: str, finish_reason: FinishReason | None) -> Choice:
+        """Return the choice of a non-streamed response."""
         return Choice(text=text, finish_reason=finish_reason)
 
     def event_choice(self, chunk: TokenChunk) -> Choice:
-        """Return the choice of one event."""
+        """Return the choice of a streamed event."""
         return Choice(text=chunk.text, finish_reason=chunk.finish_reason)
 
     def _write_event(self, data: bytes) -> None:
@@ -141,20 +141,20 @@
 class ChatCompletionsHandler(CompletionsHandler):
     """``POST /v1/chat/completions``."""
 
-    answer_object: ClassVar[str] = "chat.completion"
+    response_object: ClassVar[str] = "chat.completion"
     event_object: ClassVar[str] = "chat.completion.chunk"
 
     async def post(self) -> None:
-        """Serve one chat completion; the messages become one prompt."""
+        """Serve one chat completion; its messages are joined into one prompt."""
         body = self.decode_body(ChatCompletionBody)
         prompt = "\n".join(f"{message.role}: {message.content}" for message in body.messages)
         await self._serve(body, prompt)
 
-    def whole_choice(self, text: str, finish_reason: FinishReason | None) -> Choice:
-        """Return the choice of a whole answer."""
+    def response_choice(self, text: str, finish_reason: FinishReason | None) -> Choice:
+        """Return the choice of a non-streamed response."""
         message = ChatMessage(role=ASSISTANT_ROLE, content=text)
         return Choice(message=message, finish_reason=finish_reason)
 
     def event_choice(self, chunk: TokenChunk) -> Choice:
-        """Return the choice of one event."""
+        """Return the choice of a streamed event."""
         return Choice(delta=ChatDelta(content=chunk.text), finish_reason=chunk.finish_reason)
--- a/drumbay/api/diagnostics.py
+++ b/drumbay/api/diagnostics.py
@@ -16,25 +16,25 @@
     """``GET /v1/explain/{kind}/{id}``."""
 
     allowed_roles: ClassVar[tuple[Role, ...]] = (Role.OPERATOR, Role.CALLER, Role.TRAINER)
-    served_while_stopping: ClassVar[bool] = True
+    available_while_stopping: ClassVar[bool] = True
 
     async def get(self, kind: str, subject_id: str) -> None:
-        """Return the decision records of a request, a sample or a back end."""
+        """Return the decision records of a request, a sample or a backend."""
         try:
             subject_kind = SubjectKind(kind)
         except ValueError as error:
             raise not_run(f"unknown kind {kind}: expected request, sample or backend") from error
-        self.write_record(await self.node.explain(subject_kind, subject_id))
+        self.write_json(await self.node.explain(subject_kind, subject_id))
 
 
 class StatusHandler(ApiHandler):
     """``GET /v1/status``."""
 
-    served_while_stopping: ClassVar[bool] = True
+    available_while_stopping: ClassVar[bool] = True
 
     def get(self) -> None:
         """Return the node's state."""
-        self.write_record(self.node.status())
+        self.write_json(self.node.status())
 
 
 class _ProbeHandler(RequestHandler):
@@ -43,18 +43,18 @@
 
 
 class HealthHandler(_ProbeHandler):
-    """``GET /healthz``: the process runs its event loop."""
+    """``GET /healthz``: liveness of the process."""
 
     def get(self) -> None:
-        """Answer that the process is alive."""
+        """Return 200; the event loop is running."""
         self.finish("ok\n")
 
 
 class ReadyHandler(_ProbeHandler):
-    """``GET /readyz``: the node has a configuration and takes new work."""
+    """``GET /readyz``: readiness of the node for new requests."""
 
     def get(self) -> None:
-        """Answer 200 if the node takes new work, else 503; the text says why."""
+        """Return 200 if the node accepts new requests, else 503; the body gives the reason."""
         status = self.node.status()
         ready = status.ready and not status.draining
         age_seconds = status.configuration_confirmed_age_seconds
--- a/drumbay/api/intake.py
+++ b/drumbay/api/intake.py
@@ -1,23 +1,23 @@
-"""Requests in flight over HTTP, and whether new ones are taken."""
+"""Tracks the HTTP requests in flight and whether new ones are accepted."""
 
 
 class RequestIntake:
     """Counts the requests of callers, trainers and operators on one node.
 
     Attributes:
-        is_stopping: Whether new requests are refused.
-        in_flight: Requests whose answer has not left entirely.
+        is_stopping: Whether new requests are rejected.
+        in_flight: Number of requests whose response is not completely written.
     """
 
     def __init__(self) -> None:
-        """Create an intake that takes new requests."""
+        """Create an intake that accepts requests."""
         self.is_stopping = False
         self.in_flight = 0
 
     def begin(self) -> None:
-        """Count a request that was read."""
+        """Count a received request."""
         self.in_flight += 1
 
     def end(self) -> None:
-        """Count a request as done: its answer was written or its connection is gone."""
+        """Stop counting a request, once its response is written or its connection closed."""
         self.in_flight -= 1
--- a/drumbay/api/interface.py
+++ b/drumbay/api/interface.py
@@ -1,4 +1,4 @@
-"""What the HTTP handlers need of a node. The node implements it; tests may stand in."""
+"""The node interface that the HTTP handlers use; tests substitute a fake."""
 
 from collections.abc import AsyncGenerator
 from typing import Protocol
@@ -31,21 +31,21 @@
     """
 
     def new_request_id(self) -> RequestId:
-        """Return an id for a request that came in at this node."""
+        """Return an id for a new request at this node."""
         ...
 
-    def wall_seconds(self) -> int:
-        """Return the node's wall clock in seconds since the Unix epoch."""
+    def unix_seconds(self) -> int:
+        """Return the current time in whole seconds since the Unix epoch."""
         ...
 
     def generate(self, request: LiveRequest) -> AsyncGenerator[TokenChunk, None]:
-        """Serve a live generation request; yields chunks of one whole completion.
+        """Serve a live generation request; yields the chunks of one completion.
 
         Closing the generator cancels the generation.
         """
         ...
 
-    def spans_of(self, request_id: RequestId) -> tuple[VersionSpan, ...]:
+    def version_spans(self, request_id: RequestId) -> tuple[VersionSpan, ...]:
         """Return the version spans of a live request that was served here."""
         ...
 
@@ -54,7 +54,7 @@
         ...
 
     async def submit_rollouts(self, submission: RolloutSubmission) -> RolloutReceipt:
-        """Take the samples of a step."""
+        """Submit the prompts of a training step."""
         ...
 
     async def pull(
@@ -64,15 +64,15 @@
         max_samples: int,
         oldest_version: WeightVersion,
     ) -> BatchBody:
-        """Return the batch at a cursor, fixing it if this is the first pull."""
+        """Return the batch at a cursor; the first pull determines its content."""
         ...
 
     async def checkpointed(self, stream: StreamName, cursor: Cursor) -> None:
-        """Take note of the next cursor that a trainer's checkpoint holds."""
+        """Record the next cursor in a trainer's checkpoint."""
         ...
 
     async def announce_weights(self, model: str, announcement: WeightAnnouncement) -> None:
-        """Take note of a newly published weight version."""
+        """Register a newly published weight version."""
         ...
 
     async def apply(self, body: ApplyBody) -> ApplyOutcomeBody:
@@ -86,11 +86,11 @@
         ...
 
     async def operation(self, operation_id: str) -> ApplyOutcomeBody:
-        """Return what became of an earlier change."""
+        """Return the outcome of an earlier change."""
         ...
 
     def resources(self, kind: str | None, name: str | None) -> ResourceListBody:
-        """Return the resources that are in force at this node."""
+        """Return the resources of this node's current configuration."""
         ...
 
     async def explain(self, kind: SubjectKind, subject_id: str) -> ExplanationBody:
@@ -106,5 +106,5 @@
         ...
 
     def access_tokens(self) -> tuple[AccessToken, ...]:
-        """Return the tokens that are in force at this node."""
+        """Return the access tokens of this node's current configuration."""
         ...
--- a/drumbay/api/rollouts.py
+++ b/drumbay/api/rollouts.py
@@ -1,4 +1,4 @@
-"""Rollout submissions and the trainers' side: pulls and weight announcements."""
+"""Handlers for trainers: rollout submissions, pulls, checkpoints and weight versions."""
 
 from typing import ClassVar
 
@@ -7,7 +7,7 @@
 from drumbay.identifiers import Cursor, StreamName, WeightVersion
 from drumbay.resources.schema import Role
 
-DEFAULT_MAXIMUM_SAMPLES = 64
+DEFAULT_MAX_SAMPLES = 64
 
 
 class RolloutsHandler(ApiHandler):
@@ -16,9 +16,9 @@
     allowed_roles: ClassVar[tuple[Role, ...]] = (Role.TRAINER, Role.OPERATOR)
 
     async def post(self) -> None:
-        """Take the samples of one step."""
+        """Submit the prompts of one training step."""
         receipt = await self.node.submit_rollouts(self.decode_body(RolloutSubmission))
-        self.write_record(receipt, status=202)
+        self.write_json(receipt, status=202)
 
 
 class SamplesHandler(ApiHandler):
@@ -31,10 +31,10 @@
         batch = await self.node.pull(
             StreamName(stream),
             Cursor(self.integer_argument("cursor")),
-            self.integer_argument("max", DEFAULT_MAXIMUM_SAMPLES),
+            self.integer_argument("max", DEFAULT_MAX_SAMPLES),
             WeightVersion(self.integer_argument("oldest_version")),
         )
-        self.write_record(batch)
+        self.write_json(batch)
 
 
 class CheckpointHandler(ApiHandler):
@@ -43,7 +43,7 @@
     allowed_roles: ClassVar[tuple[Role, ...]] = (Role.TRAINER, Role.OPERATOR)
 
     async def post(self, stream: str) -> None:
-        """Take note of a trainer's checkpoint, so that older batches may be deleted."""
+        """Record a trainer's checkpoint, after which older batches may be deleted."""
         body = self.decode_body(CheckpointBody)
         await self.node.checkpointed(StreamName(stream), Cursor(body.cursor))
         self.set_status(204)
@@ -56,7 +56,7 @@
     allowed_roles: ClassVar[tuple[Role, ...]] = (Role.TRAINER, Role.OPERATOR)
 
     async def post(self, model: str) -> None:
-        """Take note of a published version."""
+        """Register a published version."""
         await self.node.announce_weights(model, self.decode_body(WeightAnnouncement))
         self.set_status(202)
         await self.finish()
--- a/drumbay/api/schema.py
+++ b/drumbay/api/schema.py
@@ -1,4 +1,4 @@
-"""Typed records of the HTTP interface (JSON). One documented schema for every client."""
+"""Typed records of the HTTP interface (JSON), also exported as JSON Schema."""
 
 import msgspec
 
--- a/drumbay/node/node.py
+++ b/drumbay/node/node.py
@@ -120,7 +120,7 @@
         """Return an id for a new request at this node."""
         return self._identities.next_request()
 
-    def wall_seconds(self) -> int:
+    def unix_seconds(self) -> int:
         """Return the current time in whole seconds since the Unix epoch."""
         return int(self._clock.wall())
 
@@ -128,7 +128,7 @@
         """Serve a live generation request."""
         return self._recorded_requests.generate(request)
 
-    def spans_of(self, request_id: RequestId) -> tuple[VersionSpan, ...]:
+    def version_spans(self, request_id: RequestId) -> tuple[VersionSpan, ...]:
         """Return the version spans of a live request that was served here."""
         return self._requests.live.spans_of(request_id)
 
--- a/drumbay/node/server.py
+++ b/drumbay/node/server.py
@@ -5,8 +5,8 @@
 from tornado.httpserver import HTTPServer
 
 from drumbay.api.application import (
-    MAXIMUM_BODY_BYTES,
-    MAXIMUM_HEADER_BYTES,
+    MAX_BODY_BYTES,
+    MAX_HEADER_BYTES,
     make_application,
 )
 from drumbay.api.intake import RequestIntake
@@ -42,8 +42,8 @@
         self._server = HTTPServer(
             make_application(node, settings.authentication, self._intake),
             ssl_options=_ssl_context(settings),
-            max_body_size=MAXIMUM_BODY_BYTES,
-            max_header_size=MAXIMUM_HEADER_BYTES,
+            max_body_size=MAX_BODY_BYTES,
+            max_header_size=MAX_HEADER_BYTES,
         )
 
     @property
--- a/tests/api_node.py
+++ b/tests/api_node.py
@@ -1,4 +1,4 @@
-"""A stand-in for the node behind the HTTP interface, for the tests of the handlers."""
+"""A fake of the node behind the HTTP interface, for the tests of the handlers."""
 
 import asyncio
 import hashlib
@@ -33,18 +33,18 @@
 from drumbay.requests.records import ApplicationCall, LiveRequest
 from drumbay.resources.schema import AccessToken, Role
 
-CHUNKS = 3
+CHUNK_COUNT = 3
 
 
 def token_for(role: Role) -> str:
     return f"secret-of-{role}"
 
 
-CREATED_SECONDS = 1_750_000_000
+CREATED_UNIX_SECONDS = 1_750_000_000
 
 
-class StandInNode:
-    """Answers every operation; ``failure`` is raised where the operation says."""
+class FakeNode:
+    """Returns canned results; some operations raise ``failure`` if it is set."""
 
     def __init__(self) -> None:
         self.ready = True
@@ -68,23 +68,23 @@
     def new_request_id(self) -> RequestId:
         return RequestId("node-1~boot~1")
 
-    def wall_seconds(self) -> int:
-        return CREATED_SECONDS
+    def unix_seconds(self) -> int:
+        return CREATED_UNIX_SECONDS
 
     async def generate(self, request: LiveRequest) -> AsyncGenerator[TokenChunk, None]:
         self.calls.append(request)
         try:
-            for index in range(CHUNKS):
+            for index in range(CHUNK_COUNT):
                 if self.failure is not None and index == self.chunks_before_failure:
                     raise self.failure
-                yield make_chunk(index, is_last=index == CHUNKS - 1)
+                yield make_chunk(index, is_last=index == CHUNK_COUNT - 1)
                 self.generation_started.set()
                 if self.hangs:
                     await asyncio.Event().wait()
         finally:
             self.generation_closed.set()
 
-    def spans_of(self, request_id: RequestId) -> tuple[VersionSpan, ...]:
+    def version_spans(self, request_id: RequestId) -> tuple[VersionSpan, ...]:
         return ()
 
     async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface: typed errors, bounds, roles, streams, probes; over a stand-in node."""
+"""The HTTP interface over a fake node: typed errors, limits, roles, streams and probes."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from tornado.testing import AsyncHTTPTestCase, gen_test
 from tornado.web import Application
 
-from drumbay.api.application import MAXIMUM_BODY_BYTES, MAXIMUM_HEADER_BYTES, make_application
+from drumbay.api.application import MAX_BODY_BYTES, MAX_HEADER_BYTES, make_application
 from drumbay.api.schema import ErrorBody, ErrorDetail
 from drumbay.exceptions import Execution
 from drumbay.observability.logs import _format_record
@@ -22,7 +22,7 @@
     OverloadedError,
 )
 from drumbay.resources.schema import Role
-from tests.api_node import CHUNKS, CREATED_SECONDS, StandInNode, token_for
+from tests.api_node import CHUNK_COUNT, CREATED_UNIX_SECONDS, FakeNode, token_for
 
 COMPLETION = {"model": "advies", "prompt": "which primer"}
 DRAIN = {"resource": {"kind": "Drain", "name": "d", "selector": {}}, "operation_id": "o"}
@@ -32,7 +32,7 @@
     authentication = False
 
     def setUp(self) -> None:
-        self.node = StandInNode()
+        self.node = FakeNode()
         super().setUp()
 
     def get_app(self) -> Application:
@@ -40,8 +40,8 @@
 
     def get_httpserver_options(self) -> dict[str, Any]:
         return {
-            "max_body_size": MAXIMUM_BODY_BYTES,
-            "max_header_size": MAXIMUM_HEADER_BYTES,
+            "max_body_size": MAX_BODY_BYTES,
+            "max_header_size": MAX_HEADER_BYTES,
         }
 
     def send(
@@ -62,7 +62,7 @@
 
 
 class TypedErrorTest(ApiTestCase):
-    def test_refusal_names_execution_and_when_to_come_back(self) -> None:
+    def test_rejection_reports_execution_and_retry_time(self) -> None:
         self.node.failure = OverloadedError(
             "full", execution=Execution.NOT_RUN, retry_after_seconds=1.2
         )
@@ -92,7 +92,7 @@
         response = self.send("PUT", "/v1/resources/Drain/d", DRAIN)
         self.assertEqual((response.code, self.error_of(response).code), (409, "conflict"))
 
-    def test_what_never_reaches_the_node_is_typed_and_not_run(self) -> None:
+    def test_invalid_requests_get_typed_errors_and_do_not_reach_the_node(self) -> None:
         long_key = {"Idempotency-Key": "k" * 256}
         cases: list[tuple[str, str, object, dict[str, str], int]] = [
             ("GET", "/no/such/path", None, {}, 404),
@@ -116,7 +116,7 @@
                 self.assertEqual(self.error_of(response).run, "not_run")
         self.assertEqual(self.node.calls, [])
 
-    def test_bad_timeouts(self) -> None:
+    def test_invalid_timeouts_are_rejected(self) -> None:
         for text in ("soon", "0", "-1", "inf", "nan", "1e9"):
             for path, body in (("/v1/completions", COMPLETION), ("/app/x", {})):
                 with self.subTest(text=text, path=path):
@@ -132,16 +132,16 @@
         self.assertEqual(getattr(call, "timeout_seconds", None), 2.5)
 
 
-class BoundsTest(ApiTestCase):
+class SizeLimitsTest(ApiTestCase):
     @gen_test
-    async def test_oversize_body_and_headers_are_refused(self) -> None:
+    async def test_oversized_body_and_headers_are_rejected(self) -> None:
         head = b"POST /app/x HTTP/1.1\r\nHost: n\r\n"
-        large_body = head + b"Content-Length: %d\r\n\r\n" % (MAXIMUM_BODY_BYTES + 1)
-        large_header = head + b"X: " + b"x" * MAXIMUM_HEADER_BYTES + b"\r\n\r\n"
-        for data, answer in ((large_body, b"HTTP/1.1 400"), (large_header, b"")):
+        large_body = head + b"Content-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1)
+        large_header = head + b"X: " + b"x" * MAX_HEADER_BYTES + b"\r\n\r\n"
+        for data, expected_start in ((large_body, b"HTTP/1.1 400"), (large_header, b"")):
             stream = await self.connect()
             await stream.write(data)
-            self.assertTrue((await stream.read_until_close()).startswith(answer))
+            self.assertTrue((await stream.read_until_close()).startswith(expected_start))
         self.assertEqual(self.node.calls, [])
 
     async def connect(self) -> IOStream:
@@ -158,7 +158,7 @@
         code: int = self.send(method, path, body, headers).code
         return code
 
-    def test_who_may_do_what(self) -> None:
+    def test_permissions_of_each_role(self) -> None:
         rollout = {"stream": "s", "step": 0, "model": "m", "prompts": []}
         callers = {Role.CALLER, Role.OPERATOR}
         trainers = {Role.TRAINER, Role.OPERATOR}
@@ -184,7 +184,7 @@
                     self.assertEqual(status < 300, role in allowed, f"{role} got {status}")
                     self.assertIn(status, (200, 202, 204, 403))
 
-    def test_wrong_credentials(self) -> None:
+    def test_invalid_credentials_are_rejected(self) -> None:
         secret = token_for(Role.OPERATOR)
         stored_hash = self.node.tokens[0].sha256
         for header in ("", secret, f"Basic {secret}", "Bearer ", f"Bearer {stored_hash}"):
@@ -193,13 +193,13 @@
                 self.assertEqual(response.code, 401)
                 self.assertEqual(response.headers["WWW-Authenticate"], "Bearer")
 
-    def test_a_node_without_configuration_says_so(self) -> None:
+    def test_node_without_configuration_is_not_ready(self) -> None:
         self.node.ready = False
         self.node.tokens = ()
         response = self.send("GET", "/v1/status", None, {"Authorization": "Bearer x"})
         self.assertEqual((response.code, self.error_of(response).code), (503, "not_ready"))
 
-    def test_logs_hold_no_token(self) -> None:
+    def test_tokens_are_not_logged(self) -> None:
         lines: list[str] = []
         sink = logger.add(lines.append, format=_format_record, level="DEBUG")
         self.addCleanup(logger.remove, sink)
@@ -218,21 +218,22 @@
     def events(self, response: HTTPResponse) -> list[str]:
         return [line[6:] for line in response.body.decode().splitlines() if line]
 
-    def test_whole_stream(self) -> None:
+    def test_stream_ends_with_done(self) -> None:
         events = self.events(self.complete(stream=True))
-        self.assertEqual(len(events), CHUNKS + 1)
+        self.assertEqual(len(events), CHUNK_COUNT + 1)
         self.assertEqual(events[-1], "[DONE]")
 
-    def test_answers_and_events_have_the_fields_of_openai(self) -> None:
+    def test_responses_and_events_have_the_fields_of_openai(self) -> None:
         chat = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
-        for path, body, whole_object, event_object in (
+        for path, body, response_object, event_object in (
             ("/v1/completions", COMPLETION, "text_completion", "text_completion"),
             ("/v1/chat/completions", chat, "chat.completion", "chat.completion.chunk"),
         ):
             with self.subTest(path):
-                whole = json.loads(self.send("POST", path, body).body)
+                complete_response = json.loads(self.send("POST", path, body).body)
                 self.assertEqual(
-                    (whole["object"], whole["created"]), (whole_object, CREATED_SECONDS)
+                    (complete_response["object"], complete_response["created"]),
+                    (response_object, CREATED_UNIX_SECONDS),
                 )
                 streamed = self.send("POST", path, body | {"stream": True})
                 events = [json.loads(event) for event in self.events(streamed)[:-1]]
@@ -240,15 +241,15 @@
                 self.assertEqual({event["id"] for event in events}, {events[0]["id"]})
                 if path == "/v1/completions":
                     texts = [event["choices"][0]["text"] for event in events]
-                    text = whole["choices"][0]["text"]
+                    text = complete_response["choices"][0]["text"]
                 else:
                     texts = [event["choices"][0]["delta"]["content"] for event in events]
-                    text = whole["choices"][0]["message"]["content"]
+                    text = complete_response["choices"][0]["message"]["content"]
                 self.assertEqual("".join(texts), text)
-                reason = whole["choices"][0]["finish_reason"]
+                reason = complete_response["choices"][0]["finish_reason"]
                 self.assertEqual(events[-1]["choices"][0]["finish_reason"], reason)
 
-    def test_error_before_the_first_chunk_has_its_own_status(self) -> None:
+    def test_error_before_the_first_chunk_sets_the_status(self) -> None:
         self.node.failure = OverloadedError("full", execution=Execution.NOT_RUN)
         self.assertEqual(self.complete(stream=True).code, 429)
 
@@ -266,7 +267,7 @@
                 self.assertEqual((error.code, error.run), (code, "may_have_run"))
 
     @gen_test
-    async def test_a_caller_that_goes_away_cancels_its_generation(self) -> None:
+    async def test_disconnect_cancels_the_generation(self) -> None:
         self.node.hangs = True
         for is_streamed in (True, False):
             with self.subTest(stream=is_streamed):
@@ -286,7 +287,7 @@
 class ProbeTest(ApiTestCase):
     authentication = True
 
-    def test_probes_need_no_token_and_mean_what_they_say(self) -> None:
+    def test_probes_need_no_token_and_report_the_state(self) -> None:
         cases = [
             (False, False, 503, "not ready: starting, revision 7, confirmed never"),
             (True, False, 200, "ready: current, revision 7, confirmed 0.5 s ago"),
--- a/tests/test_api_intake.py
+++ b/tests/test_api_intake.py
@@ -1,4 +1,4 @@
-"""Counting of requests in flight, and answers that pass through unchanged."""
+"""Requests in flight are counted, and application responses are not modified."""
 
 import asyncio
 import unittest
@@ -16,15 +16,15 @@
 from drumbay.identifiers import AttemptId, RequestId
 from drumbay.requests.records import ApplicationCall
 
-LARGE_ANSWER_BYTES = 8 << 20
-LIMIT_SECONDS = 20.0
+LARGE_RESPONSE_BYTES = 8 << 20
+TIMEOUT_SECONDS = 20.0
 
 
 class ApplicationOnlyNode:
-    """Answers application requests once it is released."""
+    """Serves application requests once ``released`` is set."""
 
     def __init__(self) -> None:
-        self.began = asyncio.Event()
+        self.started = asyncio.Event()
         self.released = asyncio.Event()
         self.body = b"answer"
 
@@ -32,7 +32,7 @@
         return RequestId("request-1")
 
     async def run_application(self, call: ApplicationCall) -> ApplicationAnswer:
-        self.began.set()
+        self.started.set()
         await self.released.wait()
         return ApplicationAnswer(
             attempt_id=AttemptId("attempt-1"), status=200, body=self.body, content_type="text/plain"
@@ -53,7 +53,7 @@
         self.addCleanup(self.client.close)
 
     async def wait_idle(self) -> None:
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while True:
                 if self.intake.in_flight == 0:
                     return
@@ -62,47 +62,47 @@
     async def send_raw(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(b"GET /app/articles/1 HTTP/1.1\r\nHost: node\r\n\r\n")
-        async with asyncio.timeout(LIMIT_SECONDS):
-            await self.node.began.wait()
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            await self.node.started.wait()
         return reader, writer
 
-    async def test_a_request_counts_until_its_answer_is_written(self) -> None:
+    async def test_request_is_in_flight_until_its_response_is_written(self) -> None:
         _, writer = await self.send_raw()
         self.assertEqual(self.intake.in_flight, 1)
         self.node.released.set()
         await self.wait_idle()
         writer.close()
 
-    async def test_an_answer_that_the_caller_has_not_taken_is_in_flight(self) -> None:
-        self.node.body = bytes(LARGE_ANSWER_BYTES)
+    async def test_unread_response_is_in_flight(self) -> None:
+        self.node.body = bytes(LARGE_RESPONSE_BYTES)
         self.node.released.set()
         reader, writer = await self.send_raw()
         await reader.readline()
         self.assertEqual(self.intake.in_flight, 1)
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(LARGE_ANSWER_BYTES)
+            await reader.readexactly(LARGE_RESPONSE_BYTES)
         await self.wait_idle()
         writer.close()
 
-    async def test_a_caller_that_goes_away_does_not_count_for_ever(self) -> None:
-        for is_answered in (False, True):
-            with self.subTest(is_answered=is_answered):
-                self.node.body = bytes(LARGE_ANSWER_BYTES)
-                self.node.began.clear()
+    async def test_disconnect_ends_the_request_in_flight(self) -> None:
+        for has_response in (False, True):
+            with self.subTest(has_response=has_response):
+                self.node.body = bytes(LARGE_RESPONSE_BYTES)
+                self.node.started.clear()
                 self.node.released = asyncio.Event()
-                if is_answered:
+                if has_response:
                     self.node.released.set()
                 reader, writer = await self.send_raw()
-                if is_answered:
+                if has_response:
                     await reader.readline()
                 writer.transport.abort()
                 self.node.released.set()
                 await self.wait_idle()
 
-    async def test_an_answer_is_not_replaced_by_not_modified(self) -> None:
+    async def test_response_is_not_replaced_by_not_modified(self) -> None:
         self.node.released.set()
         url = f"http://127.0.0.1:{self.port}/app/articles/1"
         request = HTTPRequest(url, headers={"If-None-Match": "*"})
-        answer = await self.client.fetch(request, raise_error=False)
-        self.assertEqual((answer.code, answer.body), (200, b"answer"))
+        response = await self.client.fetch(request, raise_error=False)
+        self.assertEqual((response.code, response.body), (200, b"answer"))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -28,7 +28,7 @@
 from drumbay.exceptions import Execution
 from drumbay.requests.errors import ConflictingWriteError
 from drumbay.resources.schema import AccessToken
-from tests.api_node import StandInNode
+from tests.api_node import FakeNode
 from tests.documents import sections
 
 DRAINS = "kind: Drain\nname: one\nselector: {}\n---\nkind: Drain\nname: two\nselector: {}\n"
@@ -119,7 +119,7 @@
         self.file.write_text(DRAINS)
 
     async def asyncSetUp(self) -> None:
-        self.node = StandInNode()
+        self.node = FakeNode()
         socket, port = bind_unused_port()
         server = HTTPServer(make_application(self.node, authentication=False))
         server.add_socket(socket)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -20,7 +20,7 @@
 from drumbay.settings import NodeSettings
 from drumbay.simulation.runner import run_scenario
 from drumbay.standins.faults import FaultCommand, FaultKind
-from tests.api_node import StandInNode
+from tests.api_node import FakeNode
 from tests.requests_world import MODEL, RequestsWorld, RouteLimits
 from tests.simulated_runs import small_scenario
 
@@ -37,7 +37,7 @@
     return samples
 
 
-class MeasuredNode(StandInNode):
+class MeasuredNode(FakeNode):
     """Serves requests with the real services and emulated backends."""
 
     def __init__(self) -> None:
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -24,7 +24,7 @@
 from drumbay.clock import SystemClock
 from drumbay.node.server import CertificateError, NodeHttpServer
 from drumbay.settings import HttpSettings, SettingsError, load_settings
-from tests.api_node import StandInNode
+from tests.api_node import FakeNode
 from tests.test_settings import VALID
 
 app = make_app([])
@@ -70,7 +70,7 @@
         """Serve a stand-in node with a certificate; return its base URL."""
         socket, port = bind_unused_port()
         socket.close()
-        server = NodeHttpServer(StandInNode(), self.settings(name, port), SystemClock())
+        server = NodeHttpServer(FakeNode(), self.settings(name, port), SystemClock())
         server.start()
         self.addCleanup(server.stop_listening)
         return f"https://127.0.0.1:{port}"
@@ -158,5 +158,5 @@
         (self.folder / "mixed.crt").write_bytes((self.folder / "node.crt").read_bytes())
         (self.folder / "mixed.key").write_bytes((self.folder / "elsewhere.key").read_bytes())
         with self.assertRaises(CertificateError) as caught:
-            NodeHttpServer(StandInNode(), self.settings("mixed", 1), SystemClock())
+            NodeHttpServer(FakeNode(), self.settings("mixed", 1), SystemClock())
         self.assertIsInstance(caught.exception.__cause__, ssl.SSLError)
