--- a/drumbay/cli/acceptance.py
+++ b/drumbay/cli/acceptance.py
@@ -1,4 +1,4 @@
-"""``drumbay acceptance``: drive a deployment of emulators and check the result."""
+"""``drumbay acceptance``: run a workload on a deployment of emulators and verify it."""
 
 import asyncio
 from typing import Annotated
@@ -50,9 +50,9 @@
         logs = await fetch_logs(caller, plan)
     finally:
         caller.close()
-    findings = verify(plan, result, logs)
-    _print_summary(plan, result, logs, findings)
-    if findings:
+    mismatches = verify(plan, result, logs)
+    _print_summary(plan, result, logs, mismatches)
+    if mismatches:
         raise typer.Exit(ExitCode.FAILED)
 
 
@@ -60,34 +60,36 @@
     plan: AcceptancePlan,
     result: AcceptanceResult,
     logs: DeploymentLogs,
-    findings: tuple[Disagreement, ...],
+    mismatches: tuple[Disagreement, ...],
 ) -> None:
     answered = sum(1 for live in result.live if not live.failure)
-    refused = sum(1 for live in result.live if live.refusals and not live.failure)
+    rejected = sum(1 for live in result.live if live.refusals and not live.failure)
     replayed = sum(max(0, len(booking.answers) - 1) for booking in result.bookings)
     versions = sorted({version for entry in logs.consumed for version in entry.weight_versions})
     lines = [
         f"stream {plan.stream}: {plan.steps} steps, {len(logs.consumed)} samples consumed, "
         f"versions {versions}",
         f"live requests: {answered} of {len(result.live)} answered whole,"
-        f" {refused} of them after a refusal by the node that stopped",
+        f" {rejected} of them after a refusal by the node that stopped",
         f"lookups: {result.lookups_answered} answered, {result.lookups_failed} failed",
         f"bookings: {len(result.bookings)} keys, {len(logs.bookings)} executions, "
         f"{replayed} replayed answers",
-        f"disagreements with the execution logs: {len(findings)}",
+        f"disagreements with the execution logs: {len(mismatches)}",
     ]
-    lines += [f"  {finding.promise} {finding.subject}: {finding.detail}" for finding in findings]
-    example = _example_of(result, len(plan.nodes))
+    lines += [
+        f"  {mismatch.promise} {mismatch.subject}: {mismatch.detail}" for mismatch in mismatches
+    ]
+    example = _example_request_id(result, len(plan.nodes))
     if example is not None:
         lines.append(f"example: {example}")
     typer.echo("\n".join(lines))
 
 
-def _example_of(result: AcceptanceResult, node_count: int) -> str | None:
-    """Return a request id of a node that was not stopped: the last node may have been."""
-    holders = sorted({node_of(live.request_id) or "" for live in result.live})
-    kept = holders[:-1] if len(holders) == node_count else holders
+def _example_request_id(result: AcceptanceResult, node_count: int) -> str | None:
+    """Return a request id of a node that still runs; the last node may have been stopped."""
+    node_ids = sorted({node_of(live.request_id) or "" for live in result.live})
+    running_node_ids = node_ids[:-1] if len(node_ids) == node_count else node_ids
     for live in result.live:
-        if node_of(live.request_id) in kept:
+        if node_of(live.request_id) in running_node_ids:
             return live.request_id
     return None
--- a/drumbay/cli/bench.py
+++ b/drumbay/cli/bench.py
@@ -1,4 +1,4 @@
-"""``drumbay bench``: measurements of this program on this machine."""
+"""``drumbay bench``: benchmarks of this program."""
 
 import sys
 from typing import Annotated
@@ -35,7 +35,7 @@
 
     Example: drumbay bench rollout
     """
-    # NOTE: the model needs simpy, which is installed for simulations only.
+    # Imported here, since it needs simpy, an optional dependency.
     from drumbay.bench.rollout import format_report, run_rollout_bench
 
     report = run_rollout_bench(deployment_names=deployment or ())
--- a/drumbay/cli/bench_forwarding.py
+++ b/drumbay/cli/bench_forwarding.py
@@ -1,4 +1,4 @@
-"""``drumbay bench forwarding``: what a node adds to a request."""
+"""``drumbay bench forwarding``: overhead that a node adds to a request."""
 
 from typing import Annotated
 
--- a/drumbay/cli/bench_sharing.py
+++ b/drumbay/cli/bench_sharing.py
@@ -1,4 +1,4 @@
-"""``drumbay bench sharing``: live traffic beside a trainer, in virtual time."""
+"""``drumbay bench sharing``: engines shared by live traffic and a trainer, in virtual time."""
 
 from typing import Annotated
 
@@ -23,7 +23,7 @@
     Example: drumbay bench sharing --deployment bitacora-andina --variant all
     """
     logger.remove()
-    # NOTE: imported here, since a node runs without the libraries of simulations.
+    # Imported here, since it needs the optional dependencies of simulations.
     from drumbay.bench.sharing import (
         DEFAULT_SEEDS,
         DEPLOYMENT_NAMES,
--- a/drumbay/cli/bench_transport.py
+++ b/drumbay/cli/bench_transport.py
@@ -1,4 +1,4 @@
-"""``drumbay bench transport``: calls between two nodes."""
+"""``drumbay bench transport``: latency and throughput of calls between two nodes."""
 
 from typing import Annotated
 
--- a/drumbay/cli/client.py
+++ b/drumbay/cli/client.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP client of one node, for the commands of operators."""
+"""Blocking HTTP client of one node, for the operator commands."""
 
 import socket
 import ssl
@@ -25,8 +25,8 @@
 
 REQUEST_TIMEOUT_SECONDS = 30.0
 
-NOT_SENT: tuple[type[OSError], ...] = (ConnectionRefusedError, socket.gaierror, ssl.SSLError)
-"""Failures before the first byte of a request; any other may come after the last one."""
+NOT_SENT_ERRORS: tuple[type[OSError], ...] = (ConnectionRefusedError, socket.gaierror, ssl.SSLError)
+"""Errors that occur before any byte is sent; others may occur after the whole request."""
 
 RecordT = TypeVar("RecordT")
 
@@ -37,8 +37,8 @@
     Args:
         server: Base URL of the node.
         token: Bearer token, if the node requires one.
-        certificate_authority_file: PEM certificates that sign the node's; the system's are
-            used if ``None``.
+        certificate_authority_file: PEM certificates of the authorities to trust; ``None`` for
+            those of the system.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         token: str | None = None,
         certificate_authority_file: Path | None = None,
     ) -> None:
-        """Use the node at ``server``."""
+        """Create a client; each operation opens its own connection."""
         self._server = server.rstrip("/")
         self._token = token
         self._certificate_authority_file = certificate_authority_file
 
     def resources(self, kind: str | None = None, name: str | None = None) -> ResourceListBody:
-        """Return the resources in force at the node."""
+        """Return the resources of the node's current configuration."""
         parts = [quote(part, safe="") for part in (kind, name) if part]
         path = "/".join(["/v1/resources", *parts])
         return self._decode(self._fetch("GET", path), ResourceListBody)
@@ -62,7 +62,7 @@
         """Create or change a resource."""
         kind = type(body.resource).__name__
         path = f"/v1/resources/{kind}/{quote(body.resource.name, safe='')}"
-        return self._change("PUT", path, body.operation_id, msgspec.json.encode(body))
+        return self._send_change("PUT", path, body.operation_id, msgspec.json.encode(body))
 
     def delete(
         self, kind: str, name: str, operation_id: str, expected_revision: Revision | None
@@ -72,10 +72,10 @@
         query = f"?operation_id={quote(operation_id, safe='')}"
         if expected_revision is not None:
             query += f"&expected_revision={expected_revision}"
-        return self._change("DELETE", path + query, operation_id)
+        return self._send_change("DELETE", path + query, operation_id)
 
     def operation(self, operation_id: str) -> ApplyOutcomeBody:
-        """Return what became of an earlier change."""
+        """Return the outcome of an earlier change."""
         path = f"/v1/operations/{quote(operation_id, safe='')}"
         return self._decode(self._fetch("GET", path), ApplyOutcomeBody)
 
@@ -88,14 +88,14 @@
         """Return the node's state."""
         return self._decode(self._fetch("GET", "/v1/status"), StatusBody)
 
-    def _change(
+    def _send_change(
         self, method: str, path: str, operation_id: str, body: bytes | None = None
     ) -> ApplyOutcomeBody:
         """Send a change.
 
         Raises:
-            OutcomeUnknownError: It was sent, and its outcome is not known.
-            ServerRefusedError: It was not made.
+            OutcomeUnknownError: It was sent, but its outcome is unknown.
+            ServerRefusedError: The node rejected it.
             ServerUnreachableError: It was not sent.
         """
         try:
@@ -121,9 +121,9 @@
         try:
             return client.fetch(request)
         except HTTPClientError as error:
-            raise _refusal(error) from error
+            raise _to_client_error(error) from error
         except OSError as error:
-            may_have_run = not isinstance(error, NOT_SENT)
+            may_have_run = not isinstance(error, NOT_SENT_ERRORS)
             detail = f"{self._server}: {error}"
             raise ServerUnreachableError(detail, may_have_run=may_have_run) from error
         finally:
@@ -133,7 +133,7 @@
         return msgspec.json.decode(response.body, type=record_type)
 
 
-def _refusal(error: HTTPClientError) -> ServerRefusedError | ServerUnreachableError:
+def _to_client_error(error: HTTPClientError) -> ServerRefusedError | ServerUnreachableError:
     if error.response is None or not error.response.body:
         return ServerUnreachableError(str(error), may_have_run=_may_have_run(error))
     try:
@@ -145,8 +145,8 @@
 
 
 def _may_have_run(error: HTTPClientError) -> bool:
-    """Return whether the request may have been sent before the exchange failed."""
+    """Return whether the request may have been sent before the error."""
     if isinstance(error, HTTPTimeoutError):
-        # NOTE: tornado tells the phase of a timeout by its message only.
+        # Tornado reports the phase of a timeout only in its message.
         return "connecting" not in str(error)
     return isinstance(error, HTTPStreamClosedError)
--- a/drumbay/cli/errors.py
+++ b/drumbay/cli/errors.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line, and how failures are shown."""
+"""Exit codes and error output of the command line."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -21,7 +21,7 @@
 
 
 class ServerUnreachableError(DrumbayError):
-    """The node named by ``--server`` gave no answer.
+    """The node named by ``--server`` did not respond.
 
     Attributes:
         may_have_run: Whether the request may have been sent.
@@ -36,11 +36,11 @@
 
 
 class ServerRefusedError(DrumbayError):
-    """The node refused the operation.
+    """The node rejected the operation.
 
     Attributes:
-        remote_code: Code of the failure at the node.
-        may_have_run: Whether the operation may have been carried out.
+        remote_code: Error code that the node returned.
+        may_have_run: Whether the operation may have been executed.
     """
 
     code = "server_refused"
@@ -53,18 +53,18 @@
 
 
 class OutcomeUnknownError(DrumbayError):
-    """A change was sent, and no answer came back: it may be in force."""
+    """A change was sent but not answered, so it may have been applied."""
 
     code = "outcome_unknown"
 
     def __init__(self, operation_id: str, detail: str) -> None:
-        """Name the operation by which the outcome can be learned."""
+        """Include the operation id with which the outcome can be queried."""
         super().__init__(f"{detail}; ask with: drumbay operation {operation_id}")
         self.operation_id = operation_id
 
 
-def exit_code_of(error: DrumbayError) -> ExitCode:
-    """Return the exit code of a failure."""
+def exit_code_for(error: DrumbayError) -> ExitCode:
+    """Return the exit code for an error."""
     if isinstance(error, ConfigurationError):
         return ExitCode.INVALID_INPUT
     if isinstance(error, ServerRefusedError):
@@ -78,7 +78,7 @@
 
 @contextmanager
 def typed_exit(echo: Callable[[str], None] | None = None) -> Iterator[None]:
-    """Show a failure of the block as one line and end with its exit code."""
+    """Print an error of the block as one line and exit with its code."""
     try:
         yield
     except DrumbayError as error:
@@ -87,4 +87,4 @@
             typer.echo(line, err=True)
         else:
             echo(line)
-        raise typer.Exit(exit_code_of(error)) from error
+        raise typer.Exit(exit_code_for(error)) from error
--- a/drumbay/cli/explain.py
+++ b/drumbay/cli/explain.py
@@ -1,4 +1,4 @@
-"""``drumbay explain``: why a request, a sample or a back end was treated as it was."""
+"""``drumbay explain``: the recorded decisions about a request, a sample or a backend."""
 
 from datetime import UTC, datetime
 from typing import Annotated
@@ -59,16 +59,16 @@
     if record.detail:
         typer.echo(f"  {record.detail}")
     for candidate in record.candidates:
-        typer.echo(f"  {_candidate_line(candidate)}")
+        typer.echo(f"  {_format_candidate(candidate)}")
 
 
-def _candidate_line(candidate: CandidateVerdict) -> str:
+def _format_candidate(candidate: CandidateVerdict) -> str:
     verdict = "chosen" if candidate.rejection is None else f"not taken: {candidate.rejection}"
-    parts = [candidate.backend_id, verdict]
+    fields = [candidate.backend_id, verdict]
     if candidate.cost is not None:
-        parts.append(f"cost {candidate.cost:.2f}")
+        fields.append(f"cost {candidate.cost:.2f}")
     if candidate.weight_version is not None:
-        parts.append(f"version {candidate.weight_version}")
+        fields.append(f"version {candidate.weight_version}")
     if candidate.outstanding is not None:
-        parts.append(f"outstanding {candidate.outstanding}")
-    return ", ".join(parts)
+        fields.append(f"outstanding {candidate.outstanding}")
+    return ", ".join(fields)
--- a/drumbay/cli/explain_logs.py
+++ b/drumbay/cli/explain_logs.py
@@ -1,4 +1,4 @@
-"""``drumbay explain-logs``: what log files tell about a request, batch job or item."""
+"""``drumbay explain-logs``: history of a request, batch job or item from log files."""
 
 from datetime import UTC, datetime
 from pathlib import Path
@@ -27,10 +27,10 @@
         raise typer.Exit(ExitCode.FAILED)
     typer.echo(story.cause)
     for line in story.lines:
-        typer.echo(_shown(line, subject_id))
+        typer.echo(_format_line(line, subject_id))
 
 
-def _shown(line: LogLine, subject_id: str) -> str:
+def _format_line(line: LogLine, subject_id: str) -> str:
     time = datetime.fromtimestamp(line.at, UTC).isoformat(timespec="milliseconds")
     fields = " ".join(
         f"{name}={value}"
--- a/drumbay/cli/explain_steps.py
+++ b/drumbay/cli/explain_steps.py
@@ -1,4 +1,4 @@
-"""``drumbay explain-steps``: where the time of each training step went, from log files."""
+"""``drumbay explain-steps``: time breakdown of each training step, from log files."""
 
 from datetime import UTC, datetime
 from pathlib import Path
@@ -29,25 +29,26 @@
     """
     typer.echo(HEADER)
     for account in account_steps(read_lines(paths)):
-        typer.echo(_row(account))
+        typer.echo(_format_row(account))
 
 
-def _row(account: StepAccount) -> str:
+def _format_row(account: StepAccount) -> str:
     accepted = datetime.fromtimestamp(account.accepted_at, UTC).strftime("%H:%M:%S.%f")[:-3]
     row = (
         f"{accepted} {account.model[:10]:10} {account.step:4} {account.takeovers:9}"
-        f" {account.late_starts:11} {_seconds(account.whole_after)}"
-        f" {_seconds(account.ended_after)} |"
+        f" {account.late_starts:11} {_format_seconds(account.whole_after)}"
+        f" {_format_seconds(account.ended_after)} |"
     )
     last = account.last
     if last is None:
         return f"{row} none made it whole"
     return (
-        f"{row} {last.item[:16]:16} {_seconds(last.started_after)} {_seconds(last.text_after)}"
-        f" {_seconds(last.score_seconds)} {_seconds(last.listed_after)} {last.runs:4}"
+        f"{row} {last.item[:16]:16} {_format_seconds(last.started_after)}"
+        f" {_format_seconds(last.text_after)}"
+        f" {_format_seconds(last.score_seconds)} {_format_seconds(last.listed_after)} {last.runs:4}"
         f" {','.join(last.interruptions)}"
     )
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return "     -" if value is None else f"{value:6.2f}"
--- a/drumbay/cli/main.py
+++ b/drumbay/cli/main.py
@@ -1,7 +1,7 @@
 """Entry point of the command line.
 
-A command's module is imported when the command is called: a node then holds no code of the
-emulators, the simulation and the benches in memory, and needs none of their libraries.
+A command's module is imported only when the command runs, so that a node neither loads the
+emulators, simulations and benchmarks nor needs their dependencies.
 """
 
 import logging
@@ -19,7 +19,7 @@
 
     Attributes:
         module: Module to import.
-        attribute: A function, or a ``typer.Typer`` of more commands.
+        attribute: A command function, or a ``typer.Typer`` with subcommands.
     """
 
     module: str
@@ -49,7 +49,7 @@
 
 def main() -> None:
     """Run training rollouts beside live traffic."""
-    # NOTE: commands show a failed connection as their own error; a node logs it as an event.
+    # Silences library loggers: commands print errors themselves, and nodes log events.
     logging.basicConfig(handlers=[logging.NullHandler()])
 
 
@@ -62,10 +62,10 @@
 
 
 def make_app(arguments: list[str]) -> typer.Typer:
-    """Return the command line for some arguments.
+    """Return the command line application.
 
-    It has the one command that the first argument names, or else all commands, for the help
-    text and for the message about an unknown one.
+    It contains only the command that the first argument names; if there is no such command, all
+    of them, for the help text and the error message.
     """
     app = typer.Typer(
         name="drumbay",
@@ -74,19 +74,19 @@
     )
     app.callback()(main)
     app.command()(version)
-    called = arguments[0] if arguments else ""
-    for name in [called] if called in COMMANDS else COMMANDS:
+    requested = arguments[0] if arguments else ""
+    for name in [requested] if requested in COMMANDS else COMMANDS:
         _add_command(app, name)
     return app
 
 
 def _add_command(app: typer.Typer, name: str) -> None:
-    source = COMMANDS[name]
-    target = getattr(import_module(source.module), source.attribute)
-    if isinstance(target, typer.Typer):
-        app.add_typer(target, name=name)
+    command_source = COMMANDS[name]
+    command = getattr(import_module(command_source.module), command_source.attribute)
+    if isinstance(command, typer.Typer):
+        app.add_typer(command, name=name)
     else:
-        app.command(name=name)(target)
+        app.command(name=name)(command)
 
 
 def run() -> None:
--- a/drumbay/cli/operators.py
+++ b/drumbay/cli/operators.py
@@ -1,4 +1,4 @@
-"""Commands of operators: apply, get, describe, delete, operation, status."""
+"""Operator commands: apply, get, describe, delete, operation, status."""
 
 import secrets
 from pathlib import Path
@@ -69,7 +69,7 @@
                 outcome = client.apply(body)
                 changes.append(Change(kind=kind, name=resource.name, outcome=outcome))
         finally:
-            # NOTE: after a failure, the changes before it are in force.
+            # After an error, the changes before it have been applied.
             _print_changes(changes, output)
         _exit_if_unknown(changes)
 
@@ -150,7 +150,7 @@
     with typed_exit():
         outcome = NodeClient(server, token, ca_file).operation(operation_id)
         if output is OutputFormat.TABLE:
-            typer.echo(_outcome_line("operation", outcome))
+            typer.echo(_format_outcome("operation", outcome))
         else:
             print_record(outcome, output)
         if outcome.outcome == UNKNOWN_OUTCOME:
@@ -204,20 +204,20 @@
 
 
 def _print_changes(changes: list[Change], output: OutputFormat) -> None:
-    """Print what became of changes."""
+    """Print the outcomes of changes."""
     if output is not OutputFormat.TABLE:
         print_record(ChangeList(changes=tuple(changes)), output)
         return
     for change in changes:
-        typer.echo(_outcome_line(f"{change.kind}/{change.name}", change.outcome))
+        typer.echo(_format_outcome(f"{change.kind}/{change.name}", change.outcome))
 
 
-def _outcome_line(label: str, outcome: ApplyOutcomeBody) -> str:
+def _format_outcome(label: str, outcome: ApplyOutcomeBody) -> str:
     revision = "-" if outcome.mod_revision is None else str(outcome.mod_revision)
     return f"{label} {outcome.outcome} revision {revision} id {outcome.operation_id}"
 
 
 def _exit_if_unknown(changes: list[Change]) -> None:
-    """End with the exit code of unknown outcomes if there is one among the changes."""
+    """Exit with ``UNKNOWN_OUTCOME`` if the outcome of any change is unknown."""
     if any(change.outcome.outcome == UNKNOWN_OUTCOME for change in changes):
         raise typer.Exit(ExitCode.UNKNOWN_OUTCOME)
--- a/drumbay/cli/output.py
+++ b/drumbay/cli/output.py
@@ -1,4 +1,4 @@
-"""Output formats of the command line: tables for people, JSON and YAML for programs."""
+"""Output formats of the command line: tables, JSON and YAML."""
 
 from collections.abc import Sequence
 from enum import StrEnum
--- a/drumbay/cli/report.py
+++ b/drumbay/cli/report.py
@@ -1,4 +1,4 @@
-"""``drumbay report``: figures of simulations and benches as one HTML file."""
+"""``drumbay report``: results of simulations and benchmarks as one HTML file."""
 
 from pathlib import Path
 from typing import Annotated
@@ -26,7 +26,7 @@
     """
     with typed_exit():
         try:
-            # NOTE: imported here, since a node runs without the libraries of the extra.
+            # Imported here, since it needs the optional dependencies of simulations.
             from drumbay.report.command import ReportOptions, write_report
         except ModuleNotFoundError as error:
             raise MissingExtraError(f"install drumbay[simulation]: {error}") from error
--- a/drumbay/cli/schema.py
+++ b/drumbay/cli/schema.py
@@ -1,4 +1,4 @@
-"""``drumbay schema``: JSON Schema of everything that is read or printed."""
+"""``drumbay schema``: JSON Schemas of resources, settings, HTTP bodies and output."""
 
 from enum import StrEnum
 from typing import Annotated, Any
@@ -91,7 +91,7 @@
 
 
 def schema_of(subject: SchemaSubject) -> dict[str, Any]:
-    """Return one schema document that admits any of the subject's records."""
+    """Return one schema document that accepts any of the subject's records."""
     references, definitions = msgspec.json.schema_components(
         _TYPES[subject], ref_template=REFERENCE_TEMPLATE
     )
--- a/drumbay/cli/simulate.py
+++ b/drumbay/cli/simulate.py
@@ -1,4 +1,4 @@
-"""``drumbay simulate``: run scenarios from seeds and check every promise."""
+"""``drumbay simulate``: run seeded scenarios and check their invariants."""
 
 from pathlib import Path
 from typing import Annotated
@@ -10,7 +10,7 @@
 
 
 class MissingExtraError(ConfigurationError):
-    """The command needs libraries of an optional extra."""
+    """The command needs dependencies of an optional extra."""
 
     code = "missing_extra"
 
@@ -46,7 +46,7 @@
     """
     with typed_exit():
         try:
-            # NOTE: imported here, since a node runs without the libraries of the extra.
+            # Imported here, since it needs the optional dependencies of simulations.
             from drumbay.simulation import command
         except ModuleNotFoundError as error:
             raise MissingExtraError(f"install drumbay[simulation]: {error}") from error
--- a/drumbay/cli/standin.py
+++ b/drumbay/cli/standin.py
@@ -1,4 +1,4 @@
-"""``drumbay standin``: emulators of the systems around drumbay, one process each."""
+"""``drumbay standin``: emulators of external systems, one process each."""
 
 import asyncio
 import random
@@ -41,10 +41,10 @@
 
 
 class Server(Protocol):
-    """What the commands need of a server."""
+    """A server that a command can run."""
 
     def start(self) -> None:
-        """Bind the port and serve."""
+        """Bind the port and start serving."""
         ...
 
     async def stop(self) -> None:
@@ -52,19 +52,19 @@
         ...
 
 
-async def _until_told_to_end() -> None:
+async def _wait_for_stop_signal() -> None:
     """Wait for SIGINT or SIGTERM."""
-    ended = asyncio.Event()
+    stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, ended.set)
-    await ended.wait()
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        loop.add_signal_handler(signal_number, stopped.set)
+    await stopped.wait()
 
 
-async def _serve(server: Server) -> None:
-    """Serve until the process is told to end."""
+async def _serve_until_stopped(server: Server) -> None:
+    """Serve until SIGINT or SIGTERM."""
     server.start()
-    await _until_told_to_end()
+    await _wait_for_stop_signal()
     await server.stop()
 
 
@@ -102,7 +102,7 @@
     async def run() -> None:
         clock = SystemClock()
         connector = HttpConnector(max_connections=8)
-        source = None if weight_store is None else HttpWeightStore(connector, weight_store)
+        weight_source = None if weight_store is None else HttpWeightStore(connector, weight_store)
         parameters = EngineParameters(
             max_batch=max_batch,
             max_waiting=max_waiting,
@@ -110,16 +110,16 @@
             chunk_tokens=chunk_tokens,
             rate=BatchRate(step_seconds=step_seconds, step_seconds_per_sequence=sequence_seconds),
         )
-        emulated = EngineModel(
+        emulator = EngineModel(
             clock,
             BackendId(name),
             model,
             WeightVersion(version),
             random.Random(seed),
             parameters,
-            source,
+            weight_source,
         )
-        await _serve(EngineServer(emulated, clock, host=host, port=port))
+        await _serve_until_stopped(EngineServer(emulator, clock, host=host, port=port))
         connector.close()
 
     asyncio.run(run())
@@ -139,8 +139,8 @@
     async def run() -> None:
         clock = SystemClock()
         parameters = ServiceParameters(service_seconds=service_seconds, max_running=max_running)
-        emulated = ApplicationModel(clock, BackendId(name), random.Random(seed), parameters)
-        await _serve(ServiceServer(emulated, clock, host=host, port=port))
+        emulator = ApplicationModel(clock, BackendId(name), random.Random(seed), parameters)
+        await _serve_until_stopped(ServiceServer(emulator, clock, host=host, port=port))
 
     asyncio.run(run())
 
@@ -158,8 +158,8 @@
     async def run() -> None:
         clock = SystemClock()
         parameters = ServiceParameters(service_seconds=service_seconds)
-        emulated = ScoringModel(clock, BackendId(name), random.Random(seed), parameters)
-        await _serve(ServiceServer(emulated, clock, host=host, port=port))
+        emulator = ScoringModel(clock, BackendId(name), random.Random(seed), parameters)
+        await _serve_until_stopped(ServiceServer(emulator, clock, host=host, port=port))
 
     asyncio.run(run())
 
@@ -188,10 +188,10 @@
             version_bytes=int(version_megabytes * 1e6),
             part_bytes=1_000_000,
         )
-        emulated = WeightStoreModel(clock, name, parameters)
+        emulator = WeightStoreModel(clock, name, parameters)
         for model_name in model or []:
-            emulated.publish(model_name, WeightVersion(1))
-        await _serve(WeightStoreServer(emulated, clock, host=host, port=port))
+            emulator.publish(model_name, WeightVersion(1))
+        await _serve_until_stopped(WeightStoreServer(emulator, clock, host=host, port=port))
 
     asyncio.run(run())
 
@@ -222,7 +222,7 @@
     async def run() -> None:
         clock = SystemClock()
         connector = HttpConnector(max_connections=8)
-        emulated = TrainerModel(
+        emulator = TrainerModel(
             clock,
             name,
             model,
@@ -236,8 +236,8 @@
                 max_staleness_versions=max_staleness,
             ),
         )
-        process = TrainerProcess(emulated, steps)
-        await _serve(TrainerServer(process, clock, host=host, port=port))
+        process = TrainerProcess(emulator, steps)
+        await _serve_until_stopped(TrainerServer(process, clock, host=host, port=port))
         connector.close()
 
     asyncio.run(run())
@@ -253,8 +253,8 @@
 
     async def run() -> None:
         clock = SystemClock()
-        emulated = MachineListModel(clock, lag_seconds)
-        await _serve(MachineListServer(emulated, clock, host=host, port=port))
+        emulator = MachineListModel(clock, lag_seconds)
+        await _serve_until_stopped(MachineListServer(emulator, clock, host=host, port=port))
 
     asyncio.run(run())
 
@@ -267,9 +267,9 @@
     """Emulate the key-value service (etcd v3 JSON gateway)."""
 
     async def run() -> None:
-        serving = asyncio.ensure_future(serve_key_value_standin(host, port))
-        await _until_told_to_end()
-        serving.cancel()
-        await asyncio.gather(serving, return_exceptions=True)
+        server_task = asyncio.ensure_future(serve_key_value_standin(host, port))
+        await _wait_for_stop_signal()
+        server_task.cancel()
+        await asyncio.gather(server_task, return_exceptions=True)
 
     asyncio.run(run())
--- a/drumbay/cli/token.py
+++ b/drumbay/cli/token.py
@@ -1,4 +1,4 @@
-"""``drumbay token``: make a bearer token and the resource that admits it."""
+"""``drumbay token``: create a bearer token and its AccessToken resource."""
 
 import hashlib
 import secrets
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: help, exit codes, output as data, schemas."""
+"""The command line: help, exit codes, structured output, schemas."""
 
 import asyncio
 import tempfile
@@ -38,14 +38,14 @@
 
 
 def commands(group: typer.Typer, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
-    """Yield the path of every command below a group."""
+    """Yield the path of every command in a group, recursively."""
     for command in group.registered_commands:
         name = command.name or str(getattr(command.callback, "__name__", ""))
         yield (*path, name.replace("_", "-"))
     for subgroup in group.registered_groups:
-        inner = subgroup.typer_instance
-        if inner is not None:
-            yield from commands(inner, (*path, str(inner.info.name)))
+        typer_group = subgroup.typer_instance
+        if typer_group is not None:
+            yield from commands(typer_group, (*path, str(typer_group.info.name)))
 
 
 class HelpTest(unittest.TestCase):
@@ -67,7 +67,7 @@
             names = [entry["$ref"].rpartition("/")[2] for entry in document["anyOf"]]
             self.assertLessEqual(set(names), set(document["$defs"]))
 
-    def test_token_prints_the_secret_apart_from_the_resource(self) -> None:
+    def test_token_prints_resource_to_stdout_and_secret_to_stderr(self) -> None:
         result = CliRunner().invoke(app, ["token", "counter", "--role", "trainer"])
         resource = msgspec.yaml.decode(result.stdout, type=AccessToken)
         self.assertEqual(resource.role, "trainer")
@@ -75,7 +75,7 @@
 
 
 class ExitCodeTest(unittest.TestCase):
-    def test_the_document_lists_every_code(self) -> None:
+    def test_exit_codes_are_documented(self) -> None:
         cells = sections("OPERATIONS.md")["Exit codes"].first_cells()
         self.assertEqual(cells, [str(code.value) for code in ExitCode])
 
@@ -97,14 +97,14 @@
                     result = CliRunner().invoke(app, arguments)
                     self.assertEqual(result.exit_code, ExitCode.INVALID_INPUT, result.output)
 
-    def test_unreachable(self) -> None:
+    def test_unreachable_server(self) -> None:
         result = CliRunner().invoke(app, ["status", "--server", UNREACHABLE_SERVER])
         self.assertEqual(result.exit_code, ExitCode.UNREACHABLE)
         self.assertTrue(result.stderr.startswith("error: server_unreachable: "))
 
 
 class SilentServer(TCPServer):
-    """Reads a request and closes the connection without an answer."""
+    """Reads a request and closes the connection without a response."""
 
     async def handle_stream(self, stream: IOStream, address: object) -> None:
         await stream.read_until(b"\r\n\r\n")
@@ -132,7 +132,7 @@
         result = await asyncio.to_thread(CliRunner().invoke, app, line)
         return result.exit_code, result.stdout
 
-    async def test_output_as_data(self) -> None:
+    async def test_structured_output(self) -> None:
         cases: list[tuple[tuple[str, ...], type[msgspec.Struct], ExitCode]] = [
             (("apply", "-f", str(self.file)), ChangeList, ExitCode.SUCCESS),
             (("delete", "Drain", "one"), ChangeList, ExitCode.UNKNOWN_OUTCOME),
@@ -153,17 +153,17 @@
                 if record is not ChangeList:
                     self.assertEqual(from_json, from_yaml)
 
-    async def test_refused_change(self) -> None:
+    async def test_rejected_change(self) -> None:
         self.node.failure = ConflictingWriteError("seen 3, found 4", execution=Execution.NOT_RUN)
         code, _ = await self.run_command("apply", "-f", str(self.file))
         self.assertEqual(code, ExitCode.REFUSED)
         self.assertEqual(len(self.node.calls), 1)
 
-    async def test_change_without_an_answer_is_unknown(self) -> None:
+    async def test_change_without_a_response_has_unknown_outcome(self) -> None:
         socket, port = bind_unused_port()
-        silent = SilentServer()
-        silent.add_socket(socket)
-        self.addCleanup(silent.stop)
+        silent_server = SilentServer()
+        silent_server.add_socket(socket)
+        self.addCleanup(silent_server.stop)
         server = f"http://127.0.0.1:{port}"
         code, _ = await self.run_command("apply", "-f", str(self.file), server=server)
         self.assertEqual(code, ExitCode.UNKNOWN_OUTCOME)
@@ -172,14 +172,14 @@
         code, _ = await self.run_command("apply", "-f", str(self.file), server=UNREACHABLE_SERVER)
         self.assertEqual(code, ExitCode.UNREACHABLE)
 
-    async def test_failure_that_may_have_run_is_unknown(self) -> None:
+    async def test_failure_that_may_have_run_has_unknown_outcome(self) -> None:
         self.node.failure = ZeroDivisionError("oops")
         code, _ = await self.run_command("delete", "Drain", "one")
         self.assertEqual(code, ExitCode.UNKNOWN_OUTCOME)
         code, _ = await self.run_command("apply", "-f", str(self.file))
         self.assertEqual(code, ExitCode.UNKNOWN_OUTCOME)
 
-    async def test_nothing_is_sent_of_a_file_with_one_bad_resource(self) -> None:
+    async def test_file_with_an_invalid_resource_is_not_sent(self) -> None:
         self.file.write_text(DRAINS + "---\nkind: Route\nname: r\nroute_kind: live\nselector: {}\n")
         code, _ = await self.run_command("apply", "-f", str(self.file))
         self.assertEqual(code, ExitCode.INVALID_INPUT)
--- a/tests/test_cli_imports.py
+++ b/tests/test_cli_imports.py
@@ -1,4 +1,4 @@
-"""What a process loads: only its own command."""
+"""Commands import only the modules that they need."""
 
 import subprocess
 import sys
@@ -6,8 +6,8 @@
 
 from drumbay.cli.main import COMMANDS, make_app
 
-LIMIT_SECONDS = 60
-NOT_FOR_A_NODE = (
+TIMEOUT_SECONDS = 60
+FORBIDDEN_IN_NODE = (
     "drumbay.standins",
     "drumbay.simulation",
     "drumbay.bench",
@@ -22,28 +22,28 @@
 
 
 def run_python(code: str) -> str:
-    """Run code in a new interpreter and return what it printed."""
+    """Run code in a new interpreter and return its standard output."""
     command = (sys.executable, "-c", code)
-    done = subprocess.run(
-        command, capture_output=True, text=True, timeout=LIMIT_SECONDS, check=True
+    result = subprocess.run(
+        command, capture_output=True, text=True, timeout=TIMEOUT_SECONDS, check=True
     )
-    return done.stdout
+    return result.stdout
 
 
 class ImportsTest(unittest.TestCase):
-    def test_a_node_imports_no_emulator_and_no_bench(self) -> None:
+    def test_node_imports_no_emulators_or_benchmarks(self) -> None:
         code = "import sys, drumbay.cli.main, drumbay.cli.node; print(*sorted(sys.modules))"
         loaded = run_python(code).split()
         self.assertIn("drumbay.node.process", loaded)
-        superfluous = [
+        forbidden = [
             name
             for name in loaded
-            for prefix in NOT_FOR_A_NODE
+            for prefix in FORBIDDEN_IN_NODE
             if name == prefix or name.startswith(f"{prefix}.")
         ]
-        self.assertEqual(superfluous, [])
+        self.assertEqual(forbidden, [])
 
-    def test_a_command_line_has_the_command_that_is_called(self) -> None:
+    def test_only_the_requested_command_is_loaded(self) -> None:
         for name in COMMANDS:
             app = make_app([name, "--help"])
             names = [entry.name for entry in app.registered_commands]
--- a/tests/test_cli_simulate.py
+++ b/tests/test_cli_simulate.py
@@ -37,13 +37,13 @@
         result = CliRunner().invoke(make_app(["simulate"]), ["simulate", *arguments])
         return result.exit_code, result.output
 
-    def test_scenarios_are_listed(self) -> None:
+    def test_list_names_the_shipped_scenarios(self) -> None:
         code, output = self.run_command("--list")
         self.assertEqual(code, 0)
         for name in shipped_scenarios():
             self.assertIn(name, output)
 
-    def test_a_scenario_file_runs_and_reports_as_json(self) -> None:
+    def test_scenario_file_is_run_and_reported_as_json(self) -> None:
         code, output = self.run_command(
             *("--scenario", str(self.scenario), "--seeds", "1..2", "--json"),
             *("--plan-file", str(self.plan), "--history-file", str(self.history)),
@@ -54,12 +54,12 @@
         self.assertEqual([report["seed"] for report in reports], [1, 2])
         self.assertEqual([report["faults"] for report in reports], [1, 1])
         self.assertIn(b"NodeDisturbed", self.history.read_bytes())
-        # Virtual times and the run of the process tell how events of several nodes lie.
+        # Log lines carry the virtual time and the incarnation of the process.
         lines = self.log.read_text()
         self.assertRegex(lines, r"time=8\.\d+ process=callao-1#2 level=info event=node_started")
 
-    def test_a_broken_promise_exits_with_1_and_names_the_replay(self) -> None:
-        # No change can be in force within no time at all.
+    def test_violation_exits_with_1_and_prints_the_replay_command(self) -> None:
+        # No change can take effect within 0 seconds.
         strict = SCENARIO + "limits = {configuration_seconds = 0.0}\n"
         self.scenario.write_text(strict)
         code, output = self.run_command("--scenario", str(self.scenario), "--seed", "4")
@@ -68,7 +68,7 @@
         replay = f"replay: drumbay simulate --scenario {self.scenario} --seed 4"
         self.assertIn(replay, output)
 
-    def test_faulty_input_exits_with_2(self) -> None:
+    def test_invalid_input_exits_with_2(self) -> None:
         self.plan.write_text("{}")
         cases = (
             ("--scenario", "nowhere"),
