--- a/drumbay/cli/explain_logs.py
+++ b/drumbay/cli/explain_logs.py
@@ -8,7 +8,7 @@
 
 from drumbay.cli.errors import ExitCode
 from drumbay.explain.log_lines import LogLine, read_lines
-from drumbay.explain.log_story import SUBJECT_KEYS, tell
+from drumbay.explain.log_story import SUBJECT_KEYS, explain_from_logs
 
 
 def explain_logs(
@@ -21,12 +21,12 @@
 
     Example: drumbay explain-logs 7c41e09b52d6a3f8 /var/log/drumbay
     """
-    story = tell(subject_id, read_lines(paths))
-    if story is None:
+    explanation = explain_from_logs(subject_id, read_lines(paths))
+    if explanation is None:
         typer.echo(f"no line names {subject_id}")
         raise typer.Exit(ExitCode.FAILED)
-    typer.echo(story.cause)
-    for line in story.lines:
+    typer.echo(explanation.cause)
+    for line in explanation.lines:
         typer.echo(_format_line(line, subject_id))
 
 
--- a/drumbay/cli/explain_steps.py
+++ b/drumbay/cli/explain_steps.py
@@ -7,7 +7,7 @@
 import typer
 
 from drumbay.explain.log_lines import read_lines
-from drumbay.explain.step_ledger import StepAccount, account_steps
+from drumbay.explain.step_timing import StepTiming, step_timings
 
 HEADER = (
     "accepted     model      step takeovers late-starts  whole  ended |"
@@ -28,25 +28,25 @@
     Example: drumbay explain-steps /var/log/drumbay
     """
     typer.echo(HEADER)
-    for account in account_steps(read_lines(paths)):
-        typer.echo(_format_row(account))
+    for timing in step_timings(read_lines(paths)):
+        typer.echo(_format_row(timing))
 
 
-def _format_row(account: StepAccount) -> str:
-    accepted = datetime.fromtimestamp(account.accepted_at, UTC).strftime("%H:%M:%S.%f")[:-3]
+def _format_row(timing: StepTiming) -> str:
+    accepted = datetime.fromtimestamp(timing.accepted_at, UTC).strftime("%H:%M:%S.%f")[:-3]
     row = (
-        f"{accepted} {account.model[:10]:10} {account.step:4} {account.takeovers:9}"
-        f" {account.late_starts:11} {_format_seconds(account.whole_after)}"
-        f" {_format_seconds(account.ended_after)} |"
+        f"{accepted} {timing.model[:10]:10} {timing.step:4} {timing.takeovers:9}"
+        f" {timing.late_starts:11} {_format_seconds(timing.completed_after)}"
+        f" {_format_seconds(timing.ended_after)} |"
     )
-    last = account.last
-    if last is None:
+    item = timing.last_item
+    if item is None:
         return f"{row} none made it whole"
     return (
-        f"{row} {last.item[:16]:16} {_format_seconds(last.started_after)}"
-        f" {_format_seconds(last.text_after)}"
-        f" {_format_seconds(last.score_seconds)} {_format_seconds(last.listed_after)} {last.runs:4}"
-        f" {','.join(last.interruptions)}"
+        f"{row} {item.item[:16]:16} {_format_seconds(item.started_after)}"
+        f" {_format_seconds(item.text_after)}"
+        f" {_format_seconds(item.score_seconds)} {_format_seconds(item.listed_after)} {item.runs:4}"
+        f" {','.join(item.interruptions)}"
     )
 
 
--- a/drumbay/explain/__init__.py
+++ b/drumbay/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Records of decisions, kept by the node that took them, and how they are found."""
+"""Decision records of each node, and explanations from them and from log files."""
--- a/drumbay/explain/log_lines.py
+++ b/drumbay/explain/log_lines.py
@@ -1,4 +1,4 @@
-"""Reads the key=value lines that drumbay's processes write."""
+"""Parses the key=value log lines of drumbay processes."""
 
 import shlex
 from collections.abc import Iterable, Iterator
@@ -11,7 +11,14 @@
 
 
 class LogLine(msgspec.Struct, frozen=True, kw_only=True):
-    """One event: seconds since the Unix epoch, process, name and fields as written."""
+    """One log event.
+
+    Attributes:
+        at: Seconds since the Unix epoch.
+        process: Name of the process that logged it.
+        event: Name of the event.
+        fields: Further fields, as text.
+    """
 
     at: float
     process: str
@@ -22,8 +29,8 @@
         """Return a field, empty if it is missing."""
         return self.fields.get(name, "")
 
-    def number(self, name: str) -> float:
-        """Return a field as a number, 0 if it is none."""
+    def get_number(self, name: str) -> float:
+        """Return a field as a number, 0 if it is missing or not a number."""
         try:
             return float(self.get(name))
         except ValueError:
@@ -31,27 +38,29 @@
 
 
 def parse_line(text: str, process: str) -> LogLine | None:
-    """Parse a line; what stands before its time names the process, if anything does.
+    """Parse a log line; a word before the time overrides ``process``.
 
-    Returns ``None`` for lines that are no event.
+    Returns ``None`` for lines that are not log events.
     """
-    before, found, rest = text.partition(TIME_KEY)
-    if not found:
+    prefix, separator, remainder = text.partition(TIME_KEY)
+    if not separator:
         return None
     try:
-        words = shlex.split(rest)
+        words = shlex.split(remainder)
         at = datetime.fromisoformat(words[0]).timestamp()
     except (ValueError, IndexError):
         return None
     fields = dict(word.split("=", 1) for word in words[1:] if "=" in word)
     event = fields.pop("event", "")
     fields.pop("level", None)
-    named = before.split()
-    return LogLine(at=at, process=named[-1] if named else process, event=event, fields=fields)
+    prefix_words = prefix.split()
+    return LogLine(
+        at=at, process=prefix_words[-1] if prefix_words else process, event=event, fields=fields
+    )
 
 
 def read_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
-    """Yield the events of files, and of all files in folders.
+    """Yield the events of files, and of all files in the given folders.
 
     Raises:
         OSError: A file cannot be read.
--- a/drumbay/explain/messages.py
+++ b/drumbay/explain/messages.py
@@ -1,17 +1,17 @@
-"""Messages by which one node asks another for its decision records."""
+"""Messages with which nodes query each other's decision records."""
 
 from drumbay.comm.interface import Message
 from drumbay.explain.records import DecisionRecord, SubjectKind
 
 
 class ExplainRequest(Message, frozen=True, kw_only=True):
-    """Ask for the records of one subject."""
+    """Requests the records of one subject."""
 
     subject_kind: SubjectKind
     subject_id: str
 
 
 class ExplainReply(Message, frozen=True, kw_only=True):
-    """The records that the asked node holds, oldest first."""
+    """The records of the responding node, oldest first."""
 
     records: tuple[DecisionRecord, ...]
--- a/drumbay/explain/recorder.py
+++ b/drumbay/explain/recorder.py
@@ -1,4 +1,4 @@
-"""Makes decision records: adds node, time and configuration revision to each."""
+"""Creates decision records with node, time and configuration revision."""
 
 from collections.abc import Callable
 
@@ -12,10 +12,10 @@
     """Records the decisions of one node.
 
     Args:
-        clock: Time of the records.
+        clock: Source of the record times.
         node_id: This node.
-        revision: Returns the configuration revision in force.
-        store: Keeps the records.
+        revision: Returns the current configuration revision.
+        store: Stores the records.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         detail: str = "",
         candidates: tuple[CandidateVerdict, ...] = (),
     ) -> None:
-        """Keep one decision."""
+        """Record one decision."""
         self._store.add(
             DecisionRecord(
                 subject_kind=subject_kind,
--- a/drumbay/explain/records.py
+++ b/drumbay/explain/records.py
@@ -1,4 +1,4 @@
-"""Typed records of decisions. They hold only what the decision itself used."""
+"""Typed records of decisions, with the inputs that each decision used."""
 
 from enum import StrEnum
 
--- a/tests/test_decision_store.py
+++ b/tests/test_decision_store.py
@@ -1,4 +1,4 @@
-"""The store of decisions stays within its bounds and gives back what was put in."""
+"""The decision store returns its records unchanged and keeps within its limits."""
 
 import unittest
 
@@ -36,7 +36,7 @@
 
 
 class DecisionStoreTest(unittest.TestCase):
-    def test_records_come_back_as_they_were(self) -> None:
+    def test_records_are_returned_unchanged(self) -> None:
         store = DecisionStore()
         records = (make_record("r"), make_record("r", "answered", candidates=0))
         for record in records:
@@ -44,16 +44,16 @@
         self.assertEqual(store.find(SubjectKind.REQUEST, "r"), records)
         self.assertEqual(store.find(SubjectKind.SAMPLE, "r"), ())
 
-    def test_bytes_are_bounded_and_the_newest_stay(self) -> None:
-        store = DecisionStore(maximum_bytes=20_000)
+    def test_size_is_limited_and_newest_subjects_are_kept(self) -> None:
+        store = DecisionStore(max_bytes=20_000)
         for number in range(300):
             store.add(make_record(f"r{number}", candidates=50))
             self.assertLessEqual(store.size_bytes, 20_000)
         self.assertEqual(store.find(SubjectKind.REQUEST, "r0"), ())
         self.assertEqual(len(store.find(SubjectKind.REQUEST, "r299")), 1)
 
-    def test_subjects_and_records_are_bounded(self) -> None:
-        store = DecisionStore(maximum_subjects=2, maximum_records_per_subject=2)
+    def test_number_of_subjects_and_records_is_limited(self) -> None:
+        store = DecisionStore(max_subjects=2, max_records_per_subject=2)
         for event in ("a", "b", "c"):
             store.add(make_record("r1", event))
         self.assertEqual([r.event for r in store.find(SubjectKind.REQUEST, "r1")], ["b", "c"])
--- a/tests/test_explain_logs.py
+++ b/tests/test_explain_logs.py
@@ -1,4 +1,4 @@
-"""The command that explains an id from log files alone."""
+"""Explanations of requests, batch jobs and steps from log files."""
 
 import tempfile
 import unittest
@@ -8,8 +8,8 @@
 
 from drumbay.cli.main import make_app
 from drumbay.explain.log_lines import LogLine, parse_line
-from drumbay.explain.log_story import tell
-from drumbay.explain.step_ledger import account_steps
+from drumbay.explain.log_story import explain_from_logs
+from drumbay.explain.step_timing import step_timings
 
 DAY = "2026-12-02T10:00:"
 LOOKUPS = f"""\
@@ -52,8 +52,8 @@
 """
 
 
-class StepLedgerTest(unittest.TestCase):
-    def test_the_item_that_made_a_step_whole_tells_where_the_time_went(self) -> None:
+class StepTimingTest(unittest.TestCase):
+    def test_timing_is_that_of_the_item_that_completes_the_step(self) -> None:
         text = f"""\
 time={DAY}10.000+00:00 level=info event=batch_accepted batch=b1 items=2 step=4
 time={DAY}10.010+00:00 level=info event=batch_owned batch=b1 model=m step=4 items=2
@@ -69,20 +69,22 @@
 time={DAY}15.000+00:00 level=info event=batch_accepted batch=b2 items=2 step=5
 """
         parsed = [parse_line(line, "n1") for line in text.splitlines()]
-        whole, open_step = account_steps(line for line in parsed if line is not None)
-        assert whole.last is not None
-        assert whole.whole_after is not None
-        assert whole.last.listed_after is not None
-        self.assertEqual((whole.model, whole.step, whole.late_starts), ("m", 4, 1))
-        self.assertAlmostEqual(whole.whole_after, 4.1, 3)
-        self.assertAlmostEqual(whole.last.started_after, 1.0, 3)
-        self.assertAlmostEqual(whole.last.text_after, 4.0, 3)
-        self.assertAlmostEqual(whole.last.score_seconds, 0.1, 3)
-        self.assertAlmostEqual(whole.last.listed_after, 4.2, 3)
-        self.assertEqual((whole.last.runs, whole.last.interruptions), (2, ("broken",)))
-        self.assertIsNone(open_step.last)
-
-    def test_the_command_prints_a_line_a_step(self) -> None:
+        completed, incomplete = step_timings(line for line in parsed if line is not None)
+        assert completed.last_item is not None
+        assert completed.completed_after is not None
+        assert completed.last_item.listed_after is not None
+        self.assertEqual((completed.model, completed.step, completed.late_starts), ("m", 4, 1))
+        self.assertAlmostEqual(completed.completed_after, 4.1, 3)
+        self.assertAlmostEqual(completed.last_item.started_after, 1.0, 3)
+        self.assertAlmostEqual(completed.last_item.text_after, 4.0, 3)
+        self.assertAlmostEqual(completed.last_item.score_seconds, 0.1, 3)
+        self.assertAlmostEqual(completed.last_item.listed_after, 4.2, 3)
+        self.assertEqual(
+            (completed.last_item.runs, completed.last_item.interruptions), (2, ("broken",))
+        )
+        self.assertIsNone(incomplete.last_item)
+
+    def test_command_prints_one_row_per_step(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "n1.log").write_text(BATCH)
             (Path(folder) / "n2.log").write_text(OTHER_NODE)
@@ -94,25 +96,25 @@
         self.assertIn("broken", row)
 
 
-class StoryTest(unittest.TestCase):
+class LogExplanationTest(unittest.TestCase):
     def lines(self, text: str, process: str = "n1") -> list[LogLine]:
         parsed = [parse_line(line, process) for line in text.splitlines()]
         return [line for line in parsed if line is not None]
 
     def cause(self, subject_id: str) -> str:
         lines = self.lines(LOOKUPS) + self.lines(BATCH) + self.lines(OTHER_NODE, "n2")
-        story = tell(subject_id, lines)
-        assert story is not None
-        return story.cause
+        explanation = explain_from_logs(subject_id, lines)
+        assert explanation is not None
+        return explanation.cause
 
-    def test_lookups(self) -> None:
+    def test_requests(self) -> None:
         self.assertEqual(self.cause("r1"), "answered 200 after 0.09 s, sent to 2 worker(s): w1,w2")
         self.assertIn("no whole answer within 1.5 s from w1; 2 other", self.cause("r2"))
         self.assertIn("each of the 3 sends was refused", self.cause("r4"))
         self.assertIn("no_worker (not_run): no worker of s could be used", self.cause("r5"))
         self.assertIn("no route for h/x in configuration 7 at n1", self.cause("r6"))
 
-    def test_a_late_batch_job(self) -> None:
+    def test_batch_job(self) -> None:
         cause = self.cause("b1")
         self.assertIn("listed whole after 5.10 s", cause)
         self.assertIn("1 x batch_append_failed", cause)
@@ -123,34 +125,34 @@
             cause,
         )
 
-    def test_an_item(self) -> None:
+    def test_item(self) -> None:
         self.assertEqual(self.cause("i1"), "done after 0.99 s in 1 run(s) on 1 worker(s)")
 
-    def test_a_text_without_its_score(self) -> None:
-        story = tell("i3", self.lines(LOOKUPS) + self.lines(REWARD))
-        assert story is not None
+    def test_item_without_score(self) -> None:
+        explanation = explain_from_logs("i3", self.lines(LOOKUPS) + self.lines(REWARD))
+        assert explanation is not None
         self.assertEqual(
-            story.cause,
+            explanation.cause,
             "unfinished after 2.10 s in 1 run(s) on 1 worker(s); text whole after 1.00 s,"
             " 2 request(s) for its score, without one: 1 x not_served",
         )
-        self.assertIn("request_not_served", [line.event for line in story.lines])
+        self.assertIn("request_not_served", [line.event for line in explanation.lines])
 
-    def test_lines_of_the_bench_name_their_process(self) -> None:
+    def test_prefix_before_the_time_names_the_process(self) -> None:
         text = f'   4.5 edge-1 time={DAY}01.000+00:00 level=info event=e detail="two words" a=1'
         line = parse_line(text, "file")
         assert line is not None
         self.assertEqual((line.process, line.event), ("edge-1", "e"))
         self.assertEqual(line.fields, {"detail": "two words", "a": "1"})
 
-    def test_the_command(self) -> None:
+    def test_command(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "n1.log").write_text(BATCH)
             (Path(folder) / "n2.log").write_text(OTHER_NODE)
-            done = CliRunner().invoke(make_app(["explain-logs"]), ["explain-logs", "b1", folder])
-            self.assertEqual(done.exit_code, 0, done.output)
-            self.assertIn("listed whole after 5.10 s", done.output.splitlines()[0])
-            self.assertIn("n2 batch_taken_over previous=n1:1", done.output)
+            result = CliRunner().invoke(make_app(["explain-logs"]), ["explain-logs", "b1", folder])
+            self.assertEqual(result.exit_code, 0, result.output)
+            self.assertIn("listed whole after 5.10 s", result.output.splitlines()[0])
+            self.assertIn("n2 batch_taken_over previous=n1:1", result.output)
             missing = CliRunner().invoke(
                 make_app(["explain-logs"]), ["explain-logs", "nobody", folder]
             )
@@ -162,7 +164,7 @@
 
 
 class HeldBackTest(unittest.TestCase):
-    def test_the_workers_that_ended_under_other_tries_are_named(self) -> None:
+    def test_workers_that_ended_under_other_attempts_are_listed(self) -> None:
         text = f"""\
 time={DAY}01.000+00:00 level=warning event=worker_ended_under_request request=t1 fingerprint=f1 \
 worker=w1 evidence=refused run_seconds=0.05 deaths_in_a_row=1
@@ -172,6 +174,8 @@
 service=s error=held_back execution=not_run sent=0 refusals=0 workers= elapsed_seconds=0.0
 """
         lines = [parse_line(line, "node-1") for line in text.splitlines()]
-        story = tell("t2", [line for line in lines if line is not None])
-        assert story is not None
-        self.assertEqual(story.cause, "held back: workers ended under it: w1 under t1 at node-1")
+        explanation = explain_from_logs("t2", [line for line in lines if line is not None])
+        assert explanation is not None
+        self.assertEqual(
+            explanation.cause, "held back: workers ended under it: w1 under t1 at node-1"
+        )
