--- a/drumbay/cli/explain_logs.py
+++ b/drumbay/cli/explain_logs.py
@@ -7,8 +7,8 @@
 import typer
 
 from drumbay.cli.errors import ExitCode
+from drumbay.explain.log_explanation import SUBJECT_KEYS, explain_from_logs
 from drumbay.explain.log_lines import LogLine, read_lines
-from drumbay.explain.log_story import SUBJECT_KEYS, explain_from_logs
 
 
 def explain_logs(
--- a/tests/test_explain_logs.py
+++ b/tests/test_explain_logs.py
@@ -7,8 +7,8 @@
 from typer.testing import CliRunner
 
 from drumbay.cli.main import make_app
+from drumbay.explain.log_explanation import explain_from_logs
 from drumbay.explain.log_lines import LogLine, parse_line
-from drumbay.explain.log_story import explain_from_logs
 from drumbay.explain.step_timing import step_timings
 
 DAY = "2026-12-02T10:00:"
