--- a/drumbay/report/__init__.py
+++ b/drumbay/report/__init__.py
@@ -1,1 +1,1 @@
-"""Reports of simulations and benches as one self-contained HTML file."""
+"""Reports of simulations and benchmarks as one self-contained HTML file."""
--- a/drumbay/report/command.py
+++ b/drumbay/report/command.py
@@ -1,4 +1,4 @@
-"""What ``drumbay report`` does: reads files, compares them and writes the page."""
+"""Implements ``drumbay report``: reads files, compares them and writes the page."""
 
 from pathlib import Path
 
@@ -10,13 +10,13 @@
 
 
 class ReportOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What was asked for on the command line.
+    """Options of the command line.
 
     Attributes:
-        file: First report.
-        other: Second report, if two are compared.
+        file: First input file.
+        other: Second input file, if two are compared.
         output: HTML file to write.
-        baseline: Variant of the first report to compare its others with.
+        baseline: Variant of the first file to compare its other variants with.
         title: Title of the page.
     """
 
@@ -32,7 +32,7 @@
 
     Raises:
         ReportInputError: A file holds no report, or the page cannot be written.
-        NothingToCompareError: There is nothing to compare as asked.
+        NothingToCompareError: The requested sides have no runs to compare.
     """
     first_label, second_label = _labels(options)
     first = load_runs(options.file, first_label)
@@ -54,7 +54,7 @@
 
 
 def _labels(options: ReportOptions) -> tuple[str, str]:
-    """Return short names of the two files that differ."""
+    """Return distinct labels for the two files, as short as possible."""
     other = options.other
     if other is None or other.name != options.file.name:
         return options.file.name, other.name if other else ""
--- a/drumbay/report/comparison.py
+++ b/drumbay/report/comparison.py
@@ -1,4 +1,4 @@
-"""Compares runs pair by pair on the same seeds. Pure."""
+"""Compares runs in pairs of equal series and seed."""
 
 import math
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 
 class NothingToCompareError(ConfigurationError):
-    """The two sides have no run in common."""
+    """The two sides have no runs in common."""
 
     code = "nothing_to_compare"
 
@@ -54,8 +54,8 @@
 
 
 def direction_of(figure: str) -> Direction:
-    """Return which values of a figure are better, as its name says."""
-    # NOTE: the first list goes first: "refused_requests_per_second" is no gain.
+    """Return which values of a figure are better, judged by its name."""
+    # Lower-is-better words take precedence, as in "refused_requests_per_second".
     if any(part in figure for part in _LOWER_IS_BETTER):
         return Direction.LOWER
     if any(part in figure for part in _HIGHER_IS_BETTER):
@@ -64,7 +64,7 @@
 
 
 class Pair(msgspec.Struct, frozen=True, kw_only=True):
-    """One figure of two runs of one seed."""
+    """The values of one figure in two runs with the same seed."""
 
     seed: int | None
     first: float
@@ -75,7 +75,7 @@
     """One figure over all pairs of a series.
 
     Attributes:
-        series: What was run.
+        series: Name of the scenario or variant.
         figure: Dotted path of the figure.
         direction: Which values are better.
         pairs: The pairs, by seed.
@@ -88,30 +88,30 @@
 
     @property
     def median_ratio(self) -> float | None:
-        """Return the median of second by first; ``None`` if a first value is 0."""
+        """Return the median of second / first; ``None`` if any first value is 0."""
         if any(pair.first == 0 for pair in self.pairs):
             return None
         return median(pair.second / pair.first for pair in self.pairs)
 
     @property
     def higher(self) -> int:
-        """Return the pairs whose second value is the higher one."""
+        """Return the number of pairs whose second value is higher."""
         return sum(pair.second > pair.first for pair in self.pairs)
 
     @property
     def lower(self) -> int:
-        """Return the pairs whose second value is the lower one."""
+        """Return the number of pairs whose second value is lower."""
         return sum(pair.second < pair.first for pair in self.pairs)
 
     @property
     def better(self) -> int | None:
-        """Return the pairs whose second value is better; ``None`` if neither is."""
+        """Return the number of pairs whose second value is better; ``None`` if undefined."""
         counts = {Direction.LOWER: self.lower, Direction.HIGHER: self.higher}
         return counts.get(self.direction)
 
     @property
     def worse(self) -> int | None:
-        """Return the pairs whose second value is worse; ``None`` if neither is."""
+        """Return the number of pairs whose second value is worse; ``None`` if undefined."""
         counts = {Direction.LOWER: self.higher, Direction.HIGHER: self.lower}
         return counts.get(self.direction)
 
@@ -123,7 +123,7 @@
         first: Name of the first side.
         second: Name of the second side.
         figures: One entry per series and figure.
-        unpaired: Runs without a counterpart, by series and seed; they are left out.
+        unpaired: Series and seeds of runs without a counterpart, which are excluded.
     """
 
     first: str
@@ -136,7 +136,7 @@
     """Compare runs of the same series and seed in two files.
 
     Raises:
-        NothingToCompareError: They have none in common.
+        NothingToCompareError: They have no runs in common.
     """
     return _compare(first.label, first.runs, second.label, second.runs)
 
@@ -147,17 +147,17 @@
     Raises:
         NothingToCompareError: There is no such variant.
     """
-    names = dict.fromkeys(_variant(run) for run in file.runs)
-    first = tuple(_as_parent(run) for run in file.runs if _variant(run) == baseline)
+    variants = dict.fromkeys(_variant(run) for run in file.runs)
+    first = tuple(_with_parent_series(run) for run in file.runs if _variant(run) == baseline)
     if not first:
         raise NothingToCompareError(f"{file.label}: no series is named {baseline}")
-    others = [name for name in names if name != baseline]
+    others = [name for name in variants if name != baseline]
     return tuple(
         _compare(
             baseline,
             first,
             name,
-            tuple(_as_parent(run) for run in file.runs if _variant(run) == name),
+            tuple(_with_parent_series(run) for run in file.runs if _variant(run) == name),
         )
         for name in others
     )
@@ -167,7 +167,7 @@
     return run.series.rpartition(SERIES_SEPARATOR)[2]
 
 
-def _as_parent(run: Run) -> Run:
+def _with_parent_series(run: Run) -> Run:
     return msgspec.structs.replace(run, series=run.series.rpartition(SERIES_SEPARATOR)[0])
 
 
@@ -181,23 +181,28 @@
         raise NothingToCompareError(f"{first_label} and {second_label} have no run in common")
     pairs: dict[tuple[str, str], list[Pair]] = {}
     for key in common:
-        one, other = first_runs[key], second_runs[key]
-        for figure, value in one.values.items():
-            compared = other.values.get(figure)
-            if compared is None or not (math.isfinite(value) and math.isfinite(compared)):
+        first_run, second_run = first_runs[key], second_runs[key]
+        for figure, first_value in first_run.values.items():
+            second_value = second_run.values.get(figure)
+            if second_value is None or not (
+                math.isfinite(first_value) and math.isfinite(second_value)
+            ):
                 continue
-            pair = Pair(seed=one.seed, first=value, second=compared)
-            pairs.setdefault((one.series, figure), []).append(pair)
+            pair = Pair(seed=first_run.seed, first=first_value, second=second_value)
+            pairs.setdefault((first_run.series, figure), []).append(pair)
     unpaired = [f"{s} seed {seed}" for s, seed in (*first_runs, *second_runs)]
-    shared = {f"{s} seed {seed}" for s, seed in common}
+    paired_names = {f"{s} seed {seed}" for s, seed in common}
     return Comparison(
         first=first_label,
         second=second_label,
         figures=tuple(
             FigureComparison(
-                series=series, figure=figure, direction=direction_of(figure), pairs=tuple(found)
+                series=series,
+                figure=figure,
+                direction=direction_of(figure),
+                pairs=tuple(figure_pairs),
             )
-            for (series, figure), found in pairs.items()
+            for (series, figure), figure_pairs in pairs.items()
         ),
-        unpaired=tuple(name for name in unpaired if name not in shared),
+        unpaired=tuple(name for name in unpaired if name not in paired_names),
     )
--- a/drumbay/report/page.py
+++ b/drumbay/report/page.py
@@ -1,4 +1,4 @@
-"""Puts a report together as one HTML file that needs nothing else."""
+"""Renders a report as one self-contained HTML file."""
 
 import math
 
@@ -10,18 +10,18 @@
 from drumbay.report.plots import plot_pairs, plot_series
 from drumbay.report.runs import Run, RunFile
 
-MOST_PLOTS = 16
-NOTHING = "-"
+MAX_PLOTS = 16
+EMPTY_VALUE = "-"
 TEMPLATE = "report.html.jinja"
 
 
 class Page(msgspec.Struct, frozen=True, kw_only=True):
-    """What a report shows.
+    """Content of a report.
 
     Attributes:
         title: Title of the page.
-        files: Files that the figures are from.
-        comparisons: Comparisons of two sides each.
+        files: Input files.
+        comparisons: Comparisons to show.
     """
 
     title: str
@@ -43,16 +43,16 @@
     return environment.get_template(TEMPLATE).render(
         page=page,
         version=__version__,
-        figures_of=_figures_of,
+        figures_of=_figure_names,
         pair_plots=_pair_plots,
         series_plots=_series_plots,
     )
 
 
 def format_figure(value: float | None) -> str:
-    """Return a number with about four significant digits; a dash for none."""
+    """Format a number with about four significant digits; ``None`` as a dash."""
     if value is None:
-        return NOTHING
+        return EMPTY_VALUE
     if not math.isfinite(value):
         return str(value)
     if value == int(value) and abs(value) < 1e15:
@@ -61,7 +61,7 @@
 
 
 def format_seeds(seeds: tuple[int, ...]) -> str:
-    """Return seeds as ranges."""
+    """Format seeds as ranges."""
     ranges: list[list[int]] = []
     for seed in sorted(seeds):
         if ranges and seed == ranges[-1][1] + 1:
@@ -69,37 +69,39 @@
         else:
             ranges.append([seed, seed])
     return (
-        ", ".join(str(low) if low == high else f"{low}..{high}" for low, high in ranges) or NOTHING
+        ", ".join(str(low) if low == high else f"{low}..{high}" for low, high in ranges)
+        or EMPTY_VALUE
     )
 
 
-def _figures_of(runs: tuple[Run, ...]) -> list[str]:
-    """Return the figures that differ or that say which value is better, in their order."""
+def _figure_names(runs: tuple[Run, ...]) -> list[str]:
+    """Return the names of all figures, in order of first occurrence."""
     return list(dict.fromkeys(name for run in runs for name in run.values))
 
 
 def _pair_plots(comparison: Comparison) -> list[str]:
-    worth = [figure for figure in comparison.figures if _is_worth_a_plot(figure)]
+    plotted_figures = [figure for figure in comparison.figures if _is_plotted(figure)]
     return [
-        plot_pairs(figure, comparison.first, comparison.second) for figure in worth[:MOST_PLOTS]
+        plot_pairs(figure, comparison.first, comparison.second)
+        for figure in plotted_figures[:MAX_PLOTS]
     ]
 
 
-def _is_worth_a_plot(figure: FigureComparison) -> bool:
+def _is_plotted(figure: FigureComparison) -> bool:
     changed = any(pair.first != pair.second for pair in figure.pairs)
     return changed and len(figure.pairs) > 1 and figure.direction is not Direction.NEITHER
 
 
 def _series_plots(file: RunFile) -> list[str]:
-    """Return plots of the figures that say which value is better and differ between runs."""
+    """Plot the figures that have a better direction and differ between runs."""
     plots = []
-    for name in _figures_of(file.runs):
+    for name in _figure_names(file.runs):
         values = {run.values[name] for run in file.runs if name in run.values}
         if len(values) > 1 and direction_of(name) is not Direction.NEITHER:
-            with_figure = [
+            series_with_figure = [
                 series
                 for series in file.series()
                 if any(run.series == series and name in run.values for run in file.runs)
             ]
-            plots.append(plot_series(name, with_figure, file.runs))
-    return plots[:MOST_PLOTS]
+            plots.append(plot_series(name, series_with_figure, file.runs))
+    return plots[:MAX_PLOTS]
--- a/drumbay/report/plots.py
+++ b/drumbay/report/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a report as SVG text. Imported by ``drumbay report`` only."""
+"""Plots of a report as SVG text; needs matplotlib."""
 
 import io
 from collections.abc import Sequence
@@ -22,8 +22,8 @@
 WORSE_COLOR = "#b3412f"
 NEUTRAL_COLOR = "#45608a"
 GRID_COLOR = "#dddddd"
-MARGIN_SHARE = 0.08
-SMALLEST_PREFIXED = 10_000.0
+MARGIN_FRACTION = 0.08
+MIN_PREFIXED_VALUE = 10_000.0
 
 _STYLE: Any = {
     "svg.fonttype": "none",
@@ -36,7 +36,7 @@
 
 
 def plot_pairs(comparison: FigureComparison, first: str, second: str) -> str:
-    """Return a scatter of pairs; points on the diagonal did not change."""
+    """Return a scatter plot of pairs; unchanged pairs are on the diagonal."""
     with mpl.rc_context(_STYLE):
         title = f"{comparison.figure}\n{comparison.series}"
         figure, axes = _new_axes(title, PAIRS_HEIGHT_INCHES)
@@ -62,12 +62,12 @@
 
 
 def plot_series(figure_name: str, series: Sequence[str], runs: Sequence[Run]) -> str:
-    """Return one row of points per series, a point per run, a bar at the median."""
+    """Return a plot with a row per series, a point per run and a bar at the median."""
     with mpl.rc_context(_STYLE):
         height = SERIES_HEIGHT_INCHES + ROW_HEIGHT_INCHES * len(series)
         width = WIDTH_INCHES + LABEL_INCHES_PER_CHARACTER * max(map(len, series))
         figure, axes = _new_axes(figure_name, height, width)
-        highest = 0.0
+        max_value = 0.0
         for row, name in enumerate(series):
             values = sorted(
                 run.values[figure_name]
@@ -77,12 +77,14 @@
             if not values:
                 continue
             axes.scatter(values, [row] * len(values), color=NEUTRAL_COLOR, s=26, alpha=0.7)
-            highest = max(highest, *values)
-            middle = median(values)
-            axes.plot((middle, middle), (row - 0.25, row + 0.25), color="black", linewidth=1.5)
+            max_value = max(max_value, *values)
+            median_value = median(values)
+            axes.plot(
+                (median_value, median_value), (row - 0.25, row + 0.25), color="black", linewidth=1.5
+            )
         axes.set_yticks(range(len(series)), series)
         axes.set_ylim(len(series) - 0.5, -0.5)
-        axes.set_xlim(min(0.0, axes.get_xlim()[0]), highest * (1 + MARGIN_SHARE) or 1.0)
+        axes.set_xlim(min(0.0, axes.get_xlim()[0]), max_value * (1 + MARGIN_FRACTION) or 1.0)
         return _to_svg(figure)
 
 
@@ -100,15 +102,15 @@
 
 
 def _format_tick(value: float, position: int | None) -> str:
-    """Return a large value with an SI prefix, a small one as it is."""
-    if abs(value) >= SMALLEST_PREFIXED:
+    """Format large values with an SI prefix."""
+    if abs(value) >= MIN_PREFIXED_VALUE:
         return EngFormatter(sep="\u202f")(value)
     return f"{value:.4g}"
 
 
 def _limits(values: Sequence[float]) -> tuple[float, float]:
     low, high = min(values), max(values)
-    margin = MARGIN_SHARE * (high - low) or MARGIN_SHARE * abs(high) or 1.0
+    margin = MARGIN_FRACTION * (high - low) or MARGIN_FRACTION * abs(high) or 1.0
     return low - margin, high + margin
 
 
@@ -123,5 +125,5 @@
     buffer = io.StringIO()
     figure.savefig(buffer, format="svg", metadata={"Date": None})
     text = buffer.getvalue()
-    # NOTE: the XML prologue may not stand inside HTML.
+    # Removes the XML prologue, which is not valid inside HTML.
     return text[text.index("<svg") :]
--- a/drumbay/report/runs.py
+++ b/drumbay/report/runs.py
@@ -1,9 +1,9 @@
-"""Reads the JSON of ``drumbay simulate --json`` and of benches as runs with numbers.
+"""Reads runs and their figures from the JSON of ``drumbay simulate --json`` and benchmarks.
 
-The shape of a report is not fixed here: every number below a run is taken under its dotted
-path. A run is what has a ``seed``, or an entry of ``runs`` in a list that is as long as the
-``seeds`` around it. A report without seeds is one run. Numbers beside runs are parameters of
-the whole report and are not taken.
+No report schema is assumed: every number inside a run becomes a figure named by its dotted
+path. A run is an object with a ``seed``, or an entry of a ``runs`` list that is as long as the
+enclosing ``seeds`` list. A report without seeds is one run. Numbers outside of runs are
+parameters of the whole report and are ignored.
 """
 
 import hashlib
@@ -17,16 +17,16 @@
 
 NAME_KEYS = ("name", "scenario", "deployment")
 COUNTED_LISTS = ("violations",)
-"""Lists whose length is a figure."""
+"""Lists that are reduced to their length."""
 
 PATH_SEPARATOR = "."
 SERIES_SEPARATOR = "/"
-WHOLE_FILE = "whole file"
-"""Series of a report without names."""
+UNNAMED_SERIES = "whole file"
+"""Series name of a report without names."""
 
 
 class ReportInputError(ConfigurationError):
-    """A file holds no report."""
+    """A file is not a valid report, or cannot be read or written."""
 
     code = "invalid_report"
 
@@ -35,10 +35,10 @@
     """The figures of one run.
 
     Attributes:
-        series: What was run: a scenario, or the path of a variant.
-        seed: Seed of the run; ``None`` if there was none.
+        series: Name of the scenario, or path of the variant.
+        seed: Seed of the run, if it has one.
         values: Figures by dotted path.
-        texts: Words that go with them, e.g. a digest.
+        texts: Text values by dotted path, e.g. a digest.
     """
 
     series: str
@@ -52,7 +52,7 @@
 
     Attributes:
         label: Name of the file in the report.
-        sha256: Hash of the file.
+        sha256: SHA-256 of the file content.
         runs: Its runs, in the order of the file.
     """
 
@@ -61,7 +61,7 @@
     runs: tuple[Run, ...]
 
     def series(self) -> tuple[str, ...]:
-        """Return what was run, each once, in order."""
+        """Return the distinct series, in order of first occurrence."""
         return tuple(dict.fromkeys(run.series for run in self.runs))
 
     def seeds_of(self, series: str) -> tuple[int, ...]:
@@ -73,7 +73,7 @@
     """Read a report.
 
     Raises:
-        ReportInputError: The file cannot be read, is no JSON, or holds no number.
+        ReportInputError: The file cannot be read, is not JSON, or contains no numbers.
     """
     try:
         content = file.read_bytes()
@@ -82,27 +82,27 @@
         raise ReportInputError(f"{file}: expected a readable file ({error.strerror})") from error
     except msgspec.DecodeError as error:
         raise ReportInputError(f"{file}: expected JSON ({error})") from error
-    runs = tuple(run for run in _runs_of(document, (), ()) if run.values)
+    runs = tuple(run for run in _find_runs(document, (), ()) if run.values)
     if not runs:
         raise ReportInputError(f"{file}: expected a report with numbers")
     return RunFile(label=label, sha256=hashlib.sha256(content).hexdigest(), runs=runs)
 
 
-def _runs_of(node: Any, path: tuple[str, ...], seeds: tuple[int, ...]) -> Iterator[Run]:
-    """Yield the run that a node is, or the runs below it."""
+def _find_runs(node: Any, path: tuple[str, ...], seeds: tuple[int, ...]) -> Iterator[Run]:
+    """Yield the run that a JSON value represents, or the runs inside it."""
     if not _contains_runs(node) or (isinstance(node, dict) and "seed" in node):
-        yield _run(node, path or _name_of(node))
+        yield _to_run(node, path or _identifying_name(node))
     elif isinstance(node, list):
         for index, item in enumerate(node):
-            yield from _runs_of(item, (*path, *(_name_of(item) or (str(index),))), seeds)
+            yield from _find_runs(item, (*path, *(_identifying_name(item) or (str(index),))), seeds)
     else:
-        own_seeds = tuple(node.get("seeds", seeds))
+        inner_seeds = tuple(node.get("seeds", seeds))
         for key, item in node.items():
-            if key == "runs" and len(item) == len(own_seeds):
-                for seed, run in zip(own_seeds, item, strict=True):
-                    yield _run({"seed": seed, **run}, path)
+            if key == "runs" and len(item) == len(inner_seeds):
+                for seed, run in zip(inner_seeds, item, strict=True):
+                    yield _to_run({"seed": seed, **run}, path)
             elif _contains_runs(item):
-                yield from _runs_of(item, path, own_seeds)
+                yield from _find_runs(item, path, inner_seeds)
 
 
 def _contains_runs(node: Any) -> bool:
@@ -111,8 +111,8 @@
     return isinstance(node, list) and any(map(_contains_runs, node))
 
 
-def _name_of(node: Any) -> tuple[str, ...]:
-    """Return the name by which an object of a list is told from the others."""
+def _identifying_name(node: Any) -> tuple[str, ...]:
+    """Return the name that identifies an object in a list, as a path component."""
     if isinstance(node, dict):
         for key in NAME_KEYS:
             value = node.get(key)
@@ -123,28 +123,28 @@
     return ()
 
 
-def _run(node: Any, path: tuple[str, ...]) -> Run:
+def _to_run(node: Any, path: tuple[str, ...]) -> Run:
     seed = node.get("seed") if isinstance(node, dict) else None
     values: dict[str, float] = {}
     texts: dict[str, str] = {}
-    for key, leaf in _leaves(node, ()):
+    for key, leaf in _iterate_leaves(node, ()):
         if isinstance(leaf, str):
             texts[key] = leaf
         elif isinstance(leaf, int | float) and key != "seed":
             values[key] = float(leaf)
-    series = SERIES_SEPARATOR.join(path) or WHOLE_FILE
+    series = SERIES_SEPARATOR.join(path) or UNNAMED_SERIES
     return Run(series=series, seed=seed, values=values, texts=texts)
 
 
-def _leaves(node: Any, path: tuple[str, ...]) -> Iterator[tuple[str, Any]]:
-    """Yield what is below a node under its dotted path."""
+def _iterate_leaves(node: Any, path: tuple[str, ...]) -> Iterator[tuple[str, Any]]:
+    """Yield the leaf values inside a JSON value, with their dotted paths."""
     if isinstance(node, dict):
         for key, item in node.items():
-            yield from _leaves(item, (*path, key))
+            yield from _iterate_leaves(item, (*path, key))
     elif isinstance(node, list) and path and path[-1] in COUNTED_LISTS:
         yield PATH_SEPARATOR.join(path), len(node)
     elif isinstance(node, list):
         for index, item in enumerate(node):
-            yield from _leaves(item, (*path, *(_name_of(item) or (str(index),))))
+            yield from _iterate_leaves(item, (*path, *(_identifying_name(item) or (str(index),))))
     else:
         yield PATH_SEPARATOR.join(path), node
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""Reports: which runs are read, how they are paired, and a page that needs nothing else."""
+"""Reports: reading and pairing of runs, and the self-contained HTML page."""
 
 import subprocess
 import sys
@@ -36,8 +36,8 @@
 app = make_app(["report"])
 
 
-def simulated(seed: int, idle: float, samples: int) -> dict[str, Any]:
-    """Return a report of one run, in the shape of ``drumbay simulate --json``."""
+def simulation_report(seed: int, idle: float, samples: int) -> dict[str, Any]:
+    """Return a report of one run, in the format of ``drumbay simulate --json``."""
     return {
         "scenario": "small",
         "seed": seed,
@@ -48,8 +48,8 @@
     }
 
 
-def rollout_bench() -> RolloutBenchReport:
-    """Return a bench report with variants; the later ones wait less."""
+def benchmark_report() -> RolloutBenchReport:
+    """Return a benchmark report with two variants; the second has less idle time."""
 
     def figures(idle_share: float) -> RunFigures:
         return RunFigures(
@@ -98,9 +98,17 @@
         comparison = compare_files(self.load("a", first), self.load("b", second))
         return next(entry for entry in comparison.figures if entry.figure == figure)
 
-    def test_pairs_are_of_one_seed_whatever_the_order(self) -> None:
-        first = [simulated(1, 0.2, 10), simulated(2, 0.4, 10), simulated(3, 0.1, 10)]
-        second = [simulated(3, 0.2, 10), simulated(1, 0.1, 12), simulated(2, 0.2, 10)]
+    def test_runs_are_paired_by_seed_in_any_order(self) -> None:
+        first = [
+            simulation_report(1, 0.2, 10),
+            simulation_report(2, 0.4, 10),
+            simulation_report(3, 0.1, 10),
+        ]
+        second = [
+            simulation_report(3, 0.2, 10),
+            simulation_report(1, 0.1, 12),
+            simulation_report(2, 0.2, 10),
+        ]
         idle = self.entry(first, second, "idle_shares.drafts")
         self.assertEqual([pair.seed for pair in idle.pairs], [1, 2, 3])
         self.assertEqual((idle.median_ratio, idle.better, idle.worse), (0.5, 2, 1))
@@ -108,21 +116,22 @@
         self.assertEqual((samples.better, samples.worse), (1, 0))
         self.assertEqual(self.entry(first, second, "violations").median_ratio, None)
 
-    def test_runs_without_a_counterpart_are_named_and_left_out(self) -> None:
-        first = self.load("a", [simulated(1, 0.2, 10), simulated(2, 0.4, 10)])
-        second = self.load("b", [simulated(2, 0.3, 10), simulated(9, 0.4, 10)])
+    def test_unpaired_runs_are_listed_and_excluded(self) -> None:
+        first = self.load("a", [simulation_report(1, 0.2, 10), simulation_report(2, 0.4, 10)])
+        second = self.load("b", [simulation_report(2, 0.3, 10), simulation_report(9, 0.4, 10)])
         comparison = compare_files(first, second)
         self.assertEqual(comparison.unpaired, ("small seed 1", "small seed 9"))
         self.assertTrue(all(len(entry.pairs) == 1 for entry in comparison.figures))
 
-    def test_nothing_in_common(self) -> None:
+    def test_files_without_common_runs_are_rejected(self) -> None:
         with self.assertRaises(NothingToCompareError):
             compare_files(
-                self.load("a", [simulated(1, 0.2, 1)]), self.load("b", [simulated(2, 0.2, 1)])
+                self.load("a", [simulation_report(1, 0.2, 1)]),
+                self.load("b", [simulation_report(2, 0.2, 1)]),
             )
 
-    def test_variants_against_the_baseline(self) -> None:
-        file = self.load("bench", rollout_bench())
+    def test_variants_are_compared_with_the_baseline(self) -> None:
+        file = self.load("bench", benchmark_report())
         self.assertEqual(len(file.runs), 2 * len(DEPLOYMENTS) * len(SEEDS))
         (comparison,) = compare_with_baseline(file, "baseline")
         idle = [entry for entry in comparison.figures if entry.figure == "idle_share"]
@@ -132,62 +141,62 @@
         with self.assertRaises(NothingToCompareError):
             compare_with_baseline(file, "absent")
 
-    def test_a_bench_without_seeds_is_one_run(self) -> None:
+    def test_report_without_seeds_is_one_run(self) -> None:
         file = self.load("bench", {"calls": 5, "p99_milliseconds": 1.5, "machine": "m"})
         (run,) = file.runs
         self.assertEqual(run.values, {"calls": 5.0, "p99_milliseconds": 1.5})
 
-    def test_directions(self) -> None:
+    def test_direction_is_judged_by_the_name(self) -> None:
         self.assertEqual(direction_of("idle_shares.drafts"), Direction.LOWER)
         self.assertEqual(direction_of("fresh_share"), Direction.HIGHER)
         self.assertEqual(direction_of("virtual_seconds"), Direction.NEITHER)
 
-    def test_seeds_as_ranges(self) -> None:
+    def test_seeds_are_formatted_as_ranges(self) -> None:
         self.assertEqual(format_seeds((3, 1, 2, 9)), "1..3, 9")
 
 
-class _Sources(HTMLParser):
-    """Collects what a page would load from elsewhere."""
+class _ExternalResourceParser(HTMLParser):
+    """Collects the external resources that a page would load."""
 
     def __init__(self) -> None:
         super().__init__()
         self.svg_count = 0
-        self.loaded: list[str] = []
+        self.resources: list[str] = []
 
     def handle_starttag(self, tag: str, attributes: list[tuple[str, str | None]]) -> None:
         self.svg_count += tag == "svg"
         for name, value in attributes:
             is_reference = name in ("src", "href", "xlink:href") and value is not None
             if is_reference and not str(value).startswith("#"):
-                self.loaded.append(str(value))
+                self.resources.append(str(value))
         if tag in ("script", "link", "iframe"):
-            self.loaded.append(tag)
+            self.resources.append(tag)
 
 
-class CommandTest(ReportTestCase):
+class ReportCommandTest(ReportTestCase):
     def report(self, *arguments: str) -> tuple[int, Path]:
         output = self.folder / "out.html"
         result = CliRunner().invoke(app, ["report", *arguments, "--output", str(output)])
         return result.exit_code, output
 
-    def test_page_is_self_contained_and_says_what_was_run(self) -> None:
-        first = self.write("a.json", [simulated(seed, 0.1 * seed, 10) for seed in SEEDS])
-        second = self.write("b.json", [simulated(seed, 0.05 * seed, 10) for seed in SEEDS])
+    def test_page_is_self_contained_and_names_the_runs(self) -> None:
+        first = self.write("a.json", [simulation_report(seed, 0.1 * seed, 10) for seed in SEEDS])
+        second = self.write("b.json", [simulation_report(seed, 0.05 * seed, 10) for seed in SEEDS])
         code, output = self.report(str(first), str(second))
         self.assertEqual(code, ExitCode.SUCCESS)
         text = output.read_text()
-        sources = _Sources()
-        sources.feed(text)
-        self.assertEqual(sources.loaded, [])
-        self.assertEqual(sources.svg_count, 3)
+        parser = _ExternalResourceParser()
+        parser.feed(text)
+        self.assertEqual(parser.resources, [])
+        self.assertEqual(parser.svg_count, 3)
         for expected in ("a.json", "b.json", "small", "1..3", "b.json against a.json"):
             self.assertIn(expected, text)
         self.assertNotIn("<b>d</b>", text)
         code, output = self.report(str(first), str(second))
         self.assertEqual(output.read_text(), text)
 
-    def test_variants(self) -> None:
-        file = self.write("bench.json", rollout_bench())
+    def test_baseline_option(self) -> None:
+        file = self.write("bench.json", benchmark_report())
         code, output = self.report(str(file), "--baseline", "baseline")
         self.assertEqual(code, ExitCode.SUCCESS)
         self.assertIn("drumbay against baseline", output.read_text())
@@ -198,7 +207,7 @@
         for name in (str(self.folder / "text"), str(empty), str(self.folder / "absent")):
             self.assertEqual(self.report(name)[0], ExitCode.INVALID_INPUT)
 
-    def test_the_command_line_starts_without_plotting(self) -> None:
+    def test_command_line_does_not_import_matplotlib(self) -> None:
         check = (
             "import sys; from drumbay.cli.main import make_app; make_app([]);"
             " print('matplotlib' in sys.modules)"
