--- a/drumbay/acceptance/calls.py
+++ b/drumbay/acceptance/calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls of the acceptance run, typed."""
+"""Typed HTTP calls of the acceptance run."""
 
 from typing import TypeVar
 
@@ -10,35 +10,35 @@
 from drumbay.exceptions import UnavailableError
 
 REQUEST_TIMEOUT_SECONDS = 30.0
-MAXIMUM_CONNECTIONS = 64
+MAX_CONNECTIONS = 64
 
 RecordT = TypeVar("RecordT")
 
 
 class CallFailedError(UnavailableError):
-    """A call got no successful answer.
+    """A call failed.
 
     Attributes:
-        error: The typed error of the answer; ``None`` if the connection broke.
+        error: The typed error of the response; ``None`` if there was none.
     """
 
     code = "call_failed"
 
     def __init__(self, detail: str, error: ErrorDetail | None) -> None:
-        """Store the typed error."""
+        """Store the detail and the typed error."""
         super().__init__(detail)
         self.error = error
 
 
 class Caller:
-    """Sends HTTP requests and decodes their answers."""
+    """Sends HTTP requests and decodes the responses."""
 
     def __init__(self) -> None:
         """Create a caller."""
-        self._client = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAXIMUM_CONNECTIONS)
+        self._client = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAX_CONNECTIONS)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the client and its connections."""
         self._client.close()
 
     async def send(
@@ -51,7 +51,7 @@
         """Send one request.
 
         Raises:
-            CallFailedError: The answer is an error or there is none.
+            CallFailedError: The response is an error, or there is none.
         """
         request = HTTPRequest(
             url,
@@ -64,7 +64,7 @@
         try:
             return await self._client.fetch(request)
         except HTTPClientError as error:
-            raise CallFailedError(str(error), _error_of(error.response)) from error
+            raise CallFailedError(str(error), _decode_error(error.response)) from error
         except OSError as error:
             raise CallFailedError(str(error), None) from error
 
@@ -72,13 +72,13 @@
         """Return the record at a URL.
 
         Raises:
-            CallFailedError: The answer is an error or there is none.
+            CallFailedError: The response is an error, or there is none.
         """
         response = await self.send("GET", url)
         return msgspec.json.decode(response.body, type=record_type)
 
 
-def _error_of(response: HTTPResponse | None) -> ErrorDetail | None:
+def _decode_error(response: HTTPResponse | None) -> ErrorDetail | None:
     if response is None:
         return None
     try:
--- a/drumbay/acceptance/records.py
+++ b/drumbay/acceptance/records.py
@@ -6,7 +6,7 @@
 
 
 class AcceptancePlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What is driven.
+    """Configuration of an acceptance run.
 
     Attributes:
         nodes: Base URLs of the nodes.
@@ -16,8 +16,9 @@
         steps: Training steps to wait for.
         samples_per_step: Samples of one step.
         live_requests: Live requests per step.
-        bookings: Requests that may not be repeated, per step.
-        stop_process_id: Process of the last node, stopped in the middle; ``None``: none.
+        bookings: Non-idempotent requests per step.
+        stop_process_id: Process id of the last node, which is stopped during the run; ``None``
+            to stop none.
     """
 
     nodes: tuple[str, ...]
@@ -31,14 +32,14 @@
     stop_process_id: int | None = None
 
 
-class Refusal(msgspec.Struct, frozen=True, kw_only=True):
-    """A sending of a live request that was refused as not run.
+class Rejection(msgspec.Struct, frozen=True, kw_only=True):
+    """An attempt of a live request that a node rejected as not run.
 
     Attributes:
-        node: URL of the node that refused.
-        request_id: The request, as the node names it.
-        code: Stable name of the refusal.
-        detail: What the node said.
+        node: URL of the node.
+        request_id: Request id that the node assigned.
+        code: Error code.
+        detail: Error detail.
     """
 
     node: str
@@ -48,15 +49,15 @@
 
 
 class LiveResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller got for one live request; no spans if it failed.
+    """Result of one live request; no spans if it failed.
 
     Attributes:
-        request_id: The request, as the node that answered names it.
-        token_ids: Tokens of the answer.
-        spans: The versions that made them.
-        finish_reason: Why the answer ended.
-        failure: Stable name of the failure; empty if the request was answered.
-        refusals: Sendings that were refused as not run, before it was answered or failed.
+        request_id: Request id that the last node assigned.
+        token_ids: Tokens of the response.
+        spans: Weight versions of the tokens.
+        finish_reason: Why the generation ended.
+        failure: Error code; empty if the request succeeded.
+        rejections: Earlier attempts that were rejected as not run.
     """
 
     request_id: str
@@ -64,17 +65,17 @@
     spans: tuple[VersionSpan, ...] = ()
     finish_reason: str = ""
     failure: str = ""
-    refusals: tuple[Refusal, ...] = ()
+    rejections: tuple[Rejection, ...] = ()
 
 
 class BookingResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller got for all sendings of one booking.
+    """Results of all attempts of one booking.
 
     Attributes:
         key: Idempotency key.
-        answers: Bodies of the answered sendings.
-        not_run: Sendings refused as not run.
-        may_have_run: Sendings whose outcome the caller was told is not known.
+        answers: Bodies of the successful responses.
+        not_run: Number of attempts rejected as not run.
+        may_have_run: Number of attempts with an unknown outcome.
     """
 
     key: str
@@ -84,7 +85,7 @@
 
 
 class AcceptanceResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that callers saw."""
+    """All results that callers received."""
 
     live: tuple[LiveResult, ...]
     bookings: tuple[BookingResult, ...]
@@ -92,8 +93,8 @@
     lookups_failed: int
 
 
-class Disagreement(msgspec.Struct, frozen=True, kw_only=True):
-    """One promise that the emulators' logs contradict."""
+class Mismatch(msgspec.Struct, frozen=True, kw_only=True):
+    """One violation of a promise, according to the emulators' execution logs."""
 
     promise: str
     subject: str
--- a/drumbay/acceptance/workload.py
+++ b/drumbay/acceptance/workload.py
@@ -1,4 +1,4 @@
-"""The load of an acceptance run: live requests, lookups, bookings, rollouts, one stop."""
+"""Workload of an acceptance run: live requests, lookups, bookings, rollouts and a stop."""
 
 import asyncio
 import os
@@ -12,7 +12,7 @@
     AcceptanceResult,
     BookingResult,
     LiveResult,
-    Refusal,
+    Rejection,
 )
 from drumbay.api.schema import (
     CompletionAnswer,
@@ -30,53 +30,53 @@
 
 POLL_SECONDS = 0.2
 STEP_TIMEOUT_SECONDS = 60.0
-LIVE_MAXIMUM_TOKENS = 48
-SAMPLE_MAXIMUM_TOKENS = 96
-CONCURRENT_SENDINGS = 2
+LIVE_MAX_TOKENS = 48
+SAMPLE_MAX_TOKENS = 96
+CONCURRENT_ATTEMPTS = 2
 LOOKUPS_PER_STEP = 16
-LOOKUP_SENDINGS = 2
-LIVE_REFUSALS = 1
-"""Only one node stops: a caller may meet it once, and the next node has to answer."""
+LOOKUP_ATTEMPTS = 2
+MAX_LIVE_REJECTIONS = 1
+"""Only one node stops, so a second rejection is a failure."""
 
 PROMPTS_PER_GROUP = 4
 
 
 class StepTimeoutError(CallFailedError):
-    """A training step did not end in time."""
+    """A training step did not finish in time."""
 
     code = "step_timeout"
 
 
 class Workload:
-    """Drives one deployment.
+    """Runs the workload on one deployment.
 
     Args:
-        clock: Time.
+        clock: Source of the current time.
         caller: Sends the requests.
-        plan: What is driven.
+        plan: Configuration of the run.
     """
 
     def __init__(self, clock: Clock, caller: Caller, plan: AcceptancePlan) -> None:
-        """Create a workload that has sent nothing."""
+        """Create a workload; :meth:`run` runs it."""
         self._clock = clock
         self._caller = caller
         self._plan = plan
         self._nodes = list(plan.nodes)
-        self._sent = 0
+        self._request_count = 0
         self._live: list[LiveResult] = []
         self._bookings: list[BookingResult] = []
         self._lookups_answered = 0
         self._lookups_failed = 0
 
     def _next_node(self) -> str:
-        self._sent += 1
-        return self._nodes[self._sent % len(self._nodes)]
+        self._request_count += 1
+        return self._nodes[self._request_count % len(self._nodes)]
 
     async def run(self) -> AcceptanceResult:
         """Run every step.
 
         Raises:
-            CallFailedError: A rollout was refused, or a step did not end.
+            CallFailedError: A rollout was rejected, or a step did not finish.
         """
         for step in range(self._plan.steps):
             await self._run_step(step)
@@ -104,7 +104,7 @@
             RolloutPrompt(
                 text=f"{self._plan.stream} step {step} prompt {index // PROMPTS_PER_GROUP}",
                 group=f"{step}-{index // PROMPTS_PER_GROUP}",
-                max_tokens=SAMPLE_MAXIMUM_TOKENS,
+                max_tokens=SAMPLE_MAX_TOKENS,
                 seed=index,
             )
             for index in range(self._plan.samples_per_step)
@@ -116,14 +116,14 @@
         await self._retry_until_done("/v1/rollouts", body)
 
     async def _retry_until_done(self, path: str, body: bytes) -> None:
-        """Send a request that has no effect the second time until it is answered."""
-        ends_at = self._clock.monotonic() + STEP_TIMEOUT_SECONDS
+        """Send an idempotent request until it succeeds."""
+        deadline = self._clock.monotonic() + STEP_TIMEOUT_SECONDS
         while True:
             try:
                 await self._caller.send("POST", self._next_node() + path, body)
                 return
             except CallFailedError:
-                if self._clock.monotonic() > ends_at:
+                if self._clock.monotonic() > deadline:
                     raise
             await self._clock.sleep(POLL_SECONDS)
 
@@ -132,17 +132,17 @@
         body = CompletionBody(
             model=self._plan.model,
             prompt=f"question {step} {number}",
-            max_tokens=LIVE_MAXIMUM_TOKENS,
+            max_tokens=LIVE_MAX_TOKENS,
             seed=number,
         )
         self._live.append(await self.complete(msgspec.json.encode(body)))
 
     async def complete(self, body: bytes) -> LiveResult:
-        """Send a live request; one that a node refuses as not run is taken to the next one.
+        """Send a live request; an attempt rejected as not run is retried at the next node.
 
-        A request may be on its way to a node at the moment that the node begins to stop.
+        A request may reach a node just after the node has started to stop.
         """
-        refusals: list[Refusal] = []
+        rejections: list[Rejection] = []
         while True:
             node = self._next_node()
             try:
@@ -151,11 +151,13 @@
                 detail = error.error
                 request_id = (detail.request_id or "") if detail else ""
                 code = detail.code if detail else "connection_lost"
-                is_refused = detail is not None and detail.run == Execution.NOT_RUN
-                if detail is None or not is_refused or len(refusals) >= LIVE_REFUSALS:
-                    return LiveResult(request_id=request_id, failure=code, refusals=tuple(refusals))
-                refusals.append(
-                    Refusal(node=node, request_id=request_id, code=code, detail=detail.detail)
+                is_not_run = detail is not None and detail.run == Execution.NOT_RUN
+                if detail is None or not is_not_run or len(rejections) >= MAX_LIVE_REJECTIONS:
+                    return LiveResult(
+                        request_id=request_id, failure=code, rejections=tuple(rejections)
+                    )
+                rejections.append(
+                    Rejection(node=node, request_id=request_id, code=code, detail=detail.detail)
                 )
                 continue
             answer = msgspec.json.decode(response.body, type=CompletionAnswer)
@@ -164,16 +166,16 @@
                 token_ids=answer.token_ids,
                 spans=answer.spans,
                 finish_reason=answer.finish_reason,
-                refusals=tuple(refusals),
+                rejections=tuple(rejections),
             )
 
     async def _send_booking(self, step: int, number: int) -> None:
-        """Send one booking twice at once and once more later, with one key."""
+        """Send one booking twice concurrently and then again, all with the same key."""
         await self._clock.sleep(number * 0.03)
         key = f"{self._plan.stream}-{step}-{number}"
-        sendings = (self._send_keyed(key, number) for _ in range(CONCURRENT_SENDINGS))
-        results = await asyncio.gather(*sendings)
-        results.append(await self._send_keyed(key, number))
+        attempts = (self._send_booking_attempt(key, number) for _ in range(CONCURRENT_ATTEMPTS))
+        results = await asyncio.gather(*attempts)
+        results.append(await self._send_booking_attempt(key, number))
         answers = tuple(result for result in results if isinstance(result, bytes))
         executions = [result for result in results if isinstance(result, Execution)]
         self._bookings.append(
@@ -185,7 +187,7 @@
             )
         )
 
-    async def _send_keyed(self, key: str, number: int) -> bytes | Execution:
+    async def _send_booking_attempt(self, key: str, number: int) -> bytes | Execution:
         url = f"{self._next_node()}/app/articles/article-{number % 5}"
         headers = {"Idempotency-Key": key, "Drumbay-Repeatable": "false"}
         try:
@@ -197,9 +199,9 @@
         return response.body
 
     async def _send_lookup(self, number: int) -> None:
-        """Look up one article; a refusal is taken to the next node."""
+        """Look up one article; a rejected attempt is retried at the next node."""
         await self._clock.sleep(number * 0.05)
-        for _ in range(LOOKUP_SENDINGS):
+        for _ in range(LOOKUP_ATTEMPTS):
             url = f"{self._next_node()}/app/articles/article-{number % 5}"
             try:
                 await self._caller.send("GET", url)
@@ -212,7 +214,7 @@
         self._lookups_failed += 1
 
     async def _stop_node(self) -> None:
-        """Begin the planned stop of the last node; later requests go to the others."""
+        """Start the planned stop of the last node; later requests go to the others."""
         process_id = self._plan.stop_process_id
         if process_id is None:
             return
@@ -221,15 +223,15 @@
         os.kill(process_id, signal.SIGTERM)
 
     async def _wait_for_step(self, step: int) -> None:
-        ends_at = self._clock.monotonic() + STEP_TIMEOUT_SECONDS
+        deadline = self._clock.monotonic() + STEP_TIMEOUT_SECONDS
         url = self._plan.trainer + "/admin/status"
         while (await self._caller.get(url, TrainerStatus)).step <= step:
-            if self._clock.monotonic() > ends_at:
+            if self._clock.monotonic() > deadline:
                 raise StepTimeoutError(f"step {step} did not end", None)
             await self._clock.sleep(POLL_SECONDS)
 
     async def _wait_for_weights(self) -> None:
-        """Wait until every engine of the model serves the trainer's newest version."""
+        """Wait until every engine of the model serves the trainer's latest version."""
         status = await self._caller.get(self._plan.trainer + "/admin/status", TrainerStatus)
         listing = await self._caller.get(
             f"{self._plan.nodes[0]}/v1/resources/BackendGroup", ResourceListBody
@@ -241,10 +243,10 @@
             if isinstance(group, BackendGroup) and group.model == self._plan.model
             for backend in group.backends
         ]
-        ends_at = self._clock.monotonic() + STEP_TIMEOUT_SECONDS
+        deadline = self._clock.monotonic() + STEP_TIMEOUT_SECONDS
         for url in engines:
             while await self._served_version(url) < status.weight_version:
-                if self._clock.monotonic() > ends_at:
+                if self._clock.monotonic() > deadline:
                     raise StepTimeoutError(f"{url} did not load {status.weight_version}", None)
                 await self._clock.sleep(POLL_SECONDS)
 
--- a/drumbay/cli/acceptance.py
+++ b/drumbay/cli/acceptance.py
@@ -6,7 +6,7 @@
 import typer
 
 from drumbay.acceptance.calls import Caller
-from drumbay.acceptance.records import AcceptancePlan, AcceptanceResult, Disagreement
+from drumbay.acceptance.records import AcceptancePlan, AcceptanceResult, Mismatch
 from drumbay.acceptance.verification import DeploymentLogs, fetch_logs, verify
 from drumbay.acceptance.workload import Workload
 from drumbay.cli.errors import ExitCode, typed_exit
@@ -60,10 +60,10 @@
     plan: AcceptancePlan,
     result: AcceptanceResult,
     logs: DeploymentLogs,
-    mismatches: tuple[Disagreement, ...],
+    mismatches: tuple[Mismatch, ...],
 ) -> None:
     answered = sum(1 for live in result.live if not live.failure)
-    rejected = sum(1 for live in result.live if live.refusals and not live.failure)
+    rejected = sum(1 for live in result.live if live.rejections and not live.failure)
     replayed = sum(max(0, len(booking.answers) - 1) for booking in result.bookings)
     versions = sorted({version for entry in logs.consumed for version in entry.weight_versions})
     lines = [
