--- a/drumbay/clock.py
+++ b/drumbay/clock.py
@@ -1,7 +1,7 @@
-"""The clock interface, and the system's clock.
+"""The clock interface and the system clock.
 
-Nothing else in drumbay reads the time or sleeps: the same code then runs on real time and
-on the virtual time of a simulation.
+All other code reads the time and sleeps through a :class:`Clock`, so that it also runs on the
+virtual time of a simulation.
 """
 
 import asyncio
@@ -15,10 +15,10 @@
 
 
 def boot_seconds() -> float:
-    """Return seconds since the machine was started, those included for which it was suspended.
+    """Return seconds since the machine was started, including time in suspension.
 
-    The steady clock stands still meanwhile: a lease that ran out, or a copy that is old, would look
-    as fresh as before. Where the system has no such clock, the steady one is all there is.
+    ``time.monotonic`` stops during suspension, after which expired leases and stale copies would
+    look current. It is the fallback on systems without ``CLOCK_BOOTTIME``.
     """
     if hasattr(time, "CLOCK_BOOTTIME"):
         return time.clock_gettime(time.CLOCK_BOOTTIME)
@@ -26,32 +26,32 @@
 
 
 class BootTimeEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers count the time for which the machine was suspended.
+    """An event loop whose timers include the time in suspension.
 
-    The kernel's wait does not: what was due meanwhile comes with the first timer or event after the
-    return. A node has a timer each quarter of a second.
+    The kernel's wait does not include it, so a timer that expired during suspension runs with the
+    first other timer or event after it; a node has a timer every quarter of a second.
     """
 
     def time(self) -> float:
-        """Return the time that timers are set by."""
+        """Return the clock reading that timers are based on."""
         return boot_seconds()
 
 
 def run_on_system_clock(main: Coroutine[None, None, ResultT]) -> ResultT:
-    """Run a coroutine to its end on an event loop that counts as :class:`SystemClock` does."""
+    """Run a coroutine on an event loop with the same time base as :class:`SystemClock`."""
     with asyncio.Runner(loop_factory=BootTimeEventLoop) as runner:
         return runner.run(main)
 
 
 class Clock(Protocol):
-    """Time as one process sees it."""
+    """Interface to the time of one process."""
 
     def monotonic(self) -> float:
-        """Return seconds since an arbitrary origin; never decreases, counts suspensions."""
+        """Return seconds since an arbitrary origin; never decreases, includes suspension."""
         ...
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch; may jump and be skewed."""
+        """Return seconds since the Unix epoch; may jump or be skewed."""
         ...
 
     async def sleep(self, seconds: float) -> None:
@@ -59,16 +59,16 @@
         ...
 
     async def wait_for(self, awaitable: Awaitable[ResultT], timeout_seconds: float) -> ResultT:
-        """Await with a time limit; the awaitable is cancelled when the limit passes.
+        """Await with a timeout, after which the awaitable is cancelled.
 
         Raises:
-            DeadlineExceededError: The limit passed first.
+            DeadlineExceededError: The timeout expired.
         """
         ...
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The clock of the operating system."""
 
     def monotonic(self) -> float:
         """Return seconds since the machine was started."""
@@ -83,14 +83,13 @@
         await asyncio.sleep(seconds)
 
     async def wait_for(self, awaitable: Awaitable[ResultT], timeout_seconds: float) -> ResultT:
-        """Await with a time limit.
+        """Await with a timeout, after which the awaitable is cancelled.
 
         Raises:
-            DeadlineExceededError: The limit passed first.
+            DeadlineExceededError: The timeout expired.
         """
-        # NOTE: not asyncio.wait_for: up to Python 3.11 it drops a cancellation that comes in
-        # the same moment as the result (python/cpython#86296), and a task that waits in a
-        # loop would then never end.
+        # Not asyncio.wait_for: up to Python 3.11 it loses a cancellation that coincides with the
+        # result (python/cpython#86296), so that a task waiting in a loop would never end.
         try:
             async with asyncio.timeout(timeout_seconds):
                 return await awaitable
--- a/drumbay/exceptions.py
+++ b/drumbay/exceptions.py
@@ -1,7 +1,7 @@
-"""The exception tree.
+"""The base classes of the exception hierarchy.
 
-Every failure that drumbay raises is a subclass of :class:`DrumbayError`. Modules add
-their own branches below the ones in this file; callers catch the branch they can handle.
+Every exception that drumbay raises derives from :class:`DrumbayError`. Modules derive their own
+exceptions from the classes here.
 """
 
 from enum import StrEnum
@@ -9,20 +9,20 @@
 
 
 class Execution(StrEnum):
-    """What is known about whether a failed request ran on a back end."""
+    """Whether a failed request ran on a backend."""
 
     NOT_RUN = "not_run"
-    """Proved: no back end has run it and none will."""
+    """No backend has run the request, and none will."""
 
     MAY_HAVE_RUN = "may_have_run"
-    """The first byte may have left towards a back end."""
+    """A part of the request may have been sent to a backend."""
 
 
 class DrumbayError(Exception):
-    """Root of every exception raised by drumbay.
+    """Base class of every exception raised by drumbay.
 
     Attributes:
-        code: Stable machine-readable name of the failure, unique in the tree.
+        code: Stable machine-readable error code, unique in the hierarchy.
     """
 
     code: ClassVar[str] = "internal"
@@ -35,24 +35,24 @@
 
 
 class UnavailableError(DrumbayError):
-    """A process or service that was needed could not be used."""
+    """A required process or service is unavailable."""
 
     code = "unavailable"
 
 
 class DeadlineExceededError(UnavailableError):
-    """An operation did not finish within its time limit."""
+    """An operation did not finish before its deadline."""
 
     code = "deadline_exceeded"
 
 
 class RequestFailedError(DrumbayError):
-    """A caller's request got its final answer without being served.
+    """A caller's request failed.
 
     Attributes:
         execution: Whether the request may have run.
-        http_status: Status of the HTTP answer.
-        retry_after_seconds: When the caller may come back; ``None`` if never.
+        http_status: Status code of the HTTP response.
+        retry_after_seconds: Delay after which to retry; ``None`` if a retry does not help.
     """
 
     code = "request_failed"
@@ -65,7 +65,7 @@
         execution: Execution,
         retry_after_seconds: float | None = None,
     ) -> None:
-        """Store the detail and what is known about the execution."""
+        """Store the detail, the execution state and the retry delay."""
         super().__init__(detail)
         self.detail = detail
         self.execution = execution
--- a/drumbay/identifiers.py
+++ b/drumbay/identifiers.py
@@ -1,45 +1,45 @@
-"""Distinct types for the identifiers and counters that travel between processes."""
+"""Distinct types for identifiers and counters that processes exchange."""
 
 from typing import NewType
 
 NodeId = NewType("NodeId", str)
-"""Name of one drumbay node; unique in the cluster and stable over restarts."""
+"""Name of a drumbay node; unique in the cluster and stable across restarts."""
 
 BackendId = NewType("BackendId", str)
-"""Name of one back end (engine, scoring service or application server)."""
+"""Name of a backend (engine, scoring service or application server)."""
 
 GroupName = NewType("GroupName", str)
-"""Name of an operators' group of back ends."""
+"""Name of a configured group of backends."""
 
 BootId = NewType("BootId", str)
-"""Identity of one run of a process; a restarted process has another."""
+"""Identifier of one process incarnation; it changes with every restart."""
 
 RequestId = NewType("RequestId", str)
-"""Identity of one caller's request, kept over every attempt to serve it."""
+"""Identifier of a caller's request, shared by all attempts to serve it."""
 
 AttemptId = NewType("AttemptId", str)
-"""Identity of one dispatch of a request to one back end; never used twice."""
+"""Identifier of one dispatch of a request to one backend; never reused."""
 
 IdempotencyKey = NewType("IdempotencyKey", str)
-"""The caller's key under which a request may run at most once."""
+"""Key chosen by the caller; requests with the same key run at most once."""
 
 SampleId = NewType("SampleId", str)
-"""Identity of one rollout sample: stream, step and index."""
+"""Identifier of a rollout sample: stream, step and index."""
 
 StreamName = NewType("StreamName", str)
 """Name of the sample stream of one trainer."""
 
 WeightVersion = NewType("WeightVersion", int)
-"""Version of a model's weights; a larger number is newer."""
+"""Version of a model's weights; larger is newer."""
 
 Fence = NewType("Fence", int)
-"""Fencing token of a lease; every new holder has a larger one."""
+"""Fencing token of a lease; it increases with every new holder."""
 
 Revision = NewType("Revision", int)
-"""Revision of the key-value service; it grows with every change."""
+"""Revision of the key-value service; it increases with every change."""
 
 Epoch = NewType("Epoch", int)
-"""Number of a replica set configuration; it only grows."""
+"""Number of a replica set configuration; it only increases."""
 
 Cursor = NewType("Cursor", int)
 """Position of a batch in a sample stream, from 0."""
--- a/drumbay/settings.py
+++ b/drumbay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one node: a TOML file, checked, with flags that override single values."""
+"""Settings of one node: a validated TOML file, with overrides from the command line."""
 
 from pathlib import Path
 from typing import Annotated
@@ -12,11 +12,11 @@
 
 Port = Annotated[int, Meta(ge=1, le=65535)]
 HostAddress = Annotated[str, Meta(pattern=r"^[0-9a-fA-F.:]+$")]
-"""An IP address; nodes talk to each other by IP numbers."""
+"""An IP address; host names are not resolved."""
 
 PeerAddress = Annotated[str, Meta(pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]+$")]
 
-MINIMUM_CLUSTER_KEY_BYTES = 32
+MIN_CLUSTER_KEY_BYTES = 32
 
 
 class SettingsError(ConfigurationError):
@@ -24,14 +24,14 @@
 
     Attributes:
         file: The file.
-        key: Dotted path of the offending key; empty if the file as a whole is meant.
-        expected: What was expected there.
+        key: Dotted path of the invalid key; empty if the error concerns the whole file.
+        expected: Description of the expected value.
     """
 
     code = "invalid_settings"
 
     def __init__(self, file: Path, key: str, expected: str) -> None:
-        """Name the file, the key and what was expected."""
+        """Format the message from the file, the key and the expected value."""
         super().__init__(f"{file}: {key or '(file)'}: {expected}")
         self.file = file
         self.key = key
@@ -176,7 +176,7 @@
 
 
 class SettingsOverrides(msgspec.Struct, frozen=True, kw_only=True):
-    """Values given as flags; ``None`` keeps the file's value."""
+    """Command line overrides; ``None`` keeps the value of the file."""
 
     node_id: str | None = None
     zone: str | None = None
@@ -192,41 +192,41 @@
 
 
 def load_settings(file: Path, overrides: SettingsOverrides | None = None) -> NodeSettings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises:
         SettingsError: The file cannot be read, or a value is not valid.
     """
     try:
-        raw = msgspec.toml.decode(file.read_bytes())
+        document = msgspec.toml.decode(file.read_bytes())
     except OSError as error:
         raise SettingsError(file, "", f"a readable file ({error.strerror})") from error
     except msgspec.DecodeError as error:
         raise SettingsError(file, "", f"TOML ({error})") from error
-    _apply_overrides(raw, overrides or SettingsOverrides())
+    _apply_overrides(document, overrides or SettingsOverrides())
     try:
-        settings = msgspec.convert(raw, NodeSettings)
+        settings = msgspec.convert(document, NodeSettings)
     except msgspec.ValidationError as error:
         expected, key = split_validation_error(error)
         raise SettingsError(file, key, expected) from error
     _check_addresses(file, settings)
-    return _with_file_paths(file, settings)
+    return _resolve_file_paths(file, settings)
 
 
 def split_validation_error(error: msgspec.ValidationError) -> tuple[str, str]:
-    """Return what was expected and the dotted key of a validation error."""
+    """Split a validation error into its description and the dotted path of the key."""
     expected, _, path = str(error).partition(" - at `")
     key = path.removesuffix("`").removeprefix("$").lstrip(".")
     return expected, key
 
 
-def _apply_overrides(raw: dict[str, object], overrides: SettingsOverrides) -> None:
+def _apply_overrides(document: dict[str, object], overrides: SettingsOverrides) -> None:
     for name in ("node_id", "zone", "region", "data_folder"):
         value = getattr(overrides, name)
         if value is not None:
-            raw[name] = value
+            document[name] = value
     for section, port in (("http", overrides.http_port), ("peers", overrides.peer_port)):
-        table = raw.get(section)
+        table = document.get(section)
         if port is not None and isinstance(table, dict):
             table["port"] = port
 
@@ -241,25 +241,31 @@
         raise SettingsError(file, "peers.seeds", "each address once")
 
 
-def _with_file_paths(file: Path, settings: NodeSettings) -> NodeSettings:
-    """Return the settings with certificate files relative to the settings file resolved.
+def _resolve_file_paths(file: Path, settings: NodeSettings) -> NodeSettings:
+    """Resolve the paths of certificate files relative to the settings file.
 
     Raises:
         SettingsError: One of them cannot be read.
     """
     http = msgspec.structs.replace(
         settings.http,
-        certificate_file=_readable(file, "http.certificate_file", settings.http.certificate_file),
-        private_key_file=_readable(file, "http.private_key_file", settings.http.private_key_file),
+        certificate_file=_resolve_readable(
+            file, "http.certificate_file", settings.http.certificate_file
+        ),
+        private_key_file=_resolve_readable(
+            file, "http.private_key_file", settings.http.private_key_file
+        ),
     )
     authority = settings.backends.certificate_authority_file
     backends = BackendSettings(
-        certificate_authority_file=_readable(file, "backends.certificate_authority_file", authority)
+        certificate_authority_file=_resolve_readable(
+            file, "backends.certificate_authority_file", authority
+        )
     )
     return msgspec.structs.replace(settings, http=http, backends=backends)
 
 
-def _readable(file: Path, key: str, path: str | None) -> str | None:
+def _resolve_readable(file: Path, key: str, path: str | None) -> str | None:
     if path is None:
         return None
     resolved = file.parent / path
@@ -271,7 +277,7 @@
 
 
 def load_cluster_key(settings: NodeSettings, settings_file: Path) -> bytes:
-    """Read the cluster key; a relative path starts at the settings file's folder.
+    """Read the cluster key; a relative path starts at the folder of the settings file.
 
     Raises:
         SettingsError: The file cannot be read or the key is too short.
@@ -283,10 +289,10 @@
         raise SettingsError(
             settings_file, "peers.cluster_key_file", f"a readable file ({error.strerror})"
         ) from error
-    if len(key) < MINIMUM_CLUSTER_KEY_BYTES:
+    if len(key) < MIN_CLUSTER_KEY_BYTES:
         raise SettingsError(
             settings_file,
             "peers.cluster_key_file",
-            f"a key of at least {MINIMUM_CLUSTER_KEY_BYTES} bytes",
+            f"a key of at least {MIN_CLUSTER_KEY_BYTES} bytes",
         )
     return key
--- a/drumbay/tasks.py
+++ b/drumbay/tasks.py
@@ -1,4 +1,4 @@
-"""Ownership of background tasks, so that a node can end all that it started."""
+"""Ownership of background tasks, so that a node can stop all tasks it has started."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -11,21 +11,20 @@
 
 
 class TaskOwner:
-    """Starts background tasks, reports their failures and cancels them on close."""
+    """Starts background tasks, logs their failures and cancels them on close."""
 
     def __init__(self, close_rounds: int = CLOSE_ROUNDS) -> None:
         """Create an owner without tasks.
 
         Args:
-            close_rounds: How often :meth:`close` cancels a task that has not ended.
+            close_rounds: How many times :meth:`close` cancels a task that does not end.
         """
         self._close_rounds = close_rounds
-        # NOTE: a dict keeps insertion order; cancelling in set order would make
-        # simulations differ from run to run.
+        # A dict for its insertion order, which keeps simulations deterministic.
         self._tasks: dict[asyncio.Task[Any], None] = {}
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any], name: str) -> asyncio.Task[Any]:
-        """Run a coroutine as a task that ends with the owner."""
+        """Run a coroutine as a task that is cancelled on close."""
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self._tasks[task] = None
         task.add_done_callback(self._handle_done)
@@ -48,8 +47,8 @@
     async def close(self) -> None:
         """Cancel every task and wait until all have ended.
 
-        A task that goes on after a cancellation, or that was started since, is cancelled in
-        the next round. Tasks that are left after the last round are reported and given up.
+        Tasks that ignore their cancellation, or that are started meanwhile, are cancelled in the
+        next round. Tasks that remain after the last round are logged and abandoned.
         """
         for _ in range(self._close_rounds):
             tasks = list(self._tasks)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""The tests; what drumbay logs in them is not shown."""
+"""The tests of drumbay, with its log output disabled."""
 
 import sys
 from pathlib import Path
@@ -6,5 +6,5 @@
 from loguru import logger
 
 logger.remove()
-# The adapter's folder is no package (see platform/run.py), so its package is found by path.
+# The folder of the platform adapter is not a package, so its package is found by path.
 sys.path.append(str(Path(__file__).resolve().parent.parent / "platform"))
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Run every test but those listed in ``KNOWN-RED.txt``, whose entries are printed.
+"""Runs all tests except those listed in ``KNOWN-RED.txt``, and prints its entries.
 
 The last line printed is ``N passed, N failed``.
 """
@@ -15,7 +15,7 @@
 
 
 def flatten(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
-    """Yield every test of a suite."""
+    """Yield every test of a suite, recursively."""
     for entry in suite:
         if isinstance(entry, unittest.TestSuite):
             yield from flatten(entry)
@@ -29,13 +29,13 @@
         known_red = read_known_red(KNOWN_RED_FILE)
     except KnownRedFormatError as error:
         sys.exit(str(error))
-    left_out = {entry.test for entry in known_red if entry.is_test}
-    found = unittest.defaultTestLoader.discover(str(ROOT / "tests"), top_level_dir=str(ROOT))
-    tests = list(flatten(found))
-    unknown = sorted(left_out - {test.id() for test in tests})
+    excluded = {entry.test for entry in known_red if entry.is_test}
+    discovered = unittest.defaultTestLoader.discover(str(ROOT / "tests"), top_level_dir=str(ROOT))
+    tests = list(flatten(discovered))
+    unknown = sorted(excluded - {test.id() for test in tests})
     if unknown:
         sys.exit(f"{KNOWN_RED_FILE.name} names tests that do not exist: {unknown}")
-    selected = [test for test in tests if test.id() not in left_out]
+    selected = [test for test in tests if test.id() not in excluded]
     result = unittest.TextTestRunner(buffer=True).run(unittest.TestSuite(selected))
     for entry in known_red:
         print(f"known red: {entry.test}; {entry.command}; {entry.seen} (issue {entry.issue})")
--- a/tests/documents.py
+++ b/tests/documents.py
@@ -1,4 +1,4 @@
-"""Reads tables and examples out of the project's documents."""
+"""Reads tables and examples from the project's documents."""
 
 import re
 from pathlib import Path
@@ -11,19 +11,19 @@
 
 
 class Section(msgspec.Struct, frozen=True):
-    """The text below one heading, up to the next one."""
+    """The text between one heading and the next."""
 
     title: str
     text: str
 
     def first_cells(self) -> list[str]:
-        """Return the first cell of each table row, headings left out."""
+        """Return the first cell of each table row, without header rows."""
         cells = _FIRST_CELL.findall(self.text)
         return [cell for cell in cells[1:] if cell.strip("- ")]
 
 
 class Example(msgspec.Struct, frozen=True):
-    """A fenced block and the heading it stands under."""
+    """A fenced code block and its language."""
 
     language: str
     text: str
@@ -31,9 +31,10 @@
 
 def sections(name: str) -> dict[str, Section]:
     """Return the sections of a document by title."""
-    parts = re.split(r"^#+ (.+)$", (DOCS / name).read_text(), flags=re.MULTILINE)
+    titles_and_texts = re.split(r"^#+ (.+)$", (DOCS / name).read_text(), flags=re.MULTILINE)
     return {
-        title: Section(title, text) for title, text in zip(parts[1::2], parts[2::2], strict=True)
+        title: Section(title, text)
+        for title, text in zip(titles_and_texts[1::2], titles_and_texts[2::2], strict=True)
     }
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,14 +1,14 @@
-"""The list of tests and runs that fail for a fault which is not mended yet: ``KNOWN-RED.txt``.
+"""Reads ``KNOWN-RED.txt``, the list of tests and runs that fail because of open bugs.
 
 Entries are separated by an empty line. Each has four lines, in this order::
 
-    test: tests.test_x.XTest.test_y (or the name of a run's check)
-    command: what runs it, with its seed
-    seen: what was seen, in a sentence
+    test: tests.test_x.XTest.test_y (or the name of a check)
+    command: command that runs it, with its seed
+    seen: what was observed, in one sentence
     issue: number of the open issue
 
-An entry whose ``test`` starts with ``tests.`` keeps that test out of the run of all tests; every
-entry is printed.
+An entry whose ``test`` starts with ``tests.`` excludes that test from the full test run. All
+entries are printed.
 """
 
 from pathlib import Path
@@ -20,16 +20,16 @@
 
 
 class KnownRedFormatError(ValueError):
-    """An entry lacks a line, or has one that does not belong there."""
+    """An entry has missing, unexpected or invalid lines, or repeats a test."""
 
 
 class KnownRed(msgspec.Struct, frozen=True, kw_only=True):
-    """One fault that is not mended yet.
+    """One known failure.
 
     Attributes:
-        test: The test, or the check of a run.
-        command: What runs it, with its seed.
-        seen: What was seen.
+        test: Id of the test, or name of the check.
+        command: Command that runs it, with its seed.
+        seen: What was observed.
         issue: Number of the open issue.
     """
 
@@ -40,15 +40,15 @@
 
     @property
     def is_test(self) -> bool:
-        """Return whether it names a test, which is then left out."""
+        """Return whether the entry names a test, which is then excluded."""
         return self.test.startswith(TEST_PREFIX)
 
 
 def read_known_red(file: Path) -> tuple[KnownRed, ...]:
-    """Return the entries of a list; none if there is no file.
+    """Return the entries of a file; none if it does not exist.
 
     Raises:
-        KnownRedFormatError: An entry is not of the form above, or its test is named twice.
+        KnownRedFormatError: An entry does not have the format above, or a test occurs twice.
     """
     if not file.exists():
         return ()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures is read whole, or not at all."""
+"""The list of known failures is read completely or rejected."""
 
 import tempfile
 import unittest
@@ -25,7 +25,7 @@
             file.write_text(text)
             return [(entry.test, entry.is_test) for entry in read_known_red(file)]
 
-    def test_tests_and_runs_are_told_apart(self) -> None:
+    def test_tests_are_distinguished_from_checks_of_runs(self) -> None:
         read = self.read(f"{TEST}\n\n{RUN}")
         self.assertEqual(
             read,
@@ -34,7 +34,7 @@
         self.assertEqual(self.read(""), [])
         self.assertEqual(read_known_red(Path("nowhere")), ())
 
-    def test_an_entry_that_says_too_little_is_refused(self) -> None:
+    def test_incomplete_and_duplicate_entries_are_rejected(self) -> None:
         entries = (
             TEST.replace("command: python -m unittest tests.test_x (no seed)\n", ""),
             TEST.replace("issue: 41", "issue: none"),
--- a/tests/test_selftest.py
+++ b/tests/test_selftest.py
@@ -1,4 +1,4 @@
-"""The package can be imported and names its version."""
+"""The package can be imported and has a version."""
 
 import unittest
 
