--- a/drumbay/node/rollouts.py
+++ b/drumbay/node/rollouts.py
@@ -41,11 +41,13 @@
 class _OwnedStream:
     """State of one owned stream: policy, runner, trainer progress and usable engines."""
 
-    def __init__(self, policy: WeightPolicy, runner: RolloutRunner, floor: WeightVersion) -> None:
+    def __init__(
+        self, policy: WeightPolicy, runner: RolloutRunner, oldest_accepted: WeightVersion
+    ) -> None:
         self.policy = policy
         self.runner = runner
         self.progress = TrainerProgress(
-            policy.max_staleness_versions, policy.samples_per_step, floor
+            policy.max_staleness_versions, policy.samples_per_step, oldest_accepted
         )
         self.forecast: FloorForecast | None = None
         self.engines: tuple[BackendId, ...] = ()
@@ -120,8 +122,8 @@
             on_decision=lambda decision: self._record_decision(stream, decision),
             may_send=lambda: self._still_owns(stream, fence),
         )
-        floor = self._delivery.recorded_floor(stream)
-        self._owned[stream] = _OwnedStream(policy, runner, floor)
+        oldest_accepted = self._delivery.recorded_floor(stream)
+        self._owned[stream] = _OwnedStream(policy, runner, oldest_accepted)
         self._update_forecast(stream, self._owned[stream])
         runner.start()
         self._task_owner.spawn(self._run_engine_updates(stream), f"rollout-engines-{stream}")
--- a/drumbay/report/comparison.py
+++ b/drumbay/report/comparison.py
@@ -190,8 +190,8 @@
                 continue
             pair = Pair(seed=first_run.seed, first=first_value, second=second_value)
             pairs.setdefault((first_run.series, figure), []).append(pair)
-    unpaired = [f"{s} seed {seed}" for s, seed in (*first_runs, *second_runs)]
-    paired_names = {f"{s} seed {seed}" for s, seed in common}
+    unpaired = [f"{series} seed {seed}" for series, seed in (*first_runs, *second_runs)]
+    paired_names = {f"{series} seed {seed}" for series, seed in common}
     return Comparison(
         first=first_label,
         second=second_label,
