--- a/drumbay/cli/explain_logs.py
+++ b/drumbay/cli/explain_logs.py
@@ -1,4 +1,4 @@
-"""``drumbay explain-logs``: what log files tell about a request, batch job or item."""
+"""``drumbay explain-logs``: history of a request, batch job or item from log files."""
 
 from datetime import UTC, datetime
 from pathlib import Path
@@ -7,8 +7,8 @@
 import typer
 
 from drumbay.cli.errors import ExitCode
+from drumbay.explain.log_explanation import SUBJECT_KEYS, explain_from_logs
 from drumbay.explain.log_lines import LogLine, read_lines
-from drumbay.explain.log_story import SUBJECT_KEYS, tell
 
 
 def explain_logs(
@@ -21,16 +21,16 @@
 
     Example: drumbay explain-logs 7c41e09b52d6a3f8 /var/log/drumbay
     """
-    story = tell(subject_id, read_lines(paths))
-    if story is None:
+    explanation = explain_from_logs(subject_id, read_lines(paths))
+    if explanation is None:
         typer.echo(f"no line names {subject_id}")
         raise typer.Exit(ExitCode.FAILED)
-    typer.echo(story.cause)
-    for line in story.lines:
-        typer.echo(_shown(line, subject_id))
+    typer.echo(explanation.cause)
+    for line in explanation.lines:
+        typer.echo(_format_line(line, subject_id))
 
 
-def _shown(line: LogLine, subject_id: str) -> str:
+def _format_line(line: LogLine, subject_id: str) -> str:
     time = datetime.fromtimestamp(line.at, UTC).isoformat(timespec="milliseconds")
     fields = " ".join(
         f"{name}={value}"
