--- a/drumbay/api/interface.py
+++ b/drumbay/api/interface.py
@@ -67,7 +67,7 @@
         """Return the batch at a cursor; the first pull determines its content."""
         ...
 
-    async def checkpointed(self, stream: StreamName, cursor: Cursor) -> None:
+    async def record_checkpoint(self, stream: StreamName, cursor: Cursor) -> None:
         """Record the next cursor in a trainer's checkpoint."""
         ...
 
--- a/drumbay/api/rollouts.py
+++ b/drumbay/api/rollouts.py
@@ -45,7 +45,7 @@
     async def post(self, stream: str) -> None:
         """Record a trainer's checkpoint, after which older batches may be deleted."""
         body = self.decode_body(CheckpointBody)
-        await self.node.checkpointed(StreamName(stream), Cursor(body.cursor))
+        await self.node.record_checkpoint(StreamName(stream), Cursor(body.cursor))
         self.set_status(204)
         await self.finish()
 
--- a/drumbay/cli/acceptance.py
+++ b/drumbay/cli/acceptance.py
@@ -9,7 +9,7 @@
 from drumbay.acceptance.records import AcceptancePlan, AcceptanceResult, Mismatch
 from drumbay.acceptance.verification import DeploymentLogs, fetch_logs, verify
 from drumbay.acceptance.workload import Workload
-from drumbay.cli.errors import ExitCode, typed_exit
+from drumbay.cli.errors import ExitCode, exit_on_error
 from drumbay.clock import SystemClock
 
 
@@ -38,7 +38,7 @@
         samples_per_step=samples,
         stop_process_id=stop_process,
     )
-    with typed_exit():
+    with exit_on_error():
         asyncio.run(_run(plan))
 
 
--- a/drumbay/cli/errors.py
+++ b/drumbay/cli/errors.py
@@ -77,7 +77,7 @@
 
 
 @contextmanager
-def typed_exit(echo: Callable[[str], None] | None = None) -> Iterator[None]:
+def exit_on_error(echo: Callable[[str], None] | None = None) -> Iterator[None]:
     """Print an error of the block as one line and exit with its code."""
     try:
         yield
--- a/drumbay/cli/explain.py
+++ b/drumbay/cli/explain.py
@@ -7,7 +7,7 @@
 
 from drumbay.api.schema import ExplanationBody
 from drumbay.cli.client import NodeClient
-from drumbay.cli.errors import ExitCode, typed_exit
+from drumbay.cli.errors import ExitCode, exit_on_error
 from drumbay.cli.operators import (
     DEFAULT_SERVER,
     CertificateAuthority,
@@ -31,7 +31,7 @@
 
     Example: drumbay explain request 'node-1~4f2a~17'
     """
-    with typed_exit():
+    with exit_on_error():
         explanation = NodeClient(server, token, ca_file).explain(kind, subject_id)
         if output is OutputFormat.TABLE:
             _print_explanation(explanation)
--- a/drumbay/cli/node.py
+++ b/drumbay/cli/node.py
@@ -5,7 +5,7 @@
 
 import typer
 
-from drumbay.cli.errors import typed_exit
+from drumbay.cli.errors import exit_on_error
 from drumbay.clock import run_on_system_clock
 from drumbay.node.process import run_node
 from drumbay.observability.logs import configure_logs
@@ -25,7 +25,7 @@
 
     Example: drumbay node --settings node.toml
     """
-    with typed_exit():
+    with exit_on_error():
         overrides = SettingsOverrides(
             node_id=node_id,
             zone=zone,
--- a/drumbay/cli/operators.py
+++ b/drumbay/cli/operators.py
@@ -8,7 +8,7 @@
 
 from drumbay.api.schema import ApplyBody, ApplyOutcomeBody, ResourceBody
 from drumbay.cli.client import NodeClient
-from drumbay.cli.errors import ExitCode, typed_exit
+from drumbay.cli.errors import ExitCode, exit_on_error
 from drumbay.cli.output import Change, ChangeList, OutputFormat, print_record, print_table
 from drumbay.identifiers import Revision
 from drumbay.resources.checks import check_resource
@@ -51,7 +51,7 @@
 
     Example: drumbay apply -f groups.yaml --server http://127.0.0.1:8080
     """
-    with typed_exit():
+    with exit_on_error():
         client = NodeClient(server, token, ca_file)
         revision = None if expected_revision is None else Revision(expected_revision)
         resources = load_resources(file)
@@ -86,7 +86,7 @@
 
     Example: drumbay get BackendGroup -o yaml
     """
-    with typed_exit():
+    with exit_on_error():
         listing = NodeClient(server, token, ca_file).resources(kind, name)
         if output is not OutputFormat.TABLE:
             print_record(listing, output)
@@ -106,7 +106,7 @@
 
     Example: drumbay describe Route drafting
     """
-    with typed_exit():
+    with exit_on_error():
         listing = NodeClient(server, token, ca_file).resources(kind, name)
         if not listing.items:
             typer.echo(f"error: not_found: {kind}/{name}", err=True)
@@ -127,7 +127,7 @@
 
     Example: drumbay delete Drain maintenance
     """
-    with typed_exit():
+    with exit_on_error():
         revision = None if expected_revision is None else Revision(expected_revision)
         operation_id = secrets.token_hex(OPERATION_ID_BYTES)
         outcome = NodeClient(server, token, ca_file).delete(kind, name, operation_id, revision)
@@ -147,7 +147,7 @@
 
     Example: drumbay operation 3f0c9a0d2b7e4c51
     """
-    with typed_exit():
+    with exit_on_error():
         outcome = NodeClient(server, token, ca_file).operation(operation_id)
         if output is OutputFormat.TABLE:
             typer.echo(_format_outcome("operation", outcome))
@@ -167,7 +167,7 @@
 
     Example: drumbay status -o json
     """
-    with typed_exit():
+    with exit_on_error():
         state = NodeClient(server, token, ca_file).status()
         if output is not OutputFormat.TABLE:
             print_record(state, output)
--- a/drumbay/cli/report.py
+++ b/drumbay/cli/report.py
@@ -5,7 +5,7 @@
 
 import typer
 
-from drumbay.cli.errors import typed_exit
+from drumbay.cli.errors import exit_on_error
 from drumbay.cli.simulate import MissingExtraError
 
 
@@ -24,7 +24,7 @@
 
     Example: drumbay report before.json after.json --output report.html
     """
-    with typed_exit():
+    with exit_on_error():
         try:
             # Imported here, since it needs the optional dependencies of simulations.
             from drumbay.report.command import ReportOptions, write_report
--- a/drumbay/cli/simulate.py
+++ b/drumbay/cli/simulate.py
@@ -5,7 +5,7 @@
 
 import typer
 
-from drumbay.cli.errors import typed_exit
+from drumbay.cli.errors import exit_on_error
 from drumbay.exceptions import ConfigurationError
 
 
@@ -44,7 +44,7 @@
 
     Example: drumbay simulate --scenario vakhandel-oost --seeds 1..5 --json
     """
-    with typed_exit():
+    with exit_on_error():
         try:
             # Imported here, since it needs the optional dependencies of simulations.
             from drumbay.simulation import command
--- a/drumbay/clock.py
+++ b/drumbay/clock.py
@@ -14,7 +14,7 @@
 ResultT = TypeVar("ResultT")
 
 
-def boot_seconds() -> float:
+def seconds_since_boot() -> float:
     """Return seconds since the machine was started, including time in suspension.
 
     ``time.monotonic`` stops during suspension, after which expired leases and stale copies would
@@ -34,7 +34,7 @@
 
     def time(self) -> float:
         """Return the clock reading that timers are based on."""
-        return boot_seconds()
+        return seconds_since_boot()
 
 
 def run_on_system_clock(main: Coroutine[None, None, ResultT]) -> ResultT:
@@ -72,7 +72,7 @@
 
     def monotonic(self) -> float:
         """Return seconds since the machine was started."""
-        return boot_seconds()
+        return seconds_since_boot()
 
     def wall(self) -> float:
         """Return the system's wall clock in seconds since the Unix epoch."""
--- a/drumbay/node/cluster_view.py
+++ b/drumbay/node/cluster_view.py
@@ -12,7 +12,7 @@
 from drumbay.routing.subsets import NodeMember
 
 DATA_FOLDER_LABEL = "has_data_folder"
-LABEL_SET = "true"
+DATA_FOLDER_LABEL_VALUE = "true"
 
 
 class ClusterView:
@@ -111,4 +111,4 @@
 
 
 def _has_data_folder(member: Member) -> bool:
-    return member.labels.get(DATA_FOLDER_LABEL) == LABEL_SET
+    return member.labels.get(DATA_FOLDER_LABEL) == DATA_FOLDER_LABEL_VALUE
--- a/drumbay/node/coordination.py
+++ b/drumbay/node/coordination.py
@@ -11,7 +11,7 @@
 from drumbay.delivery.state_copy import StreamStateCopier
 from drumbay.identifiers import Epoch, NodeId
 from drumbay.membership.service import MembershipConfiguration, MembershipService
-from drumbay.node.cluster_view import DATA_FOLDER_LABEL, LABEL_SET, ClusterView
+from drumbay.node.cluster_view import DATA_FOLDER_LABEL, DATA_FOLDER_LABEL_VALUE, ClusterView
 from drumbay.node.environment import NodeEnvironment
 from drumbay.ownership.manager import OwnershipManager
 from drumbay.settings import NodeSettings
@@ -121,6 +121,6 @@
         boot_id=environment.boot_id,
         zone=settings.zone,
         region=settings.region,
-        labels={DATA_FOLDER_LABEL: LABEL_SET} if settings.data_folder else {},
+        labels={DATA_FOLDER_LABEL: DATA_FOLDER_LABEL_VALUE} if settings.data_folder else {},
         seeds=settings.peers.seed_addresses(),
     )
--- a/drumbay/node/node.py
+++ b/drumbay/node/node.py
@@ -171,7 +171,7 @@
             return empty_batch_body(request)
         return batch_body(reply.batch)
 
-    async def checkpointed(self, stream: StreamName, cursor: Cursor) -> None:
+    async def record_checkpoint(self, stream: StreamName, cursor: Cursor) -> None:
         """Record the next cursor in a trainer's checkpoint."""
         try:
             await self._streams.record_checkpoint(CheckpointRequest(stream=stream, cursor=cursor))
--- a/drumbay/node/rollouts.py
+++ b/drumbay/node/rollouts.py
@@ -151,7 +151,7 @@
             WantedSample(key=sample.key, prompt=sample.prompt) for sample in missing
         )
 
-    def observe_floor(self, stream: StreamName, oldest_version: WeightVersion) -> None:
+    def observe_oldest_accepted(self, stream: StreamName, oldest_version: WeightVersion) -> None:
         """Record the oldest weight version that the trainer accepts."""
         owned = self._owned.get(stream)
         if owned is None:
--- a/drumbay/node/streams.py
+++ b/drumbay/node/streams.py
@@ -49,7 +49,7 @@
         """Stop generating samples of a stream."""
         ...
 
-    def observe_floor(self, stream: StreamName, oldest_version: WeightVersion) -> None:
+    def observe_oldest_accepted(self, stream: StreamName, oldest_version: WeightVersion) -> None:
         """Record the oldest weight version that the trainer accepts."""
         ...
 
@@ -236,7 +236,7 @@
         return StreamAcknowledgement(owner=self._node_id)
 
     async def _handle_pull(self, request: PullRequest) -> PullReply:
-        self._worker.observe_floor(request.stream, request.oldest_version)
+        self._worker.observe_oldest_accepted(request.stream, request.oldest_version)
         try:
             operation = self._delivery.pull(
                 request.stream,
--- a/drumbay/observability/bounded_writer.py
+++ b/drumbay/observability/bounded_writer.py
@@ -8,7 +8,7 @@
 import os
 from collections.abc import Callable
 
-from drumbay.clock import boot_seconds
+from drumbay.clock import seconds_since_boot
 
 DEFAULT_LINES_PER_SECOND = 400.0
 DEFAULT_BURST_LINES = 2_000
@@ -23,7 +23,7 @@
         *,
         lines_per_second: float = DEFAULT_LINES_PER_SECOND,
         burst_lines: int = DEFAULT_BURST_LINES,
-        monotonic: Callable[[], float] = boot_seconds,
+        monotonic: Callable[[], float] = seconds_since_boot,
     ) -> None:
         """Write to ``descriptor``, limited by a token bucket of ``burst_lines`` tokens."""
         os.set_blocking(descriptor, False)
--- a/drumbay/simulation/command.py
+++ b/drumbay/simulation/command.py
@@ -8,7 +8,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
-from drumbay.cli.errors import ExitCode, typed_exit
+from drumbay.cli.errors import ExitCode, exit_on_error
 from drumbay.cli.output import OutputFormat, print_record, print_table
 from drumbay.exceptions import ConfigurationError
 from drumbay.node.node import Node
@@ -70,7 +70,7 @@
     logger.remove()
     if options.log_file is not None:
         log_to_file(options.log_file)
-    with typed_exit():
+    with exit_on_error():
         scenario = find_scenario(options.scenario)
         seeds = parse_seeds(options.seeds)
         plan = None if options.plan_file is None else load_plan(options.plan_file)
--- a/drumbay/simulation/trainers.py
+++ b/drumbay/simulation/trainers.py
@@ -194,7 +194,7 @@
         try:
             await self._gateway.call(
                 self._pick_node(),
-                lambda run: run.node.checkpointed(self.stream, cursor),
+                lambda run: run.node.record_checkpoint(self.stream, cursor),
                 CALL_TIMEOUT_SECONDS,
             )
         except DrumbayError:
--- a/tests/api_node.py
+++ b/tests/api_node.py
@@ -111,7 +111,7 @@
             stream=stream, cursor=cursor, next_cursor=cursor, oldest_version=oldest_version
         )
 
-    async def checkpointed(self, stream: StreamName, cursor: Cursor) -> None:
+    async def record_checkpoint(self, stream: StreamName, cursor: Cursor) -> None:
         self.calls.append((stream, cursor))
 
     async def announce_weights(self, model: str, announcement: WeightAnnouncement) -> None:
--- a/tests/test_cluster_view.py
+++ b/tests/test_cluster_view.py
@@ -9,7 +9,7 @@
 from drumbay.identifiers import BootId, NodeId
 from drumbay.membership.records import Member, MemberState
 from drumbay.membership.service import MembershipService
-from drumbay.node.cluster_view import DATA_FOLDER_LABEL, LABEL_SET, ClusterView
+from drumbay.node.cluster_view import DATA_FOLDER_LABEL, DATA_FOLDER_LABEL_VALUE, ClusterView
 
 
 class Members:
@@ -21,7 +21,7 @@
                 zone="z",
                 region="r",
                 boot_id=BootId(name),
-                labels={DATA_FOLDER_LABEL: LABEL_SET} if name == "b" else {},
+                labels={DATA_FOLDER_LABEL: DATA_FOLDER_LABEL_VALUE} if name == "b" else {},
             )
             for port, name in enumerate(("c", "a", "b"))
         ]
--- a/tests/test_delivery_epochs.py
+++ b/tests/test_delivery_epochs.py
@@ -109,7 +109,7 @@
     def stop_stream(self, stream: StreamName) -> None:
         return
 
-    def observe_floor(self, stream: StreamName, oldest_version: WeightVersion) -> None:
+    def observe_oldest_accepted(self, stream: StreamName, oldest_version: WeightVersion) -> None:
         return
 
 
