--- a/drumbay/claims/record_table.py
+++ b/drumbay/claims/record_table.py
@@ -193,7 +193,7 @@
         """
         found = self.get(key, now)
         if found is None and self._is_full():
-            raise TableFullError("the table has reached its limit of keys or bytes")
+            raise TableFullError("no room for another key")
         record = found or KeyRecord(key=key, updated_at_seconds=now)
         stored = record.answered or self._without_oversized_body(answered)
         return self.put(
--- a/drumbay/comm/call_server.py
+++ b/drumbay/comm/call_server.py
@@ -124,7 +124,7 @@
         if envelope.kind is not FrameKind.REQUEST:
             raise InvalidFrameError(f"expected a request, got a {envelope.kind.name} frame")
         if connection.running_calls >= MAX_RUNNING_CALLS_PER_CONNECTION:
-            failure = _to_failure(PeerOverloadedError("too many concurrent calls"))
+            failure = _to_failure(PeerOverloadedError("too many calls are running"))
             self._reply(connection, opened.boot_id, envelope.call_id, failure)
             return
         connection.running_calls += 1
--- a/drumbay/comm/codec.py
+++ b/drumbay/comm/codec.py
@@ -153,7 +153,7 @@
             candidate for candidate in _subclasses(Message) if type_tag_of(candidate) == type_tag
         ]
         if not found:
-            raise UnknownMessageTypeError(f"no message class has the tag {type_tag!r}")
+            raise UnknownMessageTypeError(f"no message class is named {type_tag!r}")
         if len(found) > 1:
             modules = ", ".join(sorted(candidate.__module__ for candidate in found))
             raise DuplicateMessageTypeError(f"{type_tag!r} is declared in {modules}")
--- a/drumbay/comm/frame_stream.py
+++ b/drumbay/comm/frame_stream.py
@@ -64,7 +64,7 @@
     """
     nonce = await read_frame(stream)
     if len(nonce) != NONCE_BYTES:
-        raise InvalidFrameError(f"unexpected nonce of {len(nonce)} bytes")
+        raise InvalidFrameError(f"a nonce of {len(nonce)} bytes")
     return nonce.hex()
 
 
--- a/drumbay/configuration/dissemination.py
+++ b/drumbay/configuration/dissemination.py
@@ -81,7 +81,7 @@
     def announce_revision(self) -> None:
         """Send digests of a newly applied revision to some peers, twice."""
         self._gossip_digests()
-        self._task_owner.spawn(self._repeat_digests(), "configuration digest repeat")
+        self._task_owner.spawn(self._repeat_digests(), "configuration rumour")
 
     async def _repeat_digests(self) -> None:
         revision = self._applied.revision
--- a/drumbay/configuration/majority_fallback.py
+++ b/drumbay/configuration/majority_fallback.py
@@ -88,7 +88,7 @@
         log_event("configuration_taken_alone", level="WARNING", revision=update.revision)
         if not self._is_restoring_majority:
             self._is_restoring_majority = True
-            self._task_owner.spawn(self._store_on_majority(), "configuration majority repair")
+            self._task_owner.spawn(self._store_on_majority(), "configuration lone repair")
         return True
 
     async def _store_on_one_disk(self, update: ConfigurationUpdate) -> bool:
--- a/drumbay/configuration/replication.py
+++ b/drumbay/configuration/replication.py
@@ -188,7 +188,7 @@
                     finished.set()
 
         for node_id in targets:
-            self._task_owner.spawn(call_and_count(node_id), f"replica call {node_id}")
+            self._task_owner.spawn(call_and_count(node_id), f"ask replica {node_id}")
         if targets:
             await finished.wait()
         return is_done()
--- a/drumbay/configuration/service.py
+++ b/drumbay/configuration/service.py
@@ -237,9 +237,7 @@
         """Load the configuration from a majority, or without one after a timeout."""
         loaders = [
             self._task_owner.spawn(self._load_from_majority(), "configuration load"),
-            self._task_owner.spawn(
-                self._load_without_majority(), "configuration load without majority"
-            ),
+            self._task_owner.spawn(self._load_without_majority(), "configuration lone start"),
         ]
         done, others = await asyncio.wait(loaders, return_when=asyncio.FIRST_COMPLETED)
         for other in others:
--- a/drumbay/observability/metrics.py
+++ b/drumbay/observability/metrics.py
@@ -39,40 +39,40 @@
         """Register the metrics."""
         self.registry = registry or CollectorRegistry()
         self._requests = self._counter(
-            "drumbay_requests", "Completed requests by outcome.", ("route", "outcome")
+            "drumbay_requests", "Ended requests by final answer.", ("route", "outcome")
         )
         self._request_duration = self._histogram(
             "drumbay_request_duration_seconds",
-            "Time from the arrival of a request to its final response.",
+            "Time from taking a request to its final answer.",
             REQUEST_BUCKETS_SECONDS,
             ("route",),
         )
         self._attempts = self._counter(
-            "drumbay_attempts", "Attempts on back ends by outcome.", ("outcome",)
+            "drumbay_attempts", "Attempts on back ends by how they ended.", ("outcome",)
         )
         self._retries = self._counter(
-            "drumbay_retries", "Retries of requests, not including the first attempt.", ("route",)
+            "drumbay_retries", "Attempts after the first one of a request.", ("route",)
         )
         self._refusals = self._counter(
             "drumbay_refusals", "Requests not admitted, by reason.", ("route", "reason")
         )
         self._claims = self._counter(
-            "drumbay_claims", "Completed claims of idempotency keys by outcome.", ("outcome",)
+            "drumbay_claims", "Ended claims of idempotency keys.", ("outcome",)
         )
         self._claim_duration = self._histogram(
             "drumbay_claim_duration_seconds",
-            "Time from the start of a claim until its request may be dispatched.",
+            "Time from a claim's start to the permission to dispatch.",
             CLAIM_BUCKETS_SECONDS,
         )
         self._samples_finished = self._counter(
-            "drumbay_samples_finished", "Samples that were completely generated.", ("stream",)
+            "drumbay_samples_finished", "Samples generated to their end.", ("stream",)
         )
         self._samples_stale = self._counter(
-            "drumbay_samples_stale", "Finished samples discarded as stale.", ("stream",)
+            "drumbay_samples_stale", "Finished samples dropped as too old.", ("stream",)
         )
         self._batches_stale = self._counter(
             "drumbay_batches_stale",
-            "Pulls rejected because the batch had become stale.",
+            "Pulls of a batch that had become too old.",
             ("stream",),
         )
 
--- a/drumbay/observability/serving_metrics.py
+++ b/drumbay/observability/serving_metrics.py
@@ -22,7 +22,7 @@
         self._registry = CollectorRegistry()
         self._requests = Counter(
             "drumbay_serving_requests",
-            "Client requests by outcome.",
+            "Clients' requests by final answer.",
             ("route", "outcome"),
             registry=self._registry,
         )
@@ -34,50 +34,50 @@
         )
         self._request_seconds = Histogram(
             "drumbay_serving_request_seconds",
-            "Time from the arrival of a request to its final response.",
+            "Time from taking a request to its final answer.",
             ("route",),
             buckets=REQUEST_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self._hedges = Counter(
             "drumbay_serving_hedges",
-            "Hedged requests that were sent, or suppressed by the budget.",
+            "Second copies of requests that were slow: sent, or held back by the budget.",
             ("outcome",),
             registry=self._registry,
         )
         self._worker_refusals = Counter(
             "drumbay_serving_worker_refusals",
-            "Requests that a worker rejected, by route.",
+            "Requests that a worker refused to run, by route.",
             ("route",),
             registry=self._registry,
         )
         self._expected_time = Histogram(
             "drumbay_serving_observed_to_expected_time",
-            "Response time of a worker divided by the time expected when it was selected.",
+            "Time of a worker's answer divided by the time for which the worker was chosen.",
             buckets=EXPECTED_TIME_BUCKETS,
             registry=self._registry,
         )
         self._batches = Counter(
             "drumbay_serving_batches",
-            "Events of batch jobs on this node.",
+            "Batch jobs by what happened to them at this node.",
             ("event",),
             registry=self._registry,
         )
         self._item_runs = Counter(
             "drumbay_serving_item_runs",
-            "Runs of batch items by outcome.",
+            "Runs of batch items by how they ended.",
             ("outcome",),
             registry=self._registry,
         )
         self._item_seconds = Histogram(
             "drumbay_serving_item_seconds",
-            "Time from accepting a batch job to an item's result.",
+            "Time from taking a batch job to an item's result.",
             buckets=ITEM_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self._step_turns = Counter(
             "drumbay_serving_step_turns",
-            "Steps that were deferred in favor of more urgent ones, or resumed.",
+            "Steps that were deferred while others had to be in time, or got their turn again.",
             ("turn",),
             registry=self._registry,
         )
@@ -89,25 +89,25 @@
         )
         self._reward_seconds = Histogram(
             "drumbay_serving_reward_seconds",
-            "Time from requesting a score to its response, including the wait for a slot.",
+            "Time from asking for a score to its answer, with the wait for a place.",
             buckets=REQUEST_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self._store_calls = Counter(
             "drumbay_serving_store_calls",
-            "Calls to the key-value store by outcome.",
+            "Calls to the key-value service by outcome.",
             ("outcome",),
             registry=self._registry,
         )
         self._store_purposes = Counter(
             "drumbay_serving_store_purposes",
-            "Calls to the key-value store, including those for other nodes, by purpose.",
+            "Calls to the key-value service, those for other nodes included, by purpose.",
             ("operation", "subject"),
             registry=self._registry,
         )
         self._store_seconds = Histogram(
             "drumbay_serving_store_seconds",
-            "Duration of direct calls to the key-value store.",
+            "Time of direct calls to the key-value service.",
             buckets=STORE_BUCKETS_SECONDS,
             registry=self._registry,
         )
@@ -119,74 +119,74 @@
         )
         self._workers = Gauge(
             "drumbay_serving_workers",
-            "Ready, needed and ordered workers of an autoscaled service, at the leader.",
+            "Workers of a scaled service as the leader counts them: ready, needed, or ordered.",
             ("service", "count"),
             registry=self._registry,
         )
         self._waiting_items = Gauge(
             "drumbay_serving_waiting_items",
-            "Items of open batch jobs that wait for a worker, by service, at the leader.",
+            "Items of open batch jobs without a place at a worker, by service, at the leader.",
             ("service",),
             registry=self._registry,
         )
         self._loads = Counter(
             "drumbay_serving_loads",
-            "Weight loads ordered by this node, by outcome.",
+            "Loads of weights that this node ordered, by outcome.",
             ("outcome",),
             registry=self._registry,
         )
 
         self._silent_connections = Counter(
             "drumbay_serving_silent_connections",
-            "Connections abandoned because the peer was silent.",
+            "Connections that were given up without a word from the peer.",
             registry=self._registry,
         )
         self._worker_pauses = Counter(
             "drumbay_serving_worker_pauses",
-            "Pauses of workers after consecutive failures.",
+            "Pauses of workers after failures in a row.",
             registry=self._registry,
         )
 
         self._worker_deaths = Counter(
             "drumbay_serving_worker_deaths",
-            "Workers that died while processing a request of this node.",
+            "Workers that ended under a request at this node.",
             registry=self._registry,
         )
         self._held_requests = Counter(
             "drumbay_serving_held_requests",
-            "Requests held back because workers had died while processing them, by reason.",
+            "Requests that were held back, since workers had ended under them, by reason.",
             ("reason",),
             registry=self._registry,
         )
 
         self._held_bytes = Gauge(
             "drumbay_serving_held_bytes",
-            "Memory held by requests and unread responses in bytes, by kind.",
+            "Bytes of requests and of answers not yet read that are held, by kind.",
             ("kind",),
             registry=self._registry,
         )
         self._shed_requests = Counter(
             "drumbay_serving_shed_requests",
-            "Requests rejected for lack of memory, and unread responses, by kind and reason.",
+            "Requests without room, and answers that nobody read, by kind and reason.",
             ("kind", "reason"),
             registry=self._registry,
         )
 
         self._waiting = Gauge(
             "drumbay_serving_admission_waiting",
-            "Requests waiting for admission to a service.",
+            "Requests that wait for a service.",
             ("service",),
             registry=self._registry,
         )
         self._admitted = Counter(
             "drumbay_serving_admitted",
-            "Requests admitted to a service.",
+            "Requests that went out to a service.",
             ("service",),
             registry=self._registry,
         )
         self._admission_seconds = Histogram(
             "drumbay_serving_admission_seconds",
-            "Time from the arrival of a request to its admission.",
+            "Time from a request's arrival until it went out.",
             ("service",),
             buckets=WAIT_BUCKETS_SECONDS,
             registry=self._registry,
--- a/drumbay/peers/feeds.py
+++ b/drumbay/peers/feeds.py
@@ -158,7 +158,7 @@
         """
         for feed in feeds:
             self._add(feed)
-        self._task_owner.spawn(self._pause_detector.run(), "pause-detector")
+        self._task_owner.spawn(self._pause_detector.run(), "standstill")
         await self._clock.sleep(settle_seconds)
         await self._load_nodes()
         while True:
--- a/drumbay/peers/freshness.py
+++ b/drumbay/peers/freshness.py
@@ -138,7 +138,7 @@
 
     def _schedule_watch_check(self, revision: Revision, seconds: float) -> None:
         wait = self._check_watch(revision, max(WATCH_GRACE_SECONDS, seconds))
-        self._task_owner.spawn(wait, "watch-check")
+        self._task_owner.spawn(wait, "watch-expected")
 
     async def _check_watch(self, revision: Revision, seconds: float) -> None:
         """Report silent connections if the watch does not deliver a change in time."""
@@ -160,7 +160,7 @@
             self._mirror.confirm(self._clock.monotonic() - confirmed.age_seconds)
             return
         # The watch may still deliver the change.
-        self._task_owner.spawn(self._catch_up(confirmed.last_change), "mirror-behind")
+        self._task_owner.spawn(self._catch_up(confirmed.last_change), "copy-behind")
 
     async def _catch_up(self, revision: Revision) -> None:
         await self._clock.sleep(WATCH_GRACE_SECONDS)
--- a/drumbay/routing/directory.py
+++ b/drumbay/routing/directory.py
@@ -157,7 +157,7 @@
                         backend_id=backend_id,
                         reason=RejectionReason.LEAVING,
                         available=not is_leaving,
-                        detail="marked as leaving by the machine list",
+                        detail="named by the machine list",
                     )
                 )
         return tuple(changes)
@@ -329,12 +329,12 @@
         backend_id=backend_id,
         reason=RejectionReason.DRAINED,
         available=available,
-        detail=f"drain {drain} {'ended' if available else 'in effect'}",
+        detail=f"drain {drain} {'ended' if available else 'in force'}",
     )
 
 
 def _reachability_availability_change(backend_id: BackendId, available: bool) -> AvailabilityChange:
-    detail = "status requests succeed again" if available else "status requests failed repeatedly"
+    detail = "it reports again" if available else "its reports could not be had"
     return AvailabilityChange(
         backend_id=backend_id,
         reason=RejectionReason.UNREACHABLE,
--- a/drumbay/weights/planner.py
+++ b/drumbay/weights/planner.py
@@ -154,7 +154,7 @@
                 record.clear_report()
             case TokenVersionObserved(boot_id=boot_id, version=version):
                 if record.record_token_version(boot_id, version, now):
-                    detail = f"load acknowledged, but its tokens come from version {version}"
+                    detail = f"acknowledged, but its tokens are of version {version}"
                     yield from self._record_failure(record, detail, now)
             case OrderSucceeded(fence=fence, status=status):
                 yield from self._complete_order(record, fence, status, now)
@@ -217,7 +217,7 @@
             status.highest_fence < order.fence
             and now - order.issued_at > ORDER_ARRIVAL_TIMEOUT_SECONDS
         ):
-            yield from self._record_failure(record, "order not received", now)
+            yield from self._record_failure(record, "the order did not arrive", now)
 
     def _complete_order(
         self, record: EngineRecord, fence: Fence, status: EngineStatus, now: float
@@ -228,7 +228,7 @@
         record.record_success(status, now)
         if record.version != ordered_version:
             yield from self._record_failure(
-                record, f"load acknowledged, but the engine reports version {record.version}", now
+                record, f"acknowledged, but reports {record.version}", now
             )
             return
         record.failures = 0
@@ -248,7 +248,7 @@
         yield SetAside(
             engine=record.engine,
             until_seconds=record.retry_at,
-            detail=f"{record.failures} orders in a row failed; last failure: {reason}",
+            detail=f"{record.failures} orders in a row failed, the last one: {reason}",
         )
 
     def _update_target(self, now: float) -> Iterator[WeightRolloutDecision]:
@@ -271,7 +271,7 @@
         for record in self._engines.values():
             order = record.pending_order
             if order is not None and now - order.issued_at > ORDER_EXPIRY_SECONDS:
-                yield from self._record_failure(record, "timed out", now)
+                yield from self._record_failure(record, "no outcome in time", now)
 
     def _plan_orders(self, now: float) -> Iterator[WeightRolloutDecision]:
         if self._target is None or not self._has_engine_reports(now):
