--- a/drumbay/cli/acceptance.py
+++ b/drumbay/cli/acceptance.py
@@ -11,6 +11,7 @@
 from drumbay.acceptance.workload import Workload
 from drumbay.cli.errors import ExitCode, exit_on_error
 from drumbay.clock import SystemClock
+from drumbay.requests.identity import node_id_of
 
 
 def acceptance(
--- a/drumbay/explain/service.py
+++ b/drumbay/explain/service.py
@@ -15,6 +15,7 @@
 from drumbay.explain.records import DecisionRecord, SubjectKind
 from drumbay.explain.store import DecisionStore
 from drumbay.identifiers import NodeId
+from drumbay.requests.identity import node_id_of
 
 CALL_TIMEOUT_SECONDS = 2.0
 MAX_CONCURRENT_CALLS = 32
