--- a/drumbay/standins/__init__.py
+++ b/drumbay/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Emulators of the systems around drumbay, for rehearsal and proof."""
+"""Emulators of the systems that drumbay talks to, for tests, simulations and soak runs."""
--- a/drumbay/standins/application_model.py
+++ b/drumbay/standins/application_model.py
@@ -1,8 +1,7 @@
 """An emulated lookup and ordering application.
 
-``GET`` of any path looks up the article or contact named by the last path segment;
-``POST`` books it. Every execution changes or reads the one store, and bookings are counted:
-the application does not deduplicate.
+``GET`` looks up the article named by the last path segment; ``POST`` books it. Bookings are
+not deduplicated, so a request that is executed twice shows in the counts and in the log.
 """
 
 import random
@@ -24,72 +23,72 @@
 )
 
 JSON_TYPE = "application/json"
-LARGEST_INITIAL_STOCK = 500
+MAX_INITIAL_STOCK = 500
 HTTP_OK = 200
 HTTP_CREATED = 201
 
 
 class ApplicationOperation(StrEnum):
-    """What an execution did."""
+    """Operation of an execution."""
 
     LOOKUP = "lookup"
     BOOKING = "booking"
 
 
-class LookupAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a lookup."""
+class LookupResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """Response to a lookup."""
 
     article: str
     stock: int
 
 
-class BookingAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a booking; ``booking_number`` counts every booking of the process."""
+class BookingResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """Response to a booking; ``booking_number`` counts the bookings in this store."""
 
     article: str
     booking_number: int
     stock: int
 
 
-def article_of(path: str) -> str:
-    """Return the article that a path names."""
+def article_from_path(path: str) -> str:
+    """Return the article named by the last segment of a path."""
     return unquote(urlsplit(path).path.rstrip("/").rpartition("/")[2])
 
 
 def answer_digest(body: bytes) -> str:
-    """Return the hash of an answer, for comparing answers with execution logs."""
+    """Return the hash of a response body, as it is recorded in execution logs."""
     return str(xxhash.xxh64_hexdigest(body))
 
 
 class StockOperations:
-    """The store of articles; it outlives crashes of the process, as a database does."""
+    """Article stock, kept across process crashes as in a database."""
 
     def __init__(self) -> None:
-        """Create a store in which every article has its initial stock."""
+        """Create a store with the initial stock of every article."""
         self._stock: dict[str, int] = {}
         self._bookings = 0
 
-    def rejection(self, request: ApplicationRequest) -> str | None:
-        """Refuse methods other than GET and POST and paths without an article."""
+    def rejection_reason(self, request: ApplicationRequest) -> str | None:
+        """Reject methods other than GET and POST, and paths without an article."""
         if request.method not in ("GET", "POST"):
             return "method_not_allowed"
-        if not article_of(request.path):
+        if not article_from_path(request.path):
             return "no_article"
         return None
 
     def execute(self, context: ExecutionContext, request: ApplicationRequest) -> ServiceResult:
         """Look up or book one article."""
-        article = article_of(request.path)
+        article = article_from_path(request.path)
         if request.method == "GET":
             operation = ApplicationOperation.LOOKUP
             status = HTTP_OK
-            body = msgspec.json.encode(LookupAnswer(article=article, stock=self.stock(article)))
+            body = msgspec.json.encode(LookupResponse(article=article, stock=self.stock(article)))
         else:
             operation = ApplicationOperation.BOOKING
             status = HTTP_CREATED
             body = msgspec.json.encode(self._book(article))
         return ServiceResult(
-            answer=ApplicationAnswer(
+            response=ApplicationAnswer(
                 attempt_id=request.attempt_id, status=status, body=body, content_type=JSON_TYPE
             ),
             record=ApplicationExecuted(
@@ -105,20 +104,20 @@
         )
 
     def stock(self, article: str) -> int:
-        """Return the stock of an article."""
-        initial: int = xxhash.xxh32_intdigest(article.encode()) % LARGEST_INITIAL_STOCK
+        """Return the stock of an article; the initial stock is derived from its name."""
+        initial: int = xxhash.xxh32_intdigest(article.encode()) % MAX_INITIAL_STOCK
         return self._stock.get(article, initial)
 
-    def _book(self, article: str) -> BookingAnswer:
+    def _book(self, article: str) -> BookingResponse:
         self._bookings += 1
         self._stock[article] = self.stock(article) - 1
-        return BookingAnswer(
+        return BookingResponse(
             article=article, booking_number=self._bookings, stock=self._stock[article]
         )
 
 
 class ApplicationModel(ServiceModel):
-    """One emulated application server with its own store."""
+    """Emulated application server with its own stock."""
 
     def __init__(
         self,
@@ -127,5 +126,5 @@
         random_source: random.Random,
         parameters: ServiceParameters | None = None,
     ) -> None:
-        """Create an application server whose process has started."""
+        """Create an application server with a running process."""
         super().__init__(clock, backend_id, StockOperations(), random_source, parameters)
--- a/drumbay/standins/batch_slots.py
+++ b/drumbay/standins/batch_slots.py
@@ -1,4 +1,4 @@
-"""Places in the batch of an emulated engine, and the queue for them."""
+"""Batch slots of an emulated engine, the queue for them, and the load history."""
 
 import asyncio
 import heapq
@@ -9,20 +9,20 @@
 
 
 class Ticket:
-    """One request's place in the queue or in the batch."""
+    """A request for a batch slot: queued, granted or released."""
 
     def __init__(self) -> None:
-        """Create a ticket that is not granted yet."""
+        """Create a queued ticket."""
         self.granted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.in_batch = False
-        self.left = False
+        self.released = False
 
 
 class BatchSlots:
-    """A bounded batch with a queue ordered by priority, then by arrival."""
+    """Slots of a bounded batch, granted by priority and then by arrival."""
 
     def __init__(self, max_batch: int, on_change: Callable[[], None]) -> None:
-        """Create an empty batch; ``on_change`` is called after each change of the counts."""
+        """Create an empty batch; ``on_change`` is called when its counts change."""
         self._max_batch = max_batch
         self._on_change = on_change
         self._queue: list[tuple[int, int, Ticket]] = []
@@ -45,11 +45,11 @@
         self._on_change()
         return ticket
 
-    def leave(self, ticket: Ticket) -> None:
-        """Give up a place in the batch or in the queue; later calls do nothing."""
-        if ticket.left:
+    def release(self, ticket: Ticket) -> None:
+        """Release a slot, or leave the queue; idempotent."""
+        if ticket.released:
             return
-        ticket.left = True
+        ticket.released = True
         if ticket.in_batch:
             self.running -= 1
         else:
@@ -61,19 +61,19 @@
     def _grant(self) -> None:
         while self._queue and self.running < self._max_batch:
             ticket = heapq.heappop(self._queue)[2]
-            if ticket.left:
+            if ticket.released:
                 continue
             self.waiting -= 1
             self.running += 1
             ticket.in_batch = True
-            # NOTE: cancelling a task that waits for its place cancels this future; the task
-            # then leaves by itself.
+            # The future is done already if the waiting task was cancelled; that task releases
+            # its ticket itself.
             if not ticket.granted.done():
                 ticket.granted.set_result(None)
 
 
 class LoadSample(msgspec.Struct, frozen=True, kw_only=True):
-    """Load of an engine at one moment."""
+    """Load of an engine at a point in time."""
 
     time_seconds: float
     running: int
@@ -81,20 +81,20 @@
 
 
 class LoadHistory:
-    """Recent load of an engine, so that it can be reported with a lag."""
+    """Recent load of an engine, reported with a lag."""
 
     def __init__(self, lag_seconds: float) -> None:
-        """Create a history whose reports are at least ``lag_seconds`` old."""
+        """Create an empty history; reports are ``lag_seconds`` old."""
         self._lag_seconds = lag_seconds
         self._samples: deque[LoadSample] = deque()
 
     def record(self, sample: LoadSample) -> None:
-        """Add the load after a change."""
+        """Append a sample and drop those that can no longer be reported."""
         self._samples.append(sample)
         self._discard(sample.time_seconds - self._lag_seconds)
 
     def report(self, now: float) -> LoadSample:
-        """Return the load that is reported at ``now``."""
+        """Return the load as of ``now`` minus the lag."""
         moment = now - self._lag_seconds
         self._discard(moment)
         if not self._samples or self._samples[0].time_seconds > moment:
--- a/drumbay/standins/cache_transfer.py
+++ b/drumbay/standins/cache_transfer.py
@@ -1,8 +1,8 @@
-"""Export and import of the keys and values of one completion between engines.
+"""Transfer of the KV cache of a completion between engines.
 
-Keys and values belong to the weights that computed them. An engine refuses an import under
-other weights, and it refuses to resume a completion from a cache that was imported before
-its weights changed: the caller then resumes without the cache.
+A KV cache is valid only for the weights that computed it. An engine refuses to import a cache
+of another version, and refuses to resume from a cache that was imported before its weights
+changed; the caller then resumes without the cache.
 """
 
 from collections import OrderedDict
@@ -19,18 +19,18 @@
 CACHE_VERSION_MISMATCH = "cache_version_mismatch"
 DEFAULT_CAPACITY_COMPLETIONS = 64
 BYTES_PER_TOKEN = 131_072
-"""Keys and values of one token in a model of about 8 billion parameters, 16 bits each."""
+"""KV cache size of one token for a model of about 8 billion parameters at 16 bits."""
 
 
 class CacheExport(msgspec.Struct, frozen=True, kw_only=True):
-    """The exported cache of one completion, without its bulk data.
+    """Descriptor of the exported KV cache of a completion, without the tensors.
 
     Attributes:
-        model: Model it belongs to.
-        weight_version: Weights that computed it.
-        content_hash: Hash of the prompt and of the tokens it covers.
-        tokens: Tokens it covers, those of the prompt included.
-        size_bytes: Size of the keys and values.
+        model: Model that computed it.
+        weight_version: Weight version that computed it.
+        content_hash: Hash of the prompt and the generated tokens.
+        tokens: Number of cached tokens, including the prompt.
+        size_bytes: Size of the cache.
     """
 
     model: str
@@ -41,45 +41,45 @@
 
 
 class MixedVersionsError(BackendError):
-    """A cache that several versions computed cannot be exported."""
+    """A cache computed by several weight versions cannot be exported."""
 
     code = "mixed_versions"
 
 
 class UnknownAttemptError(BackendError):
-    """The engine does not hold the cache of an attempt."""
+    """The engine has no cache for an attempt."""
 
     code = "unknown_attempt"
 
 
 def content_hash(model: str, prompt: str, tokens: tuple[int, ...]) -> str:
-    """Return the hash of a prompt and the tokens that follow it."""
+    """Return the hash of a model, a prompt and the generated tokens."""
     return str(xxhash.xxh64_hexdigest(msgspec.json.encode((model, prompt, tokens))))
 
 
 class CacheTransfers:
-    """Caches of one run of an engine that can be exported, and those imported."""
+    """Exportable and imported KV caches of one engine process."""
 
     def __init__(
         self, weights: LoadedWeights, capacity_completions: int = DEFAULT_CAPACITY_COMPLETIONS
     ) -> None:
-        """Hold the newest ``capacity_completions`` of each kind."""
+        """Create empty caches; each keeps its newest ``capacity_completions`` entries."""
         self._weights = weights
         self._capacity = capacity_completions
         self._completions: OrderedDict[AttemptId, Generation] = OrderedDict()
         self._imports: OrderedDict[str, CacheExport] = OrderedDict()
 
-    def hold(self, generation: Generation) -> None:
-        """Hold the cache of a completion, running or ended."""
+    def retain(self, generation: Generation) -> None:
+        """Keep the cache of a running or ended completion for export."""
         self._completions[generation.request.attempt_id] = generation
         while len(self._completions) > self._capacity:
             self._completions.popitem(last=False)
 
     def export(self, attempt_id: AttemptId) -> CacheExport:
-        """Return the cache of an attempt as it stands.
+        """Return a descriptor of the current cache of an attempt.
 
         Raises:
-            UnknownAttemptError: It is not held.
+            UnknownAttemptError: The cache is not held.
             MixedVersionsError: The weights changed while it was computed.
         """
         generation = self._completions.get(attempt_id)
@@ -98,11 +98,11 @@
             size_bytes=tokens * BYTES_PER_TOKEN,
         )
 
-    def accept(self, export: CacheExport) -> None:
-        """Import a cache.
+    def store_import(self, export: CacheExport) -> None:
+        """Store an imported cache.
 
         Raises:
-            BackendRefusedError: Other weights are loaded.
+            BackendRefusedError: Another model or weight version is loaded.
         """
         weights = self._weights
         if export.model != weights.model or export.weight_version != weights.version:
@@ -112,19 +112,19 @@
             self._imports.popitem(last=False)
 
     def refusal_reason(self, request: GenerationRequest) -> str | None:
-        """Return why a completion cannot be resumed, and drop the cache that forbids it."""
-        found = self._find(request)
-        if found is None or found.weight_version == self._weights.version:
+        """Return why a completion cannot be resumed, and drop the outdated cache."""
+        imported = self._find(request)
+        if imported is None or imported.weight_version == self._weights.version:
             return None
-        self._imports.pop(found.content_hash)
+        self._imports.pop(imported.content_hash)
         return CACHE_VERSION_MISMATCH
 
-    def take(self, request: GenerationRequest) -> bool:
-        """Use up the imported cache of a resumed completion; return whether there was one."""
-        found = self._find(request)
-        if found is None or found.weight_version != self._weights.version:
+    def consume_import(self, request: GenerationRequest) -> bool:
+        """Remove the imported cache for a resumed completion; return whether there was one."""
+        imported = self._find(request)
+        if imported is None or imported.weight_version != self._weights.version:
             return False
-        self._imports.pop(found.content_hash)
+        self._imports.pop(imported.content_hash)
         return True
 
     def _find(self, request: GenerationRequest) -> CacheExport | None:
--- a/drumbay/standins/engine_completions.py
+++ b/drumbay/standins/engine_completions.py
@@ -1,4 +1,4 @@
-"""OpenAI-compatible completions of an emulated engine."""
+"""OpenAI-compatible completion handlers of an emulated engine."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -43,15 +43,15 @@
 
 
 class EngineHandler(JsonHandler):
-    """Base class of the engine's handlers."""
+    """Base class of the engine's request handlers."""
 
     def initialize(self, engine: EngineModel, tasks: TaskOwner) -> None:
-        """Store the engine and the owner of background tasks."""
+        """Set the engine and the owner of background tasks."""
         self.engine = engine
         self.tasks = tasks
 
     def send_backend_error(self, error: BackendError) -> None:
-        """Answer a failure, or drop the connection where a real process would."""
+        """Respond with an error, or drop the connection as a crashed process would."""
         if isinstance(error, BackendRefusedError):
             status = HTTP_TOO_MANY_REQUESTS if error.reason == OVERLOADED else HTTP_UNAVAILABLE
             self.send_error_body(
@@ -76,7 +76,7 @@
     _attempt_id = AttemptId("")
 
     async def post(self) -> None:
-        """Generate a completion, streamed or whole."""
+        """Generate a completion, streamed or in one response."""
         self._attempt_id = AttemptId(self.request.headers.get(REQUEST_ID_HEADER, ""))
         self.set_header(REQUEST_ID_HEADER, self._attempt_id)
         try:
@@ -91,14 +91,14 @@
             if body.stream:
                 await self._send_stream(request, chunks)
             else:
-                await self._send_whole(request, chunks)
+                await self._send_completion(request, chunks)
 
     def on_connection_close(self) -> None:
-        """Stop the generation when the caller has gone."""
+        """Cancel the generation when the client disconnects."""
         self.tasks.spawn(self._cancel(), f"cancel-{self._attempt_id}")
 
     def decode_body(self) -> CompletionBody:
-        """Return the body of the request.
+        """Decode the request body.
 
         Raises:
             msgspec.DecodeError: The body is not valid.
@@ -109,8 +109,8 @@
         """Return the choice of a streamed chunk."""
         return Choice(text=chunk.text, finish_reason=chunk.finish_reason)
 
-    def whole_choice(self, text: str, last: TokenChunk) -> Choice:
-        """Return the choice of a whole answer."""
+    def completion_choice(self, text: str, last: TokenChunk) -> Choice:
+        """Return the choice of a non-streamed response."""
         return Choice(text=text, finish_reason=last.finish_reason)
 
     async def _cancel(self) -> None:
@@ -122,12 +122,12 @@
     async def _send_stream(
         self, request: GenerationRequest, chunks: AsyncGenerator[TokenChunk]
     ) -> None:
-        started = False
+        headers_sent = False
         try:
             async for chunk in chunks:
-                if not started:
+                if not headers_sent:
                     self.set_header("Content-Type", EVENT_STREAM_TYPE)
-                    started = True
+                    headers_sent = True
                 self.write(encode_event(msgspec.json.encode(self._event(request, chunk))))
                 await self.flush()
             self.write(encode_event(DONE_EVENT))
@@ -138,20 +138,20 @@
         except BackendError:
             self.drop_connection()
 
-    async def _send_whole(
+    async def _send_completion(
         self, request: GenerationRequest, chunks: AsyncGenerator[TokenChunk]
     ) -> None:
-        received: list[TokenChunk] = []
+        received_chunks: list[TokenChunk] = []
         try:
             async for chunk in chunks:
-                received.append(chunk)
+                received_chunks.append(chunk)
         except BackendRefusedError as error:
             self.send_backend_error(error)
             return
         except BackendError:
             self.drop_connection()
             return
-        self.send(self._whole(request, received))
+        self.send(self._completion_response(request, received_chunks))
 
     def _event(self, request: GenerationRequest, chunk: TokenChunk) -> CompletionChunk:
         return CompletionChunk(
@@ -165,7 +165,9 @@
             token_ids=chunk.token_ids,
         )
 
-    def _whole(self, request: GenerationRequest, chunks: list[TokenChunk]) -> WholeCompletion:
+    def _completion_response(
+        self, request: GenerationRequest, chunks: list[TokenChunk]
+    ) -> WholeCompletion:
         tokens = tuple(token for chunk in chunks for token in chunk.token_ids)
         prompt_tokens = len(request.prompt) // CHARACTERS_PER_TOKEN + 1
         last = chunks[-1]
@@ -173,7 +175,7 @@
             id=last.attempt_id,
             object=self.object_name,
             model=request.model,
-            choices=(self.whole_choice("".join(chunk.text for chunk in chunks), last),),
+            choices=(self.completion_choice("".join(chunk.text for chunk in chunks), last),),
             usage=Usage(
                 prompt_tokens=prompt_tokens,
                 completion_tokens=len(tokens),
@@ -191,7 +193,7 @@
     object_name = "chat.completion"
 
     def decode_body(self) -> CompletionBody:
-        """Return the body with its messages as one prompt.
+        """Decode the request body, with its messages joined into one prompt.
 
         Raises:
             msgspec.DecodeError: The body is not valid.
@@ -202,7 +204,7 @@
         """Return the choice of a streamed chunk."""
         return Choice(delta=ChatDelta(content=chunk.text), finish_reason=chunk.finish_reason)
 
-    def whole_choice(self, text: str, last: TokenChunk) -> Choice:
-        """Return the choice of a whole answer."""
+    def completion_choice(self, text: str, last: TokenChunk) -> Choice:
+        """Return the choice of a non-streamed response."""
         message = ChatMessage(role="assistant", content=text)
         return Choice(message=message, finish_reason=last.finish_reason)
--- a/drumbay/standins/engine_context.py
+++ b/drumbay/standins/engine_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an emulated engine share over restarts of its process."""
+"""State of an emulated engine that survives restarts of its process."""
 
 import random
 
@@ -21,11 +21,11 @@
 
 
 class EngineContext(ProcessContext):
-    """The context of a process, with the parameters and the swap gate of an engine.
+    """Process context with the parameters and the swap gate of an engine.
 
     Attributes:
         parameters: Sizes, rates and delays.
-        swap_gate: Held while weights are exchanged.
+        swap_gate: Closed while weights are swapped.
     """
 
     def __init__(
@@ -41,8 +41,8 @@
         self.swap_gate = ProcessGate()
 
     async def decode(self, seconds: float) -> None:
-        """Spend time on work that an exchange of weights interrupts too."""
+        """Spend time on work that pauses while the process is frozen or weights are swapped."""
         await self.work(seconds)
         while not (self.freeze_gate.is_open and self.swap_gate.is_open):
-            await self.freeze_gate.passed()
-            await self.swap_gate.passed()
+            await self.freeze_gate.wait_open()
+            await self.swap_gate.wait_open()
--- a/drumbay/standins/engine_decoder.py
+++ b/drumbay/standins/engine_decoder.py
@@ -1,4 +1,4 @@
-"""Prefill and decoding of one generation on an emulated engine."""
+"""Prefill and decode of a generation on an emulated engine."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class EngineDecoder:
-    """Computes prompts and tokens at the rate of the batch."""
+    """Prefills prompts and decodes tokens at the rate of the batch."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         cache: PrefixCache,
         publish: Callable[[CacheEvent], None],
     ) -> None:
-        """Create a decoder; ``publish`` is called with each change of the cache."""
+        """Create a decoder; ``publish`` is called with each prefix cache event."""
         self._context = context
         self._weights = weights
         self._slots = slots
@@ -35,7 +35,7 @@
         self._publish = publish
 
     async def decode(self, generation: Generation) -> GenerationOutcome:
-        """Run a generation that has its place in the batch, to its end."""
+        """Run a generation that has a batch slot, and return how it ended."""
         generation.started_at_seconds = self._context.clock.monotonic()
         await self._prefill(generation)
         while generation.next_index < generation.length:
@@ -54,8 +54,8 @@
             return
         hashes = prefix_hashes(request.model, request.prompt)
         cached_tokens = self._cache.cached_blocks(version, hashes) * BLOCK_TOKENS
-        missing = generation.prompt_tokens + len(request.resume_tokens) - cached_tokens
-        await self._context.decode(self._context.parameters.rate.prefill_seconds(missing))
+        uncached_tokens = generation.prompt_tokens + len(request.resume_tokens) - cached_tokens
+        await self._context.decode(self._context.parameters.rate.prefill_seconds(uncached_tokens))
         for event in self._cache.store(version, hashes):
             self._publish(event)
 
@@ -64,10 +64,10 @@
         first = generation.next_index
         count = min(parameters.chunk_tokens, generation.length - first)
         await self._context.decode(parameters.rate.decode_seconds(count, self._slots.running))
-        if generation.late:
-            generation.late = False
+        if generation.delay_pending:
+            generation.delay_pending = False
             await self._context.decode(parameters.late_answer_seconds)
-        # NOTE: the version is read after the wait, in the step that makes the tokens.
+        # Read after the wait: a weight swap may have happened during the decode step.
         version = self._weights.version
         request = generation.request
         tokens = tuple(
@@ -85,15 +85,21 @@
         version: WeightVersion,
     ) -> None:
         request = generation.request
-        named = generation.crossed_with or request
-        if named is not request:
+        attributed_request = generation.mismatched_request or request
+        if attributed_request is not request:
             tokens = tuple(
-                token_at(named.model, named.seed, named.prompt, version, first + offset)
+                token_at(
+                    attributed_request.model,
+                    attributed_request.seed,
+                    attributed_request.prompt,
+                    version,
+                    first + offset,
+                )
                 for offset in range(len(tokens))
             )
         generation.chunks.put_nowait(
             TokenChunk(
-                attempt_id=named.attempt_id,
+                attempt_id=attributed_request.attempt_id,
                 boot_id=generation.boot_id,
                 weight_version=version,
                 first_index=first,
@@ -106,6 +112,6 @@
     def _finish_reason(self, generation: Generation) -> FinishReason | None:
         if generation.next_index < generation.length:
             return None
-        if generation.natural_length <= generation.request.max_tokens:
+        if generation.unbounded_length <= generation.request.max_tokens:
             return FinishReason.STOP
         return FinishReason.LENGTH
--- a/drumbay/standins/engine_orders.py
+++ b/drumbay/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Fenced orders on an emulated engine: which weights are loaded, and which it claims."""
+"""Fenced orders of an emulated engine, and the weights that it has loaded."""
 
 from typing import Protocol
 
@@ -10,10 +10,10 @@
 
 
 class WeightSource(Protocol):
-    """Where an engine fetches weights from."""
+    """Source that an engine fetches weights from."""
 
     async def fetch(self, model: str, version: WeightVersion, reader: BackendId) -> None:
-        """Return once the whole weights are fetched.
+        """Return when the weights are fetched completely.
 
         Raises:
             DrumbayError: The version is unknown or the store is not available.
@@ -22,29 +22,29 @@
 
 
 class LoadedWeights:
-    """The weights of one run of an engine process.
+    """Weights that an engine process has loaded.
 
     Attributes:
         model: Model that is loaded.
-        version: Version that truly produces tokens.
-        claimed_version: Version that the engine believes to be loaded.
+        version: Version that produces tokens.
+        claimed_version: Version that the engine reports.
         highest_fence: Newest fence seen.
         role: Role last set by an order.
-        adapters: Adapters loaded, in the order of loading.
+        adapters: Loaded adapters, in the order of loading.
     """
 
     def __init__(self, model: str, version: WeightVersion, highest_fence: Fence) -> None:
-        """Create the state after a start."""
+        """Create the state after a process start."""
         self.model = model
         self.version = version
         self.claimed_version = version
         self.highest_fence = highest_fence
         self.role: str | None = None
         self.adapters: list[str] = []
-        self._loads = 0
+        self._load_count = 0
 
     def admit(self, order: FencedOrder) -> None:
-        """Check the fence of an order and remember it.
+        """Check the fence of an order and record it.
 
         Raises:
             StaleFenceError: A newer fence was seen.
@@ -54,39 +54,39 @@
         self.highest_fence = order.fence
 
     def begin_load(self) -> int:
-        """Return the number of a new load; it supersedes loads under way."""
-        self._loads += 1
-        return self._loads
+        """Return the number of a new load, which supersedes all earlier ones."""
+        self._load_count += 1
+        return self._load_count
 
-    def check_current(self, order: FencedOrder, load: int) -> None:
-        """Check that no later order superseded a load while it ran.
+    def check_current(self, order: FencedOrder, load_number: int) -> None:
+        """Check that a load has not been superseded by a later order.
 
         Raises:
-            StaleFenceError: An order with a newer fence came in.
-            BackendError: A later order with the same fence came in.
+            StaleFenceError: An order with a newer fence arrived.
+            BackendError: A later order with the same fence arrived.
         """
         if order.fence < self.highest_fence:
             raise StaleFenceError(f"fence {order.fence} is below {self.highest_fence}")
-        if load != self._loads:
+        if load_number != self._load_count:
             raise BackendError(f"the load of version {order.weight_version} was superseded")
 
 
 class OrderExecutor:
-    """Carries out fenced orders of one run of an engine."""
+    """Executes the fenced orders of one engine process."""
 
     def __init__(
         self, context: EngineContext, weights: LoadedWeights, weight_source: WeightSource | None
     ) -> None:
-        """Create an executor; without a weight source the weights are at hand."""
+        """Create an executor; without a weight source no fetch is needed."""
         self._context = context
         self._weights = weights
         self._weight_source = weight_source
 
     async def execute(self, order: FencedOrder) -> OrderOutcome:
-        """Carry out an admitted order.
+        """Execute an admitted order.
 
         Raises:
-            StaleFenceError: A newer fence came in while the order ran.
+            StaleFenceError: A newer fence arrived while the order ran.
             DrumbayError: The order failed.
         """
         if order.kind is OrderKind.CHANGE_ROLE:
@@ -111,32 +111,32 @@
         if version is None:
             raise BackendError("the order names no weight version")
         weights = self._weights
-        load = weights.begin_load()
+        load_number = weights.begin_load()
         if order.model == weights.model and version == weights.version:
             weights.claimed_version = version
             return OrderOutcome.DONE
         if self._weight_source is not None:
             await self._weight_source.fetch(order.model, version, self._context.backend_id)
         await self._context.work(self._context.parameters.load_seconds)
-        weights.check_current(order, load)
-        if self._context.faults.strikes(FaultKind.SWAP_FAILS):
+        weights.check_current(order, load_number)
+        if self._context.faults.should_inject(FaultKind.SWAP_FAILS):
             raise BackendError(f"version {version} could not be loaded")
-        if self._context.faults.strikes(FaultKind.SWAP_FAILS_ACKNOWLEDGED):
+        if self._context.faults.should_inject(FaultKind.SWAP_FAILS_ACKNOWLEDGED):
             weights.claimed_version = version
             return OrderOutcome.FAILED_ACKNOWLEDGED
-        await self._swap(order, version, load)
+        await self._swap(order, version, load_number)
         return OrderOutcome.DONE
 
-    async def _swap(self, order: FencedOrder, version: WeightVersion, load: int) -> None:
+    async def _swap(self, order: FencedOrder, version: WeightVersion, load_number: int) -> None:
         weights = self._weights
-        # NOTE: one hold for each load: a superseded swap must not end its successor's hold.
-        hold = f"load-{load}"
-        self._context.swap_gate.hold(hold)
+        # Each load has its own hold, so that a superseded swap does not release its successor's.
+        hold_name = f"load-{load_number}"
+        self._context.swap_gate.hold(hold_name)
         try:
             await self._context.work(self._context.parameters.swap_pause_seconds)
-            weights.check_current(order, load)
+            weights.check_current(order, load_number)
             weights.model = order.model
             weights.version = version
             weights.claimed_version = version
         finally:
-            self._context.swap_gate.release(hold)
+            self._context.swap_gate.release(hold_name)
--- a/drumbay/standins/engine_parameters.py
+++ b/drumbay/standins/engine_parameters.py
@@ -1,4 +1,4 @@
-"""Sizes, rates and delays of an emulated engine."""
+"""Configuration of an emulated engine."""
 
 import msgspec
 
@@ -6,24 +6,24 @@
 
 
 class EngineParameters(msgspec.Struct, frozen=True, kw_only=True):
-    """Parameters of one emulated engine.
+    """Sizes, rates and delays of an emulated engine.
 
     Attributes:
-        max_batch: Requests that decode together.
-        max_waiting: Requests that may queue; more are refused as overloaded.
+        max_batch: Maximum number of requests in the batch.
+        max_waiting: Maximum queue length; further requests are refused as overloaded.
         chunk_tokens: Tokens per streamed chunk.
-        rate: Token rates.
-        cache_blocks: Capacity of the prefix cache, in blocks.
+        rate: Prefill and decode rates.
+        cache_blocks: Capacity of the prefix cache in blocks.
         cache_event_delay_seconds: Delay from a cache change to its publication.
-        cache_event_loss: Share of cache events that are never published.
-        cache_event_backlog: Published events that are held for readers.
-        cache_transfer_bytes_per_second: Rate of an import of keys and values.
-        load_report_lag_seconds: Age of the load figures in a status.
-        load_seconds: Time to load weights once they are fetched.
-        swap_pause_seconds: Time that decoding stands still while weights are exchanged.
-        overload_retry_seconds: Retry time given with a refusal.
-        late_answer_seconds: Delay of an answer under the fault ``late_answer``.
-        keeps_fence_over_restart: Whether the newest fence survives a restart.
+        cache_event_loss: Fraction of cache events that are never published.
+        cache_event_backlog: Number of events kept for readers.
+        cache_transfer_bytes_per_second: Transfer rate of a KV cache import.
+        load_report_lag_seconds: Age of the load values in a status.
+        load_seconds: Time to load weights after the fetch.
+        swap_pause_seconds: Decode pause while weights are swapped.
+        overload_retry_seconds: ``Retry-After`` value of an overload refusal.
+        late_answer_seconds: Response delay with the fault ``late_answer``.
+        keeps_fence_over_restart: Whether the highest fence survives a restart.
     """
 
     max_batch: int = 16
--- a/drumbay/standins/engine_run.py
+++ b/drumbay/standins/engine_process.py
@@ -1,4 +1,4 @@
-"""One run of an emulated engine process: all that its death loses."""
+"""State of one emulated engine process, lost when it crashes."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -30,15 +30,15 @@
 from drumbay.standins.prefix_cache import CacheEventFeed, PrefixCache
 
 
-class EngineRun:
-    """Batch, queue, cache and orders of one run.
+class EngineProcess:
+    """Batch, queue, cache and orders of one engine process.
 
     Attributes:
-        boot_id: Identity of the run.
-        weights: Weights that are loaded.
-        orders: Orders under way.
-        cache_transfers: Caches exported and imported.
-        ended: Whether the process has died.
+        boot_id: Identity of the process.
+        weights: Loaded weights.
+        orders: Orders in progress.
+        cache_transfers: Exportable and imported KV caches.
+        ended: Whether the process has crashed.
     """
 
     def __init__(
@@ -48,13 +48,13 @@
         weights: LoadedWeights,
         weight_source: WeightSource | None,
     ) -> None:
-        """Start a run with nothing cached and nothing running."""
+        """Start with an empty cache and an empty batch."""
         parameters = context.parameters
         self.boot_id = boot_id
         self.weights = weights
         self.ended = False
         self._context = context
-        self._load = LoadHistory(parameters.load_report_lag_seconds)
+        self._load_history = LoadHistory(parameters.load_report_lag_seconds)
         self._slots = BatchSlots(parameters.max_batch, self._record_load)
         self._feed = CacheEventFeed(
             parameters.cache_event_delay_seconds, parameters.cache_event_backlog
@@ -64,16 +64,16 @@
             context, weights, self._slots, cache, self._publish_cache_event
         )
         executor = OrderExecutor(context, weights, weight_source)
-        self.orders = OrderQueue(context, boot_id, weights, executor, self._order_done)
+        self.orders = OrderQueue(context, boot_id, weights, executor, self._finish_order)
         self.cache_transfers = CacheTransfers(weights)
         self._generations: dict[AttemptId, Generation] = {}
         self._previous_request: GenerationRequest | None = None
 
     def admit(self, request: GenerationRequest) -> Generation:
-        """Take a request into the queue.
+        """Check a request and add it to the queue.
 
         Raises:
-            BackendRefusedError: The engine will not run the request.
+            BackendRefusedError: The request is not accepted.
         """
         reason = self._refusal_reason(request)
         if reason is not None:
@@ -81,8 +81,8 @@
             retry_after = self._context.parameters.overload_retry_seconds
             raise BackendRefusedError(reason, retry_after)
         generation = Generation(request, self.boot_id, self._slots.enqueue(request.priority))
-        generation.cache_imported = self.cache_transfers.take(request)
-        self.cache_transfers.hold(generation)
+        generation.cache_imported = self.cache_transfers.consume_import(request)
+        self.cache_transfers.retain(generation)
         self._apply_answer_faults(generation)
         self._previous_request = request
         self._generations[request.attempt_id] = generation
@@ -96,43 +96,43 @@
             )
         )
         name = f"generation-{request.attempt_id}"
-        generation.task = self._context.tasks.spawn(self._run(generation), name)
+        generation.task = self._context.tasks.spawn(self._run_generation(generation), name)
         return generation
 
     async def stream(self, generation: Generation) -> AsyncGenerator[TokenChunk]:
-        """Yield the chunks of an admitted request; closing the stream cancels it.
+        """Yield the chunks of an admitted request; closing the stream cancels the request.
 
         Raises:
             ExchangeBrokenError: The stream broke.
         """
         try:
             while True:
-                item = await generation.chunks.get()
-                await self._context.freeze_gate.passed()
-                if isinstance(item, BackendError):
-                    raise item
-                yield item
-                if item.finish_reason is not None:
+                chunk = await generation.chunks.get()
+                await self._context.freeze_gate.wait_open()
+                if isinstance(chunk, BackendError):
+                    raise chunk
+                yield chunk
+                if chunk.finish_reason is not None:
                     return
         finally:
-            self._end(generation, GenerationOutcome.CANCELLED)
+            self._end_generation(generation, GenerationOutcome.CANCELLED)
 
     def cancel(self, attempt_id: AttemptId) -> None:
-        """Stop an attempt; its stream ends with the finish reason ``cancelled``."""
+        """Cancel an attempt; its stream ends with the finish reason ``cancelled``."""
         generation = self._generations.get(attempt_id)
         if generation is not None:
-            self._end(generation, GenerationOutcome.CANCELLED)
+            self._end_generation(generation, GenerationOutcome.CANCELLED)
 
     def abort(self) -> None:
-        """Break every stream and order, as the death of the process does."""
+        """Break every stream and order, as a process crash does."""
         self.ended = True
         for generation in list(self._generations.values()):
-            self._end(generation, GenerationOutcome.CRASHED)
+            self._end_generation(generation, GenerationOutcome.CRASHED)
         self.orders.abort()
 
     def status(self) -> EngineStatus:
-        """Return the engine's report; its load figures lag."""
-        load = self._load.report(self._context.clock.monotonic())
+        """Return the status of the engine; its load values lag."""
+        load = self._load_history.report(self._context.clock.monotonic())
         return EngineStatus(
             backend_id=self._context.backend_id,
             boot_id=self.boot_id,
@@ -145,7 +145,7 @@
         )
 
     def cache_events(self, after_sequence: int) -> tuple[CacheEvent, ...]:
-        """Return the cache events that are published by now."""
+        """Return the events published so far after a sequence number."""
         return self._feed.published(self._context.clock.monotonic(), after_sequence)
 
     def _refusal_reason(self, request: GenerationRequest) -> str | None:
@@ -162,23 +162,23 @@
 
     def _apply_answer_faults(self, generation: Generation) -> None:
         faults = self._context.faults
-        generation.truncated = faults.strikes(FaultKind.TRUNCATED_ANSWER)
-        generation.late = faults.strikes(FaultKind.LATE_ANSWER)
-        if self._previous_request is not None and faults.strikes(FaultKind.CROSSED_ANSWER):
-            generation.crossed_with = self._previous_request
+        generation.truncated = faults.should_inject(FaultKind.TRUNCATED_ANSWER)
+        generation.delay_pending = faults.should_inject(FaultKind.LATE_ANSWER)
+        if self._previous_request is not None and faults.should_inject(FaultKind.CROSSED_ANSWER):
+            generation.mismatched_request = self._previous_request
 
-    async def _run(self, generation: Generation) -> None:
+    async def _run_generation(self, generation: Generation) -> None:
         await generation.ticket.granted
         outcome = await self._decoder.decode(generation)
-        self._end(generation, outcome)
+        self._end_generation(generation, outcome)
 
-    def _end(self, generation: Generation, outcome: GenerationOutcome) -> None:
-        """End a generation once; later calls do nothing."""
+    def _end_generation(self, generation: Generation, outcome: GenerationOutcome) -> None:
+        """Record the outcome of a generation and release its slot; idempotent."""
         if generation.outcome is not None:
             return
         generation.outcome = outcome
         self._generations.pop(generation.request.attempt_id, None)
-        self._slots.leave(generation.ticket)
+        self._slots.release(generation.ticket)
         now = self._context.clock.monotonic()
         record = generation.ended_record(now, self._context.backend_id, outcome)
         self._context.log.append(record)
@@ -200,10 +200,10 @@
             finish_reason=FinishReason.CANCELLED,
         )
 
-    def _order_done(self) -> EngineStatus:
+    def _finish_order(self) -> EngineStatus:
         for generation in list(self._generations.values()):
             if generation.request.model != self.weights.model:
-                self._end(generation, GenerationOutcome.MODEL_CHANGED)
+                self._end_generation(generation, GenerationOutcome.MODEL_CHANGED)
         return self.status()
 
     def _log_refusal(self, request: GenerationRequest, reason: str) -> None:
@@ -218,7 +218,7 @@
         )
 
     def _record_load(self) -> None:
-        self._load.record(
+        self._load_history.record(
             LoadSample(
                 time_seconds=self._context.clock.monotonic(),
                 running=self._slots.running,
--- a/drumbay/standins/engine_server.py
+++ b/drumbay/standins/engine_server.py
@@ -1,4 +1,4 @@
-"""An emulated engine as an HTTP server: completions and admin requests."""
+"""HTTP server of an emulated engine: completion and admin endpoints."""
 
 import ssl
 
@@ -37,7 +37,7 @@
     """``POST /admin/orders``."""
 
     async def post(self) -> None:
-        """Carry out a fenced order and answer with the status after it."""
+        """Execute a fenced order and return the status after it."""
         try:
             order = msgspec.json.decode(self.request.body, type=FencedOrder)
             self.send(await self.engine.order(order))
@@ -51,7 +51,7 @@
     """``GET /admin/status``."""
 
     async def get(self) -> None:
-        """Answer with the engine's report."""
+        """Return the status of the engine."""
         try:
             self.send(await self.engine.status())
         except BackendError as error:
@@ -62,7 +62,7 @@
     """``GET /admin/cache-events?after=N``."""
 
     async def get(self) -> None:
-        """Answer with the published cache events."""
+        """Return the published cache events after a sequence number."""
         after = self.get_query_argument("after", "0")
         if not after.isdecimal():
             self.send_error_body(HTTP_BAD_REQUEST, "invalid_query", "after is a number")
@@ -77,7 +77,7 @@
     """``POST /admin/cancel``."""
 
     async def post(self) -> None:
-        """Stop an attempt."""
+        """Cancel an attempt."""
         try:
             body = msgspec.json.decode(self.request.body, type=AttemptBody)
             await self.engine.cancel(body.attempt_id)
@@ -94,7 +94,7 @@
     """``POST /admin/kv-cache/export``."""
 
     async def post(self) -> None:
-        """Answer with the cache of an attempt."""
+        """Return a descriptor of the KV cache of an attempt."""
         try:
             body = msgspec.json.decode(self.request.body, type=AttemptBody)
             self.send(await self.engine.export_cache(body.attempt_id))
@@ -108,7 +108,7 @@
     """``POST /admin/kv-cache/import``."""
 
     async def post(self) -> None:
-        """Take the cache of an attempt that ran elsewhere."""
+        """Import the KV cache of an attempt from another engine."""
         try:
             export = msgspec.json.decode(self.request.body, type=CacheExport)
             await self.engine.import_cache(export)
@@ -120,7 +120,7 @@
 
 
 class EngineServer:
-    """Serves one emulated engine."""
+    """HTTP server of one emulated engine."""
 
     def __init__(
         self,
@@ -131,7 +131,7 @@
         port: int,
         ssl_context: ssl.SSLContext | None = None,
     ) -> None:
-        """Create a server; ``port`` 0 takes a free port."""
+        """Create a server; ``port`` 0 selects a free port."""
         self._engine = engine
         self._tasks = TaskOwner()
         arguments = {"engine": engine, "tasks": self._tasks}
@@ -155,7 +155,7 @@
 
     @property
     def base_url(self) -> str:
-        """URL at which the engine is reached."""
+        """Base URL of the engine."""
         return self._server.base_url
 
     @property
@@ -164,15 +164,15 @@
         return self._engine.backend_id
 
     def carry_out(self, command: ProcessCommand) -> None:
-        """Crash or freeze the process, and let it recover later."""
+        """Crash or freeze the process; it recovers after a delay."""
         self._server.carry_out(command)
 
     def start(self) -> None:
-        """Bind the port and serve."""
+        """Bind the port and start serving."""
         self._server.start()
 
     async def stop(self) -> None:
-        """End the engine and stop serving."""
+        """Stop serving and stop the engine."""
         await self._server.stop()
         await self._engine.close()
         await self._tasks.close()
--- a/drumbay/standins/execution_log.py
+++ b/drumbay/standins/execution_log.py
@@ -1,6 +1,6 @@
-"""Execution logs: what an emulator truly did, whatever it answered.
+"""Execution logs: the effects of an emulator, independent of its responses.
 
-The proofs read these records. Each is appended at the moment of the effect.
+A record is appended when the effect happens. Tests compare the logs with what clients saw.
 """
 
 import itertools
@@ -13,7 +13,7 @@
 
 
 class ExecutionRecord(msgspec.Struct, frozen=True, kw_only=True, tag=True, tag_field="record"):
-    """Base class of log records.
+    """Base class of execution log records.
 
     Attributes:
         time_seconds: Monotonic clock of the emulator.
@@ -25,7 +25,7 @@
 
 
 class GenerationAccepted(ExecutionRecord, frozen=True, kw_only=True):
-    """An engine took a request into its queue; from here on it may run."""
+    """An engine added a request to its queue; it may run from then on."""
 
     boot_id: BootId
     attempt_id: AttemptId
@@ -41,7 +41,7 @@
 
 
 class GenerationOutcome(StrEnum):
-    """How a generation truly ended on the engine."""
+    """How a generation ended on the engine."""
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
@@ -51,7 +51,7 @@
 
 
 class VersionSpan(msgspec.Struct, frozen=True, kw_only=True):
-    """Consecutive tokens produced by one weight version."""
+    """Range of consecutive tokens produced by one weight version."""
 
     weight_version: WeightVersion
     first_index: int
@@ -62,12 +62,12 @@
     """A generation ended.
 
     Attributes:
-        boot_id: Run of the engine process.
+        boot_id: Identity of the engine process.
         attempt_id: The attempt.
         outcome: How it ended.
-        spans: Versions that truly produced the tokens, in order of index.
-        digest: Hash of the produced tokens, without the resumed ones.
-        started_at_seconds: When the first prefill began; ``None`` if it never left the queue.
+        spans: Versions that produced the tokens, in order of index.
+        digest: Hash of the generated tokens, without the resumed ones.
+        started_at_seconds: Start of the prefill; ``None`` if it never left the queue.
     """
 
     boot_id: BootId
@@ -79,7 +79,7 @@
 
 
 class OrderOutcome(StrEnum):
-    """What a fenced order truly did."""
+    """Effect of a fenced order."""
 
     DONE = "done"
     STALE_FENCE = "stale_fence"
@@ -104,13 +104,13 @@
 
 
 class ProcessCrashed(ExecutionRecord, frozen=True, kw_only=True):
-    """An emulated process died."""
+    """An emulated process crashed."""
 
     boot_id: BootId
 
 
 class ApplicationExecuted(ExecutionRecord, frozen=True, kw_only=True):
-    """An application server ran a request; one record for each execution."""
+    """An application server executed a request; one record per execution."""
 
     boot_id: BootId
     attempt_id: AttemptId
@@ -145,7 +145,7 @@
 
 
 class WeightsFetched(ExecutionRecord, frozen=True, kw_only=True):
-    """A reader got the whole weights of a version."""
+    """A reader received the complete weights of a version."""
 
     model: str
     weight_version: WeightVersion
@@ -156,13 +156,13 @@
     """A trainer consumed one sample.
 
     Attributes:
-        step: Training step the sample went into.
+        step: Training step that used the sample.
         cursor: Position of the sample in the stream.
         sample_id: The sample.
-        weight_versions: Versions the sample names.
+        weight_versions: Versions that generated the sample, as the sample states them.
         trainer_version: Version of the trainer when it consumed the sample.
-        oldest_accepted_version: Bound that the trainer had stated.
-        trainer_run: Number of the trainer's run; a restart begins another.
+        oldest_accepted_version: Staleness bound that the trainer had set.
+        trainer_run: Run number of the trainer; each restart increments it.
     """
 
     step: int
@@ -208,16 +208,16 @@
     | StepFinished
     | TrainerRestarted
 )
-"""Every record, for decoding a log that was fetched over HTTP."""
+"""Union of all records, for decoding a log fetched over HTTP."""
 
 
 class ExecutionLogPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Part of a log.
+    """Page of an execution log.
 
     Attributes:
-        first: Number of the first record returned.
-        total: Records ever appended.
-        records: The records.
+        first: Index of the first record of the page.
+        total: Number of records appended so far, including dropped ones.
+        records: Records of the page.
     """
 
     first: int
@@ -231,8 +231,8 @@
 class ExecutionLog:
     """An append-only log of bounded size.
 
-    NOTE: a proof must see every record. It compares ``total`` with what it read, and a
-    reader that asks for records that were already dropped gets a page that starts later.
+    The oldest records are dropped when the log is full. A reader detects missing records by a
+    page that starts after the requested index, or by comparing ``total`` with its own count.
     """
 
     def __init__(self, capacity_records: int = DEFAULT_CAPACITY_RECORDS) -> None:
@@ -246,11 +246,11 @@
         self._total += 1
 
     def records(self) -> tuple[AnyExecutionRecord, ...]:
-        """Return every record still held, oldest first."""
+        """Return the records still held, oldest first."""
         return tuple(self._records)
 
     def page(self, first: int, count: int) -> ExecutionLogPage:
-        """Return at most ``count`` records from number ``first`` on."""
+        """Return at most ``count`` records starting at index ``first``."""
         dropped = self._total - len(self._records)
         start = max(first, dropped)
         offset = start - dropped
--- a/drumbay/standins/faults.py
+++ b/drumbay/standins/faults.py
@@ -1,4 +1,4 @@
-"""Switchable faults of the emulators."""
+"""Fault injection for the emulators."""
 
 from enum import StrEnum
 
@@ -8,38 +8,38 @@
 
 
 class FaultKind(StrEnum):
-    """A fault that can be armed on an emulator."""
+    """Fault that can be injected into an emulator."""
 
     SWAP_FAILS_ACKNOWLEDGED = "swap_fails_acknowledged"
-    """An order to load a version is answered as done, but the old weights stay."""
+    """A load order is acknowledged, but the old weights stay."""
 
     SWAP_FAILS = "swap_fails"
-    """An order to load a version is answered with a failure; the old weights stay."""
+    """A load order fails; the old weights stay."""
 
     ORDER_ANSWER_LOST = "order_answer_lost"
-    """An order is carried out, but its answer is lost."""
+    """An order is executed, but its response is lost."""
 
     CROSSED_ANSWER = "crossed_answer"
-    """A request is answered with the answer of the previous one."""
+    """A request gets the response of the previous request."""
 
     TRUNCATED_ANSWER = "truncated_answer"
-    """An answer ends in the middle."""
+    """A response is cut off in the middle."""
 
     SLOW = "slow"
     """Work takes ``SLOW_FACTOR`` times as long."""
 
     LATE_ANSWER = "late_answer"
-    """The work is done in time, but its answer leaves late."""
+    """The response is sent late, although the work finished in time."""
 
     CRASH_AFTER_EFFECT = "crash_after_effect"
-    """The process dies after the work took effect and before the answer leaves."""
+    """The process crashes after the effect and before the response."""
 
 
 SLOW_FACTOR = 8.0
 
 
 class FaultCommand(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Arm or disarm one fault; ``count`` is how often it strikes, ``None`` for always."""
+    """Arms or disarms a fault; ``count`` limits how often it is injected, ``None`` for no limit."""
 
     fault: FaultKind
     armed: bool = True
@@ -47,24 +47,24 @@
 
 
 class UnsupportedFaultError(DrumbayError):
-    """The emulator has no such fault."""
+    """The emulator does not support the fault."""
 
     code = "unsupported_fault"
 
 
 class FaultSwitches:
-    """The armed faults of one emulator."""
+    """Armed faults of an emulator."""
 
     def __init__(self, supported: tuple[FaultKind, ...]) -> None:
-        """Create switches for ``supported`` faults, all off."""
+        """Create switches for the ``supported`` faults, none of them armed."""
         self._supported = supported
         self._armed: dict[FaultKind, int | None] = {}
 
     def apply(self, command: FaultCommand) -> None:
-        """Arm or disarm one fault.
+        """Arm or disarm a fault.
 
         Raises:
-            UnsupportedFaultError: The emulator has no such fault.
+            UnsupportedFaultError: The emulator does not support the fault.
         """
         if command.fault not in self._supported:
             raise UnsupportedFaultError(command.fault)
@@ -73,8 +73,8 @@
         else:
             self._armed.pop(command.fault, None)
 
-    def strikes(self, fault: FaultKind) -> bool:
-        """Return whether an armed fault strikes now, and count it."""
+    def should_inject(self, fault: FaultKind) -> bool:
+        """Return whether to inject a fault now; a limited fault is used up by one."""
         if fault not in self._armed:
             return False
         remaining = self._armed[fault]
--- a/drumbay/standins/free_addresses.py
+++ b/drumbay/standins/free_addresses.py
@@ -1,10 +1,8 @@
-"""Loopback addresses for processes that a test or a soak starts, and may start again.
+"""Loopback addresses for child processes of tests and soak runs, which may be restarted.
 
-Between the choice of a port and the moment at which a process listens there, and while a process
-is down, the system may give the port away: to another process that asks for any, or as the near
-end of any connection on the machine, which goes out from 127.0.0.1. A process then ends with
-``Address already in use``, or callers reach another one in its place. So each process that starts
-others uses a host of its own, at which nobody else asks, and gives each port once.
+While no process listens on a port, the system may assign it to another process or use it as the
+local port of an outgoing connection from 127.0.0.1. To avoid such conflicts, each parent process
+uses a loopback host of its own and allocates each port only once.
 """
 
 import os
@@ -13,37 +11,37 @@
 from drumbay.comm.http_exchange import NetworkAddress
 
 HOSTS_PER_BLOCK = 254
-"""Values of one part of an address, without 0 and 255."""
+"""Usable values of an octet, without 0 and 255."""
 
-_given_ports: set[int] = set()
+_allocated_ports: set[int] = set()
 
 
 def own_host() -> str:
-    """Return a loopback host that is this process's own."""
+    """Return a loopback host derived from the id of this process."""
     high, low = divmod(os.getpid(), HOSTS_PER_BLOCK)
     return f"127.{1 + high % HOSTS_PER_BLOCK}.{low}.1"
 
 
 def free_address() -> NetworkAddress:
-    """Return an address of this process's host, free for TCP and UDP, that it gave to nobody."""
+    """Allocate an address on this process's host that is free for TCP and UDP."""
     host = own_host()
     while True:
         port = _find_free_port(host)
-        if port is not None and port not in _given_ports:
-            _given_ports.add(port)
+        if port is not None and port not in _allocated_ports:
+            _allocated_ports.add(port)
             return NetworkAddress(host, port)
 
 
 def _find_free_port(host: str) -> int | None:
     with (
-        socket.socket(socket.AF_INET, socket.SOCK_STREAM) as stream,
-        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagram,
+        socket.socket(socket.AF_INET, socket.SOCK_STREAM) as tcp_socket,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket,
     ):
-        stream.bind((host, 0))
-        port = int(stream.getsockname()[1])
+        tcp_socket.bind((host, 0))
+        port = int(tcp_socket.getsockname()[1])
         try:
-            datagram.bind((host, port))
+            udp_socket.bind((host, port))
         except OSError:
-            # Its UDP twin is taken: another one will do.
+            # The port is free for TCP but not for UDP.
             return None
         return port
--- a/drumbay/standins/generation.py
+++ b/drumbay/standins/generation.py
@@ -1,4 +1,4 @@
-"""One generation that runs on an emulated engine."""
+"""A generation on an emulated engine."""
 
 import asyncio
 
@@ -12,10 +12,10 @@
 
 
 class Generation:
-    """State of one generation; the engine drives it."""
+    """State of a generation, updated by the engine and its decoder."""
 
     def __init__(self, request: GenerationRequest, boot_id: BootId, ticket: Ticket) -> None:
-        """Create a generation that has not started."""
+        """Create a queued generation."""
         self.request = request
         self.boot_id = boot_id
         self.ticket = ticket
@@ -25,28 +25,28 @@
         self.cache_imported = False
         self.outcome: GenerationOutcome | None = None
         self.truncated = False
-        self.late = False
-        self.crossed_with: GenerationRequest | None = None
+        self.delay_pending = False
+        self.mismatched_request: GenerationRequest | None = None
         self.chunks: asyncio.Queue[TokenChunk | BackendError] = asyncio.Queue()
         self.task: asyncio.Task[None] | None = None
         self._spans: list[VersionSpan] = []
         self._tokens: list[int] = []
 
     @property
-    def natural_length(self) -> int:
-        """Tokens after which the model itself stops."""
+    def unbounded_length(self) -> int:
+        """Number of tokens after which the model stops by itself."""
         if self.request.target_tokens is not None:
             return self.request.target_tokens
         return completion_length(self.request.model, self.request.seed, self.request.prompt)
 
     @property
     def length(self) -> int:
-        """Index after the last token of the whole completion."""
-        return min(self.natural_length, self.request.max_tokens)
+        """Number of tokens of the complete completion, resumed ones included."""
+        return min(self.unbounded_length, self.request.max_tokens)
 
     @property
     def truncation_index(self) -> int:
-        """Index at which the fault ``truncated_answer`` ends the stream."""
+        """Index at which the fault ``truncated_answer`` cuts the stream off."""
         first = len(self.request.resume_tokens)
         return first + max(self.length - first, 0) // 2
 
@@ -57,18 +57,18 @@
 
     @property
     def all_tokens(self) -> tuple[int, ...]:
-        """Tokens of the completion so far, resumed ones included."""
+        """Tokens generated so far, resumed ones included."""
         return (*self.request.resume_tokens, *self._tokens)
 
     @property
     def versions(self) -> tuple[WeightVersion, ...]:
-        """Versions whose weights computed the cache of the completion so far."""
+        """Weight versions that computed the KV cache so far."""
         prefill = () if self.prefill_version is None else (self.prefill_version,)
         produced = (span.weight_version for span in self._spans)
         return tuple(dict.fromkeys((*prefill, *produced)))
 
     def add_tokens(self, version: WeightVersion, tokens: tuple[int, ...]) -> None:
-        """Note tokens that ``version`` produced."""
+        """Append tokens that ``version`` produced."""
         last = self._spans[-1] if self._spans else None
         if last is not None and last.weight_version == version:
             self._spans[-1] = VersionSpan(
@@ -85,7 +85,7 @@
         self.next_index += len(tokens)
 
     def ended_record(self, now: float, source: str, outcome: GenerationOutcome) -> GenerationEnded:
-        """Return the log record of the end."""
+        """Return the execution log record for the end of the generation."""
         return GenerationEnded(
             time_seconds=now,
             source=source,
--- a/drumbay/standins/http_shell.py
+++ b/drumbay/standins/http_shell.py
@@ -1,7 +1,7 @@
-"""The HTTP server around an emulated process: faults, log, crash and restart.
+"""HTTP server for an emulated process, with endpoints for faults, crashes and the execution log.
 
-A crash closes the listening socket and every connection, so that callers see what they
-would see of a dead process; the execution log outlives it.
+A crash closes the listening socket and every connection, as the end of a real process would;
+the execution log is kept.
 """
 
 import ssl
@@ -27,58 +27,58 @@
 MAX_LOG_PAGE_RECORDS = 10_000
 HTTP_BAD_REQUEST = 400
 DEFAULT_RECOVERY_SECONDS = 2.0
-"""Time after which a crashed process is started again, as a supervisor would."""
+"""Default delay before a crashed process is restarted."""
 
 Route = tuple[str, type[RequestHandler], dict[str, Any]]
 
 
 class EmulatedProcess(Protocol):
-    """What the shell needs of a model."""
+    """Interface between the HTTP server and an emulator model."""
 
     @property
     def log(self) -> ExecutionLog:
-        """Return the execution log."""
+        """Execution log of the process."""
         ...
 
     @property
     def faults(self) -> FaultSwitches:
-        """Return the fault switches."""
+        """Injectable faults."""
         ...
 
-    def watch_crashes(self, on_crash: Callable[[], None]) -> None:
-        """Have ``on_crash`` called whenever the process dies."""
+    def set_crash_callback(self, on_crash: Callable[[], None]) -> None:
+        """Set the function that is called when the process crashes."""
         ...
 
     def crash(self) -> None:
-        """End the process at once."""
+        """Crash the process."""
         ...
 
     def restart(self) -> None:
-        """Start the process again."""
+        """Restart the process."""
         ...
 
     def freeze(self) -> None:
-        """Stop all work."""
+        """Pause all work."""
         ...
 
     def thaw(self) -> None:
-        """Go on with the work."""
+        """Resume the work."""
         ...
 
 
 class ProcessAction(StrEnum):
-    """What happens to an emulated process."""
+    """Action on an emulated process."""
 
     CRASH = "crash"
     FREEZE = "freeze"
 
 
 class ProcessCommand(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Body of ``POST /faults/process``: crash or freeze now, and recover by itself.
+    """Body of ``POST /faults/process``: crash or freeze the process, and recover later.
 
     Attributes:
-        action: What happens.
-        recover_after_seconds: When the process restarts or thaws.
+        action: Action to take.
+        recover_after_seconds: Delay until the process restarts or thaws.
     """
 
     action: ProcessAction
@@ -86,7 +86,7 @@
 
 
 class EmulatorServer:
-    """Serves one emulated process over HTTP."""
+    """HTTP server of one emulated process."""
 
     def __init__(
         self,
@@ -98,37 +98,39 @@
         port: int,
         ssl_context: ssl.SSLContext | None = None,
     ) -> None:
-        """Create a server; ``port`` 0 takes a free port at the first start."""
+        """Create a server; ``port`` 0 selects a free port at the first start."""
         self._process = process
         self._clock = clock
         self._host = host
         self._port = port
         self._ssl_context = ssl_context
         self._tasks = TaskOwner()
-        control: list[Route] = [
+        control_routes: list[Route] = [
             (r"/faults", FaultHandler, {"process": process}),
             (r"/faults/process", ProcessHandler, {"server": self}),
             (r"/log", LogHandler, {"process": process}),
             (r"/healthz", HealthHandler, {}),
         ]
-        self._application = Application([*control, *routes], log_function=_log_nothing)
+        self._application = Application(
+            [*control_routes, *routes], log_function=_discard_access_log
+        )
         self._http: HTTPServer | None = None
-        self._recovery_seconds = DEFAULT_RECOVERY_SECONDS
-        process.watch_crashes(self._handle_crash)
+        self._restart_delay_seconds = DEFAULT_RECOVERY_SECONDS
+        process.set_crash_callback(self._handle_crash)
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Listening port."""
         return self._port
 
     @property
     def base_url(self) -> str:
-        """URL at which the process is reached."""
+        """Base URL of the process."""
         scheme = "http" if self._ssl_context is None else "https"
         return f"{scheme}://{self._host}:{self._port}"
 
     def start(self) -> None:
-        """Bind the port and serve."""
+        """Bind the port and start serving."""
         sockets = bind_sockets(self._port, self._host)
         self._port = sockets[0].getsockname()[1]
         http = HTTPServer(
@@ -142,14 +144,14 @@
         log_event("emulator_listening", host=self._host, port=self._port)
 
     async def stop(self) -> None:
-        """Stop serving, close all connections and end background tasks."""
+        """Stop serving, close all connections and cancel background tasks."""
         await self._close_connections()
         await self._tasks.close()
 
     def carry_out(self, command: ProcessCommand) -> None:
-        """Crash or freeze the process, and let it recover later."""
+        """Crash or freeze the process; it recovers after a delay."""
         if command.action is ProcessAction.CRASH:
-            self._recovery_seconds = command.recover_after_seconds
+            self._restart_delay_seconds = command.recover_after_seconds
             self._process.crash()
             return
         self._process.freeze()
@@ -161,8 +163,8 @@
 
     async def _recover(self) -> None:
         await self._close_connections()
-        await self._clock.sleep(self._recovery_seconds)
-        self._recovery_seconds = DEFAULT_RECOVERY_SECONDS
+        await self._clock.sleep(self._restart_delay_seconds)
+        self._restart_delay_seconds = DEFAULT_RECOVERY_SECONDS
         self._process.restart()
         self.start()
 
@@ -178,15 +180,15 @@
             await http.close_all_connections()
 
 
-def _log_nothing(handler: RequestHandler) -> None:
-    """Write no access log: the execution log holds what is needed."""
+def _discard_access_log(handler: RequestHandler) -> None:
+    """Disable the access log; the execution log records what the process did."""
 
 
 class JsonHandler(RequestHandler):
-    """Base class of handlers that answer in JSON."""
+    """Base class of handlers with JSON responses."""
 
     def send(self, body: msgspec.Struct, status: int = 200) -> None:
-        """Answer with a record."""
+        """Send a record as JSON."""
         self.set_status(status)
         self.set_header("Content-Type", JSON_TYPE)
         self.write(msgspec.json.encode(body))
@@ -200,17 +202,17 @@
         run: Execution | None = None,
         retry_after_seconds: float | None = None,
     ) -> None:
-        """Answer with a typed error."""
+        """Send a structured error."""
         if retry_after_seconds is not None:
             self.set_header(RETRY_AFTER_HEADER, f"{retry_after_seconds:g}")
         self.send(ErrorBody(error=ErrorDetail(code=code, message=message, run=run)), status)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer failures of tornado itself in the same form."""
+        """Send errors raised by tornado as structured errors."""
         self.send_error_body(status_code, "http_error", self._reason)
 
     def drop_connection(self) -> None:
-        """Close the connection in the middle of an answer."""
+        """Close the connection without completing the response."""
         self.detach().close()
 
 
@@ -218,11 +220,11 @@
     """``POST /faults``: arm or disarm a fault."""
 
     def initialize(self, process: EmulatedProcess) -> None:
-        """Store the emulated process."""
+        """Set the emulated process."""
         self._process = process
 
     def post(self) -> None:
-        """Apply one command."""
+        """Apply a fault command."""
         try:
             command = msgspec.json.decode(self.request.body, type=FaultCommand)
             self._process.faults.apply(command)
@@ -239,11 +241,11 @@
     """``POST /faults/process``: crash or freeze the process."""
 
     def initialize(self, server: EmulatorServer) -> None:
-        """Store the server."""
+        """Set the server."""
         self._server = server
 
     def post(self) -> None:
-        """Carry out one command once the answer has left."""
+        """Accept a command; it takes effect after the response is sent."""
         try:
             self._command = msgspec.json.decode(self.request.body, type=ProcessCommand)
         except msgspec.DecodeError as error:
@@ -253,7 +255,7 @@
         self.send(self._command)
 
     def on_finish(self) -> None:
-        """Let the command take effect after its answer."""
+        """Execute the accepted command."""
         command: ProcessCommand | None = getattr(self, "_command", None)
         if command is not None:
             self._server.carry_out(command)
@@ -263,13 +265,13 @@
     """``GET /log?first=N&count=M``: a page of the execution log."""
 
     def initialize(self, process: EmulatedProcess) -> None:
-        """Store the emulated process."""
+        """Set the emulated process."""
         self._process = process
 
     def get(self) -> None:
-        """Answer with a page."""
-        first = _natural_number(self.get_query_argument("first", "0"))
-        count = _natural_number(self.get_query_argument("count", str(MAX_LOG_PAGE_RECORDS)))
+        """Send a page of the log."""
+        first = _parse_count(self.get_query_argument("first", "0"))
+        count = _parse_count(self.get_query_argument("count", str(MAX_LOG_PAGE_RECORDS)))
         if first is None or count is None:
             self.send_error_body(HTTP_BAD_REQUEST, "invalid_query", "first and count are numbers")
             return
@@ -277,12 +279,12 @@
 
 
 class HealthHandler(JsonHandler):
-    """``GET /healthz``: the process answers."""
+    """``GET /healthz``: liveness check."""
 
     def get(self) -> None:
-        """Answer with an empty body."""
+        """Respond without a body."""
         self.set_status(204)
 
 
-def _natural_number(text: str) -> int | None:
+def _parse_count(text: str) -> int | None:
     return int(text) if text.isdecimal() else None
--- a/drumbay/standins/kv_faults.py
+++ b/drumbay/standins/kv_faults.py
@@ -1,4 +1,4 @@
-"""Switchable faults of the key-value stand-in, and its rate limit."""
+"""Fault injection and rate limit of the key-value emulator."""
 
 import random
 from enum import StrEnum
@@ -15,20 +15,20 @@
 
 
 class KeyValueFaults(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Faults in force; the default value is a healthy service.
+    """Active faults; the default is a healthy service.
 
     Attributes:
-        outage: Refuse every operation and break every watch. Leases keep running out.
+        outage: Refuse every operation and break every watch. Leases still expire.
         request_delay_seconds: Time before an operation takes effect.
-        answer_delay_seconds: Time between the effect and its answer.
-        lost_answers: Number of coming writes that take effect without an answer.
-        lost_requests: Number of coming writes that are dropped without effect or answer.
-        lost_answer_probability: Share of the remaining writes that lose their answer.
-        lost_request_probability: Share of the remaining writes that are dropped.
+        answer_delay_seconds: Time between the effect and the response.
+        lost_answers: Number of next writes that take effect but get no response.
+        lost_requests: Number of next writes that are dropped without effect or response.
+        lost_answer_probability: Probability that any other write gets no response.
+        lost_request_probability: Probability that any other write is dropped.
         rate_limit_per_second: Operations accepted per second; ``None`` for no limit.
-        rate_limit_burst: Operations accepted at once after an idle time.
-        watches_broken: Break every watch and refuse new ones; other operations work.
-        watches_stalled: Keep watches open but deliver nothing until switched off.
+        rate_limit_burst: Burst size of the rate limit.
+        watches_broken: Break every watch and refuse new ones; other operations still work.
+        watches_stalled: Keep watches open without delivering changes.
     """
 
     outage: bool = False
@@ -45,7 +45,7 @@
 
 
 class WriteFate(StrEnum):
-    """What becomes of one write."""
+    """Outcome of a write."""
 
     ANSWERED = "answered"
     ANSWER_LOST = "answer_lost"
@@ -53,7 +53,7 @@
 
 
 class TokenBucket:
-    """Rate limit: tokens refill with time, and each operation takes one."""
+    """Token bucket rate limiter."""
 
     def __init__(self, rate_per_second: float, burst: int, now: float) -> None:
         """Create a full bucket."""
@@ -62,8 +62,8 @@
         self._tokens = float(burst)
         self._updated_at = now
 
-    def take(self, now: float) -> bool:
-        """Take one token; return ``False`` if there is none."""
+    def try_take(self, now: float) -> bool:
+        """Take a token; return ``False`` if there is none."""
         refill = (now - self._updated_at) * self._rate_per_second
         self._tokens = min(self._burst, self._tokens + refill)
         self._updated_at = now
@@ -74,55 +74,55 @@
 
 
 class FaultInjector:
-    """Decides the fate of each operation from the faults in force.
+    """Decides the outcome of each operation from the active faults.
 
     Attributes:
-        arrived: Operations that arrived so far, watches being opened included.
-        refused: How many of them were refused.
-        unanswered: How many writes lost their request or their answer.
+        arrived: Number of operations received, including watch requests.
+        refused: Number of operations refused.
+        unanswered: Number of writes whose request or response was lost.
     """
 
     def __init__(self, generator: random.Random) -> None:
-        """Create an injector of a healthy service."""
+        """Create an injector without faults."""
         self.arrived = 0
         self.refused = 0
         self.unanswered = 0
         self._generator = generator
         self._faults = KeyValueFaults()
         self._bucket: TokenBucket | None = None
-        self._lost_answers_left = 0
-        self._lost_requests_left = 0
+        self._remaining_lost_answers = 0
+        self._remaining_lost_requests = 0
 
     @property
     def faults(self) -> KeyValueFaults:
-        """Return the faults in force, as they were set."""
+        """Return the active faults, as they were set."""
         return self._faults
 
     def set_faults(self, faults: KeyValueFaults, now: float) -> None:
-        """Replace the faults in force; counters and the rate limit start anew."""
+        """Replace the active faults; the loss counters and the rate limit are reset."""
         self._faults = faults
-        self._lost_answers_left = faults.lost_answers
-        self._lost_requests_left = faults.lost_requests
+        self._remaining_lost_answers = faults.lost_answers
+        self._remaining_lost_requests = faults.lost_requests
         self._bucket = None
         if faults.rate_limit_per_second is not None:
             self._bucket = TokenBucket(faults.rate_limit_per_second, faults.rate_limit_burst, now)
 
     def admit(self, now: float) -> None:
-        """Accept or refuse one operation on its arrival.
+        """Accept or refuse an arriving operation.
 
         Raises:
             KeyValueUnavailableError: The service is in an outage.
-            KeyValueRateLimitedError: The rate limit is reached.
+            KeyValueRateLimitedError: The rate limit is exceeded.
         """
         self.arrived += 1
         self.refused += 1
         self.check_outage()
-        if self._bucket is not None and not self._bucket.take(now):
+        if self._bucket is not None and not self._bucket.try_take(now):
             raise KeyValueRateLimitedError("too many requests")
         self.refused -= 1
 
     def check_outage(self) -> None:
-        """Refuse if the service is in an outage.
+        """Raise an error during an outage.
 
         Raises:
             KeyValueUnavailableError: The service is in an outage.
@@ -131,7 +131,7 @@
             raise KeyValueUnavailableError("outage")
 
     def check_watch(self) -> None:
-        """Refuse if watches can not be served.
+        """Raise an error if watches cannot be served.
 
         Raises:
             KeyValueUnavailableError: The service is in an outage, or watches are broken.
@@ -141,29 +141,29 @@
             raise KeyValueUnavailableError("watch broken")
 
     def draw_write_fate(self) -> WriteFate:
-        """Return what becomes of the next write."""
-        fate = self._draw_fate()
-        if fate is not WriteFate.ANSWERED:
+        """Draw the outcome of the next write."""
+        outcome = self._draw_outcome()
+        if outcome is not WriteFate.ANSWERED:
             self.unanswered += 1
-        return fate
+        return outcome
 
-    def _draw_fate(self) -> WriteFate:
-        if self._lost_requests_left > 0:
-            self._lost_requests_left -= 1
+    def _draw_outcome(self) -> WriteFate:
+        if self._remaining_lost_requests > 0:
+            self._remaining_lost_requests -= 1
             return WriteFate.REQUEST_LOST
-        if self._lost_answers_left > 0:
-            self._lost_answers_left -= 1
+        if self._remaining_lost_answers > 0:
+            self._remaining_lost_answers -= 1
             return WriteFate.ANSWER_LOST
-        return self._draw_random_fate()
+        return self._draw_random_outcome()
 
-    def _draw_random_fate(self) -> WriteFate:
+    def _draw_random_outcome(self) -> WriteFate:
         lost_request = self._faults.lost_request_probability
         lost_either = lost_request + self._faults.lost_answer_probability
         if lost_either == 0.0:
             return WriteFate.ANSWERED
-        draw = self._generator.random()
-        if draw < lost_request:
+        sample = self._generator.random()
+        if sample < lost_request:
             return WriteFate.REQUEST_LOST
-        if draw < lost_either:
+        if sample < lost_either:
             return WriteFate.ANSWER_LOST
         return WriteFate.ANSWERED
--- a/drumbay/standins/kv_model.py
+++ b/drumbay/standins/kv_model.py
@@ -1,8 +1,8 @@
 """In-process model of the etcd v3 data model: revisions, transactions, leases, watches.
 
-The model is synchronous and reads only the clock it is given, so that it runs on virtual
-time as well. Faults are decided by :attr:`KeyValueModel.injector`; the stores and servers
-in front of the model act them out.
+The model is synchronous and uses an injected clock, so it also runs on virtual time.
+:attr:`KeyValueModel.injector` decides which faults apply; the stores and servers in front of
+the model implement them.
 """
 
 import math
@@ -37,18 +37,18 @@
 )
 
 FIRST_LEASE_ID = 2**53 + 1
-"""Larger than a double can hold exactly, so that a client which reads it as one is found out."""
+"""Not exactly representable as a double: exposes clients that parse ids as floating point."""
 
 FIRST_REVISION = Revision(1)
 """Revision of an empty store, as in etcd."""
 
 DEFAULT_HISTORY_LIMIT = 10_000
 PAGE_BYTES = 1_000_000
-"""Bytes of values in a page, as the users' store answers."""
+"""Maximum size of the values in a page."""
 
 
 class _Lease(msgspec.Struct, kw_only=True):
-    """A live lease; ``keys`` is a dict because it keeps insertion order."""
+    """Active lease; ``keys`` is a dict used as an ordered set."""
 
     ttl_seconds: float
     expires_at: float
@@ -56,12 +56,12 @@
 
 
 class KeyValueModel:
-    """The state of one key-value service and the log of every change it applied.
+    """State of a key-value service and the log of its changes.
 
     Attributes:
-        clock: Source of time of the service.
-        injector: The faults in force.
-        log: Every applied change, oldest first.
+        clock: Clock of the service.
+        injector: Fault injection.
+        log: Applied changes and lease events, oldest first.
     """
 
     def __init__(
@@ -75,10 +75,10 @@
         """Create an empty store.
 
         Args:
-            clock: Source of time.
-            generator: Source of random faults; a fixed seed if not given.
-            history_limit: Most changed revisions kept for watches; older are compacted.
-            log_renewals: Whether lease renewals go into the log.
+            clock: Clock of the service.
+            generator: Source of randomness for faults; a fixed seed by default.
+            history_limit: Maximum number of revisions kept for watches; older ones are compacted.
+            log_renewals: Whether lease renewals are logged.
         """
         self.injector = FaultInjector(generator or random.Random(0))
         self.log: list[LogEntry] = []
@@ -101,12 +101,12 @@
 
     @property
     def compacted_revision(self) -> Revision:
-        """Return the oldest revision from which a watch may still start."""
+        """Return the oldest revision from which a watch can start."""
         return self._compacted_revision
 
     @property
     def listener_count(self) -> int:
-        """Return how many listeners are registered, which is the number of open watches."""
+        """Return the number of registered listeners, one for each open watch."""
         return len(self._listeners)
 
     def now(self) -> float:
@@ -114,37 +114,37 @@
         return self.clock.monotonic()
 
     def set_faults(self, faults: KeyValueFaults) -> None:
-        """Replace the faults in force and let watches notice."""
+        """Replace the active faults and notify watches."""
         self.injector.set_faults(faults, self.now())
         self._notify()
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` after every change of keys, leases or faults."""
+        """Register a function that is called after every change of keys, leases or faults."""
         self._listeners[listener] = None
 
     def remove_listener(self, listener: Callable[[], None]) -> None:
-        """Stop calling ``listener``."""
+        """Unregister a listener."""
         self._listeners.pop(listener, None)
 
     def range_prefix(self, prefix: str) -> RangeResult:
-        """Return every key that starts with ``prefix``, sorted."""
+        """Return the items whose keys start with ``prefix``, sorted by key."""
         self.expire_leases()
         keys = sorted(key for key in self._items if key.startswith(prefix))
         items = tuple(self._items[key] for key in keys)
         return RangeResult(revision=self._revision, items=items)
 
     def range_page(self, prefix: str, after: str) -> RangeResult:
-        """Return the keys of ``prefix`` after a key: at least one, up to ``PAGE_BYTES``."""
-        found = [item for item in self.range_prefix(prefix).items if item.key > after]
+        """Return the items of ``prefix`` after a key: at least one, up to ``PAGE_BYTES``."""
+        remaining = [item for item in self.range_prefix(prefix).items if item.key > after]
         page: list[KeyValue] = []
         size_bytes = 0
-        for item in found:
+        for item in remaining:
             size_bytes += len(item.value)
             if page and size_bytes > PAGE_BYTES:
                 break
             page.append(item)
         return RangeResult(
-            revision=self._revision, items=tuple(page), has_more=len(page) < len(found)
+            revision=self._revision, items=tuple(page), has_more=len(page) < len(remaining)
         )
 
     def transact(
@@ -152,20 +152,20 @@
         compares: tuple[ModRevisionIs, ...],
         operations: tuple[Put | Delete, ...],
     ) -> TransactionResult:
-        """Carry out ``operations`` in one revision if all ``compares`` hold.
+        """Apply ``operations`` in one revision if all ``compares`` hold.
 
         Raises:
-            LeaseNotFoundError: A put names a lease that is gone; nothing was changed.
+            LeaseNotFoundError: A put refers to an unknown lease; nothing was changed.
         """
         self.expire_leases()
-        if not all(self._holds(compare) for compare in compares):
+        if not all(self._matches(compare) for compare in compares):
             return TransactionResult(succeeded=False, revision=self._revision)
         self._check_leases(operations)
         self._apply(operations, ChangeCause.TRANSACTION, self.now())
         return TransactionResult(succeeded=True, revision=self._revision)
 
     def grant_lease(self, ttl_seconds: float) -> LeaseGrant:
-        """Grant a lease; the time to live is rounded up to whole seconds, as etcd does."""
+        """Grant a lease; its time to live is rounded up to whole seconds, as in etcd."""
         self.expire_leases()
         ttl = float(max(1, math.ceil(ttl_seconds)))
         lease_id = self._next_lease_id
@@ -179,7 +179,7 @@
         """Renew a lease and return its remaining time in seconds.
 
         Raises:
-            LeaseNotFoundError: The lease is gone.
+            LeaseNotFoundError: The lease does not exist.
         """
         self.expire_leases()
         lease = self._find_lease(lease_id)
@@ -189,10 +189,10 @@
         return lease.ttl_seconds
 
     def revoke_lease(self, lease_id: int) -> None:
-        """End a lease and remove its keys.
+        """Revoke a lease and delete its keys.
 
         Raises:
-            LeaseNotFoundError: The lease is gone.
+            LeaseNotFoundError: The lease does not exist.
         """
         self.expire_leases()
         lease = self._find_lease(lease_id)
@@ -200,21 +200,21 @@
         self._notify()
 
     def expire_leases(self) -> None:
-        """End every lease whose time has passed, in the order of expiry."""
+        """Expire all due leases, in the order of expiry."""
         now = self.now()
-        due = [entry for entry in self._leases.items() if entry[1].expires_at <= now]
-        for lease_id, lease in sorted(due, key=lambda entry: (entry[1].expires_at, entry[0])):
+        expired = [entry for entry in self._leases.items() if entry[1].expires_at <= now]
+        for lease_id, lease in sorted(expired, key=lambda entry: (entry[1].expires_at, entry[0])):
             self._end_lease(lease_id, lease, LeaseAction.EXPIRED, lease.expires_at)
 
     def next_expiry(self) -> float | None:
-        """Return when the next lease expires unless renewed; ``None`` without leases."""
+        """Return when the next lease expires; ``None`` without leases."""
         return min((lease.expires_at for lease in self._leases.values()), default=None)
 
     def read_changes(self, prefix: str, start_revision: Revision) -> WatchBatch:
-        """Return the changes of ``prefix`` from ``start_revision`` up to now.
+        """Return the changes of ``prefix`` since ``start_revision``.
 
         Raises:
-            WatchCompactedError: The start revision is no longer held.
+            WatchCompactedError: The start revision is compacted.
         """
         self.expire_leases()
         if start_revision < self._compacted_revision:
@@ -230,13 +230,13 @@
         return WatchBatch(revision=self._revision, events=tuple(events))
 
     def compact(self, revision: Revision) -> None:
-        """Drop the history before ``revision``; watches from before it fail."""
+        """Drop the history before ``revision``; watches that start earlier fail."""
         self._compacted_revision = max(self._compacted_revision, min(revision, self._revision))
         while self._history and self._history[0].revision < self._compacted_revision:
             self._history.popleft()
         self._notify()
 
-    def _holds(self, compare: ModRevisionIs) -> bool:
+    def _matches(self, compare: ModRevisionIs) -> bool:
         item = self._items.get(compare.key)
         current = item.mod_revision if item is not None else Revision(0)
         return current == compare.mod_revision
@@ -255,7 +255,7 @@
     def _apply(
         self, operations: tuple[Put | Delete, ...], cause: ChangeCause, at_seconds: float
     ) -> None:
-        """Carry out operations in one new revision; no revision if nothing changes."""
+        """Apply operations in a new revision; none is created if nothing changes."""
         revision = Revision(self._revision + 1)
         events: list[WatchEvent] = []
         for operation in operations:
@@ -279,7 +279,7 @@
     def _put(self, operation: Put, revision: Revision) -> WatchEvent:
         previous = self._items.get(operation.key)
         if previous is not None:
-            self._detach(previous)
+            self._detach_lease(previous)
         item = KeyValue(
             key=operation.key,
             value=operation.value,
@@ -294,10 +294,10 @@
         return WatchEvent(key=operation.key, mod_revision=revision, item=item)
 
     def _delete(self, key: str, revision: Revision) -> WatchEvent:
-        self._detach(self._items.pop(key))
+        self._detach_lease(self._items.pop(key))
         return WatchEvent(key=key, mod_revision=revision, item=None)
 
-    def _detach(self, item: KeyValue) -> None:
+    def _detach_lease(self, item: KeyValue) -> None:
         lease = self._leases.get(item.lease_id)
         if lease is not None:
             lease.keys.pop(item.key, None)
--- a/drumbay/standins/kv_records.py
+++ b/drumbay/standins/kv_records.py
@@ -1,4 +1,4 @@
-"""Records of what the key-value stand-in truly did; history checkers read these."""
+"""Log records of the key-value emulator, read by history checkers."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class ChangeCause(StrEnum):
-    """What made keys change."""
+    """Cause of a key change."""
 
     TRANSACTION = "transaction"
     LEASE_EXPIRED = "lease_expired"
@@ -17,13 +17,13 @@
 
 
 class LoggedChange(msgspec.Struct, frozen=True, kw_only=True, tag="change"):
-    """All key changes of one revision.
+    """Key changes of one revision.
 
     Attributes:
-        at_seconds: Time on the stand-in's monotonic clock.
-        revision: Revision that the change made.
-        cause: What made the change.
-        events: The changed keys, in the order of the operations.
+        at_seconds: Time on the emulator's monotonic clock.
+        revision: Revision created by the change.
+        cause: Cause of the change.
+        events: Changed keys, in the order of the operations.
     """
 
     at_seconds: float
@@ -33,7 +33,7 @@
 
 
 class LeaseAction(StrEnum):
-    """What happened to a lease."""
+    """Event in the life of a lease."""
 
     GRANTED = "granted"
     RENEWED = "renewed"
@@ -42,13 +42,13 @@
 
 
 class LoggedLease(msgspec.Struct, frozen=True, kw_only=True, tag="lease"):
-    """One event in the life of a lease.
+    """Log record of a lease event.
 
     Attributes:
-        at_seconds: Time on the stand-in's monotonic clock.
+        at_seconds: Time on the emulator's monotonic clock.
         lease_id: The lease.
-        action: What happened.
-        ttl_seconds: Time to live that the lease was granted with.
+        action: Kind of event.
+        ttl_seconds: Time to live of the lease.
     """
 
     at_seconds: float
--- a/drumbay/standins/kv_server.py
+++ b/drumbay/standins/kv_server.py
@@ -1,7 +1,6 @@
-"""The key-value stand-in as a server of the etcd v3 JSON gateway.
+"""HTTP server of the key-value emulator, with the etcd v3 JSON gateway API.
 
-Besides the gateway it serves ``/faults`` (GET, POST) and ``/log`` (GET), which no fault
-touches.
+It also serves ``/faults`` (GET, POST) and ``/log`` (GET), which faults do not affect.
 """
 
 import asyncio
@@ -38,14 +37,14 @@
 
 
 class LogPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Entries of the execution log from a position on."""
+    """Log entries from a position to the end."""
 
     next_position: int
     entries: list[LogEntry]
 
 
 class _ModelHandler(RequestHandler):
-    """Base of all handlers: JSON bodies in and out."""
+    """Base class of handlers with JSON bodies."""
 
     def initialize(self, model: KeyValueModel) -> None:
         self.model = model
@@ -66,12 +65,12 @@
 
 
 class _OperationHandler(_ModelHandler):
-    """Base of the gateway's single-answer operations; acts out the faults."""
+    """Base class of the unary operations of the gateway; applies the active faults."""
 
     is_write = True
 
-    def carry_out(self) -> msgspec.Struct:
-        """Apply the operation to the model and return the answer."""
+    def execute(self) -> msgspec.Struct:
+        """Apply the operation to the model and return the response."""
         raise NotImplementedError
 
     async def post(self) -> None:
@@ -92,19 +91,19 @@
     async def _serve(self) -> None:
         injector = self.model.injector
         injector.admit(self.model.now())
-        fate = injector.draw_write_fate() if self.is_write else WriteFate.ANSWERED
+        outcome = injector.draw_write_fate() if self.is_write else WriteFate.ANSWERED
         faults = injector.faults
         await self._delay(faults.request_delay_seconds)
-        if fate is WriteFate.REQUEST_LOST:
+        if outcome is WriteFate.REQUEST_LOST:
             self.detach().close()
             return
         injector.check_outage()
-        answer = self.carry_out()
+        response_body = self.execute()
         await self._delay(faults.answer_delay_seconds)
-        if fate is WriteFate.ANSWER_LOST:
+        if outcome is WriteFate.ANSWER_LOST:
             self.detach().close()
             return
-        self.finish_with(answer)
+        self.finish_with(response_body)
 
     async def _delay(self, seconds: float) -> None:
         if seconds > 0:
@@ -114,7 +113,7 @@
 class _RangeHandler(_OperationHandler):
     is_write = False
 
-    def carry_out(self) -> msgspec.Struct:
+    def execute(self) -> msgspec.Struct:
         request = self.read_body(messages.RangeRequest)
         prefix = _find_prefix(request.key, request.range_end)
         items = self.model.range_prefix(prefix).items
@@ -123,33 +122,33 @@
 
 
 class _PutHandler(_OperationHandler):
-    def carry_out(self) -> msgspec.Struct:
+    def execute(self) -> msgspec.Struct:
         request = self.read_body(messages.PutRequest)
         self.model.transact((), (_to_put(request),))
         return messages.PutResponse(header=self.header())
 
 
 class _TransactionHandler(_OperationHandler):
-    def carry_out(self) -> msgspec.Struct:
+    def execute(self) -> msgspec.Struct:
         request = self.read_body(messages.TransactionRequest)
         compares = tuple(_to_compare(compare) for compare in request.compare)
         operations = tuple(_to_operation(operation) for operation in request.success)
         result = self.model.transact(compares, operations)
-        # NOTE: clients take this revision as that of their own change, so it must not be
-        # read anew: a lease that expires meanwhile makes another one.
+        # Clients take this as the revision of their own change. Reading the current revision
+        # instead could return a later one, created by a lease expiry.
         header = messages.ResponseHeader(revision=str(result.revision))
         return messages.TransactionResponse(header=header, succeeded=result.succeeded)
 
 
 class _CompactionHandler(_OperationHandler):
-    def carry_out(self) -> msgspec.Struct:
+    def execute(self) -> msgspec.Struct:
         request = self.read_body(messages.CompactionRequest)
         self.model.compact(Revision(int(request.revision)))
         return messages.PutResponse(header=self.header())
 
 
 class _LeaseGrantHandler(_OperationHandler):
-    def carry_out(self) -> msgspec.Struct:
+    def execute(self) -> msgspec.Struct:
         request = self.read_body(messages.LeaseGrantRequest)
         grant = self.model.grant_lease(float(request.TTL))
         return messages.LeaseResponse(
@@ -158,7 +157,7 @@
 
 
 class _LeaseKeepAliveHandler(_OperationHandler):
-    def carry_out(self) -> msgspec.Struct:
+    def execute(self) -> msgspec.Struct:
         lease_id = self.read_body(messages.LeaseIdRequest).ID
         try:
             ttl_seconds = self.model.keep_lease_alive(int(lease_id))
@@ -171,13 +170,13 @@
 
 
 class _LeaseRevokeHandler(_OperationHandler):
-    def carry_out(self) -> msgspec.Struct:
+    def execute(self) -> msgspec.Struct:
         self.model.revoke_lease(int(self.read_body(messages.LeaseIdRequest).ID))
         return messages.LeaseRevokeResponse(header=self.header())
 
 
 class _WatchHandler(_ModelHandler):
-    """Streams the changes of a prefix, one JSON message a line."""
+    """Streams the changes of a prefix as newline-delimited JSON."""
 
     def initialize(self, model: KeyValueModel) -> None:
         super().initialize(model)
@@ -257,10 +256,10 @@
 
 
 def _find_prefix(key: bytes, range_end: bytes) -> str:
-    """Return the prefix that a range stands for.
+    """Return the prefix that a range covers.
 
     Raises:
-        ValueError: The range is not that of a prefix; the stand-in serves no other.
+        ValueError: The range does not cover a prefix; other ranges are not supported.
     """
     prefix = b"" if key == b"\0" else key
     if range_end != messages.find_range_end(prefix):
@@ -300,7 +299,7 @@
 
 
 def make_application(model: KeyValueModel) -> Application:
-    """Return the web application that serves ``model``."""
+    """Create the web application that serves ``model``."""
     arguments = {"model": model}
     routes = [
         (messages.RANGE_PATH, _RangeHandler, arguments),
@@ -320,12 +319,12 @@
 async def serve_key_value_standin(
     host: str, port: int, *, history_limit: int = DEFAULT_HISTORY_LIMIT
 ) -> None:
-    """Serve an empty key-value service on the system's clock until cancelled.
+    """Serve an empty key-value store on the system clock until cancelled.
 
     Args:
         host: IP address to listen on.
         port: TCP port to listen on.
-        history_limit: Most changed revisions kept for watches.
+        history_limit: Maximum number of revisions kept for watches.
     """
     model = KeyValueModel(SystemClock(), history_limit=history_limit)
     server = HTTPServer(make_application(model), max_body_size=MAX_REQUEST_BYTES)
--- a/drumbay/standins/kv_watch.py
+++ b/drumbay/standins/kv_watch.py
@@ -10,7 +10,7 @@
 from drumbay.standins.kv_model import KeyValueModel
 
 MINIMUM_WAIT_SECONDS = 0.001
-"""Keeps rounding in the clock from making a wait of zero length."""
+"""Prevents a busy loop when the clock rounds a wait down to zero."""
 
 
 async def watch_model(
@@ -21,8 +21,8 @@
 ) -> AsyncGenerator[WatchBatch, None]:
     """Yield the changes of ``prefix`` from ``start_revision`` on, until cancelled.
 
-    A ``start_revision`` of 0 stands for the next revision, as in etcd. After each
-    ``quiet_seconds`` without a change comes a batch without events, which counts as a call.
+    A ``start_revision`` of 0 means the next revision, as in etcd. After ``quiet_seconds``
+    without a change an empty batch is yielded, which counts as an operation.
 
     Raises:
         WatchCompactedError: The next revision to deliver is no longer held.
@@ -30,7 +30,7 @@
     """
     changed = asyncio.Event()
     model.add_listener(changed.set)
-    quiet_until = model.now() + quiet_seconds
+    idle_deadline = model.now() + quiet_seconds
     try:
         next_revision = start_revision or Revision(model.revision + 1)
         while True:
@@ -39,25 +39,25 @@
             if not model.injector.faults.watches_stalled:
                 batch = model.read_changes(prefix, next_revision)
                 next_revision = max(next_revision, Revision(batch.revision + 1))
-                is_quiet = model.now() >= quiet_until
-                if batch.events or is_quiet:
+                is_idle = model.now() >= idle_deadline
+                if batch.events or is_idle:
                     yield batch
-                    model.injector.arrived += is_quiet
-                    quiet_until = model.now() + quiet_seconds
+                    model.injector.arrived += is_idle
+                    idle_deadline = model.now() + quiet_seconds
                     continue
-            await _wait_for_change(model, changed, quiet_until)
+            await _wait_for_change(model, changed, idle_deadline)
     finally:
         model.remove_listener(changed.set)
 
 
-async def _wait_for_change(model: KeyValueModel, changed: asyncio.Event, until: float) -> None:
-    """Wait for a change of the model, for the next lease to expire, or until a time."""
+async def _wait_for_change(model: KeyValueModel, changed: asyncio.Event, deadline: float) -> None:
+    """Wait for a change, the next lease expiry, or the deadline."""
     expiry = model.next_expiry()
-    if expiry is None and until == math.inf:
+    if expiry is None and deadline == math.inf:
         await changed.wait()
         return
-    due_at = until if expiry is None else min(expiry, until)
-    timeout_seconds = max(due_at - model.now(), MINIMUM_WAIT_SECONDS)
+    wake_at = deadline if expiry is None else min(expiry, deadline)
+    timeout_seconds = max(wake_at - model.now(), MINIMUM_WAIT_SECONDS)
     try:
         await model.clock.wait_for(changed.wait(), timeout_seconds)
     except DeadlineExceededError:
--- a/drumbay/standins/machine_list_model.py
+++ b/drumbay/standins/machine_list_model.py
@@ -1,4 +1,4 @@
-"""An emulated list of live and leaving machines that lags behind reality."""
+"""Emulated machine list of the platform, which shows changes with a lag."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class MachineState(StrEnum):
-    """What the platform says of a machine."""
+    """State of a machine as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -17,13 +17,13 @@
 
 
 class Machine(msgspec.Struct, frozen=True, kw_only=True):
-    """One machine of the list.
+    """Entry of the machine list.
 
     Attributes:
         name: Name of the machine.
-        address: IP address and port of the process that runs on it.
+        address: IP address and port of the process on the machine.
         zone: Zone of the machine.
-        state: What the platform says of it.
+        state: Reported state.
     """
 
     name: str
@@ -33,7 +33,7 @@
 
 
 class MachineChange(msgspec.Struct, frozen=True, kw_only=True):
-    """A change, as it truly happened and as it became visible."""
+    """A change, with the times at which it happened and became visible."""
 
     happened_at_seconds: float
     visible_at_seconds: float
@@ -41,7 +41,7 @@
 
 
 class MachineListModel(SimpleProcess):
-    """The list; a change becomes visible after a lag."""
+    """Machine list in which changes become visible after a lag."""
 
     def __init__(self, clock: Clock, lag_seconds: float = 5.0) -> None:
         """Create an empty list."""
@@ -51,7 +51,7 @@
         self._changes: list[MachineChange] = []
 
     def set_machine(self, machine: Machine) -> None:
-        """Add or change a machine; it is visible after the lag."""
+        """Add or update a machine; the change is visible after the lag."""
         now = self._clock.monotonic()
         self._changes.append(
             MachineChange(
@@ -62,7 +62,7 @@
         )
 
     def visible(self) -> tuple[Machine, ...]:
-        """Return the machines that readers see now, in the order of their first change."""
+        """Return the currently visible machines, in the order of their first change."""
         now = self._clock.monotonic()
         machines: dict[str, Machine] = {}
         for change in self._changes:
@@ -73,5 +73,5 @@
         )
 
     def changes(self) -> tuple[MachineChange, ...]:
-        """Return every change as it truly happened, oldest first."""
+        """Return all changes, visible or not, oldest first."""
         return tuple(self._changes)
--- a/drumbay/standins/machine_list_server.py
+++ b/drumbay/standins/machine_list_server.py
@@ -1,4 +1,4 @@
-"""An emulated machine list as an HTTP server."""
+"""HTTP server of an emulated machine list."""
 
 import ssl
 
@@ -12,13 +12,13 @@
 
 
 class MachinePage(msgspec.Struct, frozen=True, kw_only=True):
-    """The machines that readers see now."""
+    """Response with the currently visible machines."""
 
     machines: tuple[Machine, ...]
 
 
 class ChangePage(msgspec.Struct, frozen=True, kw_only=True):
-    """Every change as it truly happened."""
+    """Response with all changes."""
 
     changes: tuple[MachineChange, ...]
 
@@ -27,15 +27,15 @@
     """``GET`` and ``POST /v1/machines``."""
 
     def initialize(self, machines: MachineListModel) -> None:
-        """Store the list."""
+        """Set the machine list."""
         self._machines = machines
 
     def get(self) -> None:
-        """Answer with the visible machines."""
+        """Return the visible machines."""
         self.send(MachinePage(machines=self._machines.visible()))
 
     def post(self) -> None:
-        """Add or change a machine."""
+        """Add or update a machine."""
         try:
             machine = msgspec.json.decode(self.request.body, type=Machine)
         except msgspec.DecodeError as error:
@@ -49,16 +49,16 @@
     """``GET /v1/machines/changes``."""
 
     def initialize(self, machines: MachineListModel) -> None:
-        """Store the list."""
+        """Set the machine list."""
         self._machines = machines
 
     def get(self) -> None:
-        """Answer with the true history."""
+        """Return all changes."""
         self.send(ChangePage(changes=self._machines.changes()))
 
 
 class MachineListServer:
-    """Serves one emulated machine list."""
+    """HTTP server of one emulated machine list."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         port: int,
         ssl_context: ssl.SSLContext | None = None,
     ) -> None:
-        """Create a server; ``port`` 0 takes a free port."""
+        """Create a server; ``port`` 0 selects a free port."""
         arguments = {"machines": machines}
         self._server = EmulatorServer(
             machines,
@@ -85,11 +85,11 @@
 
     @property
     def base_url(self) -> str:
-        """URL at which the list is read."""
+        """Base URL of the machine list."""
         return self._server.base_url
 
     def start(self) -> None:
-        """Bind the port and serve."""
+        """Bind the port and start serving."""
         self._server.start()
 
     async def stop(self) -> None:
--- a/drumbay/standins/order_queue.py
+++ b/drumbay/standins/order_queue.py
@@ -1,4 +1,4 @@
-"""Orders under way on one run of an emulated engine."""
+"""Orders in progress on an emulated engine process."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class OrderQueue:
-    """Admits orders, runs them in the background and answers their callers."""
+    """Admits orders, runs them in background tasks and returns their results."""
 
     def __init__(
         self,
@@ -29,20 +29,20 @@
         executor: OrderExecutor,
         on_done: Callable[[], EngineStatus],
     ) -> None:
-        """Create a queue; ``on_done`` is called after each order and returns the status."""
+        """Create a queue; ``on_done`` runs after each successful order and returns the status."""
         self._context = context
         self._boot_id = boot_id
         self._weights = weights
         self._executor = executor
         self._on_done = on_done
-        self._received = 0
+        self._order_count = 0
         self._pending: dict[int, asyncio.Future[EngineStatus]] = {}
         self._running: dict[int, asyncio.Task[None]] = {}
 
     async def submit(self, order: FencedOrder) -> EngineStatus:
         """Run an order and return the status after it.
 
-        The order goes on when the caller stops waiting.
+        The order continues when the caller stops waiting.
 
         Raises:
             StaleFenceError: The engine has seen a newer fence.
@@ -53,22 +53,22 @@
         except StaleFenceError:
             self._log(order, OrderOutcome.STALE_FENCE)
             raise
-        self._received += 1
-        number = self._received
-        answer: asyncio.Future[EngineStatus] = asyncio.get_running_loop().create_future()
-        # NOTE: an error that no caller waits for any more is not an unhandled one.
-        answer.add_done_callback(asyncio.Future.exception)
-        self._pending[number] = answer
+        self._order_count += 1
+        number = self._order_count
+        response: asyncio.Future[EngineStatus] = asyncio.get_running_loop().create_future()
+        # Marks the exception as retrieved even if the caller has stopped waiting.
+        response.add_done_callback(asyncio.Future.exception)
+        self._pending[number] = response
         self._running[number] = self._context.tasks.spawn(
             self._run(order, number), f"order-{number}"
         )
-        return await asyncio.shield(answer)
+        return await asyncio.shield(response)
 
     def abort(self) -> None:
-        """Break every order under way, as the death of the process does."""
+        """Break every order in progress, as a process crash does."""
         for number in list(self._pending):
             self._running[number].cancel()
-            self._answer(number, ExchangeBrokenError("the engine died"))
+            self._complete(number, ExchangeBrokenError("the engine died"))
 
     async def _run(self, order: FencedOrder, number: int) -> None:
         outcome = OrderOutcome.FAILED
@@ -84,17 +84,17 @@
         except DrumbayError as error:
             result = BackendError(f"{error.code}: {error}")
         self._log(order, outcome)
-        if self._context.faults.strikes(FaultKind.ORDER_ANSWER_LOST):
+        if self._context.faults.should_inject(FaultKind.ORDER_ANSWER_LOST):
             result = ExchangeBrokenError("the answer was lost")
-        self._answer(number, result)
+        self._complete(number, result)
 
-    def _answer(self, number: int, result: EngineStatus | BackendError) -> None:
+    def _complete(self, number: int, result: EngineStatus | BackendError) -> None:
         self._running.pop(number, None)
-        answer = self._pending.pop(number)
+        response = self._pending.pop(number)
         if isinstance(result, BackendError):
-            answer.set_exception(result)
+            response.set_exception(result)
         else:
-            answer.set_result(result)
+            response.set_result(result)
 
     def _log(self, order: FencedOrder, outcome: OrderOutcome) -> None:
         self._context.log.append(
--- a/drumbay/standins/platform_duties.py
+++ b/drumbay/standins/platform_duties.py
@@ -1,4 +1,4 @@
-"""Emulated platform API for the duties of one node: fences, outages, and calls carried out late."""
+"""Emulated platform API for leader duties: fencing, outages and delayed calls."""
 
 import asyncio
 from collections.abc import Mapping
@@ -9,12 +9,12 @@
 from drumbay.duties.interface import DutyOutcome, DutyToken, UsageReport, WorkerCount
 from drumbay.tenants.records import TenantName
 
-ANSWER_SECONDS = 0.004
-UNANSWERED_SECONDS = 2.0
+RESPONSE_DELAY_SECONDS = 0.004
+CALL_TIMEOUT_SECONDS = 2.0
 
 
 class LoggedCall(msgspec.Struct, frozen=True, kw_only=True):
-    """A call that was carried out, and when."""
+    """An executed call."""
 
     at: float
     token: DutyToken
@@ -23,24 +23,24 @@
 
 
 class EmulatedPlatformDuties:
-    """The platform as all nodes of a world reach it.
+    """Emulated platform, shared by all nodes.
 
     Attributes:
-        down: Whether calls are refused without being carried out.
-        silent_next: So many of the next calls get no answer.
-        silent_late_seconds: Calls without an answer are carried out after this time; never if
+        down: Whether calls are deferred without being executed.
+        silent_next: Number of next calls that get no response.
+        silent_late_seconds: Delay after which calls without a response are executed; never if
             ``None``.
-        calls: Every call that was carried out, oldest first.
-        refused: Calls whose fence was too low.
-        usage: The counts accepted for each window; a second report of other counts stands in
-            ``contradictions``.
+        calls: Executed calls, oldest first.
+        refused: Tokens of calls whose fence was too low.
+        usage: First accepted counts of each window.
+        contradictions: Accepted reports whose counts differ from the first ones of the window.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start sound, without a call seen."""
+        """Create a platform without faults and calls."""
         self._clock = clock
         self._highest_fence = 0
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_tasks: set[asyncio.Task[None]] = set()
         self.down = False
         self.silent_next = 0
         self.silent_late_seconds: float | None = None
@@ -50,55 +50,55 @@
         self.contradictions: list[UsageReport] = []
 
     async def report_usage(self, token: DutyToken, report: UsageReport) -> DutyOutcome:
-        """Take one report."""
-        return await self._take(LoggedCall(at=0.0, token=token, report=report))
+        """Handle a usage report."""
+        return await self._handle(LoggedCall(at=0.0, token=token, report=report))
 
     async def set_worker_count(self, token: DutyToken, count: WorkerCount) -> DutyOutcome:
-        """Take one order."""
-        return await self._take(LoggedCall(at=0.0, token=token, count=count))
+        """Handle an order for a worker count."""
+        return await self._handle(LoggedCall(at=0.0, token=token, count=count))
 
-    async def _take(self, call: LoggedCall) -> DutyOutcome:
+    async def _handle(self, call: LoggedCall) -> DutyOutcome:
         if self.silent_next:
             self.silent_next -= 1
             if self.silent_late_seconds is not None:
-                task = asyncio.ensure_future(self._carry_out_late(call, self.silent_late_seconds))
-                self._late.add(task)
-                task.add_done_callback(self._late.discard)
-            await self._clock.sleep(UNANSWERED_SECONDS)
+                task = asyncio.ensure_future(self._execute_late(call, self.silent_late_seconds))
+                self._late_tasks.add(task)
+                task.add_done_callback(self._late_tasks.discard)
+            await self._clock.sleep(CALL_TIMEOUT_SECONDS)
             return DutyOutcome.UNANSWERED
-        await self._clock.sleep(ANSWER_SECONDS)
+        await self._clock.sleep(RESPONSE_DELAY_SECONDS)
         if self.down:
             return DutyOutcome.DEFERRED
-        return self._carry_out(call)
+        return self._execute(call)
 
-    async def _carry_out_late(self, call: LoggedCall, seconds: float) -> None:
+    async def _execute_late(self, call: LoggedCall, seconds: float) -> None:
         await self._clock.sleep(seconds)
-        self._carry_out(call)
+        self._execute(call)
 
-    def _carry_out(self, call: LoggedCall) -> DutyOutcome:
+    def _execute(self, call: LoggedCall) -> DutyOutcome:
         if call.token.fence < self._highest_fence:
             self.refused.append(call.token)
             return DutyOutcome.FENCED
         self._highest_fence = call.token.fence
         self.calls.append(msgspec.structs.replace(call, at=self._clock.monotonic()))
         if call.report is not None:
-            self._note_usage(call.report)
+            self._record_usage(call.report)
         return DutyOutcome.ACCEPTED
 
-    def _note_usage(self, report: UsageReport) -> None:
-        known = self.usage.setdefault(report.window, report.counts)
-        if known != report.counts:
+    def _record_usage(self, report: UsageReport) -> None:
+        accepted = self.usage.setdefault(report.window, report.counts)
+        if accepted != report.counts:
             self.contradictions.append(report)
 
-    def holders_in_turns(self, turn_seconds: float) -> bool:
-        """Return whether two machines called in turns: A, B and A again within a turn."""
-        last_of: dict[str, float] = {}
+    def holders_in_turns(self, window_seconds: float) -> bool:
+        """Return whether calls went from one holder to another and back within a window."""
+        last_call_at: dict[str, float] = {}
         previous: str | None = None
         for call in self.calls:
             holder = call.token.holder
-            returned = previous is not None and holder != previous and holder in last_of
-            if returned and call.at - last_of[holder] < turn_seconds:
+            returned = previous is not None and holder != previous and holder in last_call_at
+            if returned and call.at - last_call_at[holder] < window_seconds:
                 return True
-            last_of[holder] = call.at
+            last_call_at[holder] = call.at
             previous = holder
         return False
--- a/drumbay/standins/prefix_cache.py
+++ b/drumbay/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The bounded prefix cache of an emulated engine."""
+"""Prefix cache of an emulated engine and the feed of its events."""
 
 from collections import OrderedDict, deque
 
@@ -9,14 +9,14 @@
 
 
 class CacheKey(msgspec.Struct, frozen=True):
-    """Identity of a cached block: keys and values depend on the weights."""
+    """Key of a cached block; cached values are valid for one weight version."""
 
     weight_version: WeightVersion
     prefix_hash: str
 
 
 class PrefixCache:
-    """Blocks of prompt prefixes, evicted by least recent use."""
+    """LRU cache of prompt prefix blocks."""
 
     def __init__(self, capacity_blocks: int) -> None:
         """Create an empty cache of at most ``capacity_blocks`` blocks."""
@@ -28,7 +28,7 @@
         return len(self._blocks)
 
     def cached_blocks(self, version: WeightVersion, hashes: tuple[str, ...]) -> int:
-        """Return how many leading blocks are cached, and mark them as used."""
+        """Return the number of leading blocks that are cached, and mark them as used."""
         count = 0
         for prefix_hash in hashes:
             key = CacheKey(version, prefix_hash)
@@ -39,7 +39,7 @@
         return count
 
     def store(self, version: WeightVersion, hashes: tuple[str, ...]) -> list[CacheEvent]:
-        """Cache all blocks of a prefix and return the changes, evictions included."""
+        """Cache all blocks of a prefix and return the events, including evictions."""
         events: list[CacheEvent] = []
         for prefix_hash in hashes:
             key = CacheKey(version, prefix_hash)
@@ -48,10 +48,10 @@
                 continue
             self._blocks[key] = None
             events.append(self._event(CacheEventKind.STORED, key))
-            events.extend(self._evict_surplus())
+            events.extend(self._evict_excess())
         return events
 
-    def _evict_surplus(self) -> list[CacheEvent]:
+    def _evict_excess(self) -> list[CacheEvent]:
         events: list[CacheEvent] = []
         while len(self._blocks) > self._capacity_blocks:
             key, _ = self._blocks.popitem(last=False)
@@ -75,10 +75,10 @@
 
 
 class CacheEventFeed:
-    """Cache events as an engine publishes them: late, with gaps, and a bounded backlog."""
+    """Bounded feed of cache events that are published after a delay."""
 
     def __init__(self, delay_seconds: float, capacity: int) -> None:
-        """Create a feed that holds the newest ``capacity`` events."""
+        """Create a feed that keeps the newest ``capacity`` events."""
         self._delay_seconds = delay_seconds
         self._events: deque[_DelayedEvent] = deque(maxlen=capacity)
 
--- a/drumbay/standins/process_context.py
+++ b/drumbay/standins/process_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an emulated process share over restarts."""
+"""State of an emulated process that survives restarts."""
 
 import random
 from collections.abc import Callable
@@ -15,17 +15,17 @@
 
 
 class ProcessContext:
-    """Clock, log, faults and freeze gate of one emulated process.
+    """Clock, log, faults and freeze gate of an emulated process.
 
     Attributes:
-        clock: Time of the process.
+        clock: Clock of the process.
         backend_id: Name of the process.
-        random_source: Source of everything that is drawn at random.
-        log: What the process truly did.
-        faults: Switchable faults.
-        freeze_gate: Held while the process is frozen.
+        random_source: Source of randomness.
+        log: Execution log.
+        faults: Injectable faults.
+        freeze_gate: Closed while the process is frozen.
         tasks: Owner of the background tasks.
-        on_crash: Called when the process dies; a server closes its connections.
+        on_crash: Called when the process crashes, so that a server can close its connections.
     """
 
     def __init__(
@@ -46,24 +46,23 @@
         self.on_crash: Callable[[], None] | None = None
 
     def freeze(self) -> None:
-        """Stop all work; requests are taken from the network but nothing is answered."""
+        """Pause all work; requests are still accepted but get no response."""
         self.freeze_gate.hold(FREEZE_HOLD)
 
     def thaw(self) -> None:
-        """Let a frozen process go on where it stood."""
+        """Resume the work of a frozen process."""
         self.freeze_gate.release(FREEZE_HOLD)
 
     async def work(self, seconds: float) -> None:
-        """Spend time on work that a freeze interrupts and the fault ``slow`` stretches."""
-        slowed = SLOW_FACTOR if self.faults.strikes(FaultKind.SLOW) else 1.0
+        """Spend time on work, longer with the fault ``slow``, and wait while frozen."""
+        slowed = SLOW_FACTOR if self.faults.should_inject(FaultKind.SLOW) else 1.0
         await self.clock.sleep(seconds * slowed)
-        await self.freeze_gate.passed()
+        await self.freeze_gate.wait_open()
 
     def start_run(self) -> BootId:
-        """Draw the identity of a new run of the process and log its start."""
+        """Create the boot id of a new process and log the start."""
         bits = self.random_source.getrandbits(BOOT_ID_BITS)
-        # NOTE: a process that is killed and started with the same seed draws the same bits;
-        # the time of the start tells the two runs apart.
+        # The start time distinguishes processes that are started with the same seed.
         started = round(self.clock.wall() * MILLISECONDS_PER_SECOND)
         boot_id = BootId(f"{self.backend_id}-{started:x}-{bits:012x}")
         now = self.clock.monotonic()
@@ -72,7 +71,7 @@
         return boot_id
 
     def log_crash(self, boot_id: BootId) -> None:
-        """Log the death of a run and report it."""
+        """Log a crash and call ``on_crash``."""
         now = self.clock.monotonic()
         record = ProcessCrashed(time_seconds=now, source=self.backend_id, boot_id=boot_id)
         self.log.append(record)
--- a/drumbay/standins/process_gate.py
+++ b/drumbay/standins/process_gate.py
@@ -1,13 +1,13 @@
-"""Stopping and resuming the work of an emulated process."""
+"""Gate that pauses and resumes the work of an emulated process."""
 
 import asyncio
 
 FREEZE_HOLD = "freeze"
-"""Name of the hold of a frozen process."""
+"""Hold placed while a process is frozen."""
 
 
 class ProcessGate:
-    """Holds back all work while at least one hold is placed."""
+    """Blocks work while at least one named hold is placed."""
 
     def __init__(self) -> None:
         """Create an open gate."""
@@ -21,17 +21,17 @@
         return not self._holds
 
     def hold(self, name: str) -> None:
-        """Place the hold ``name``; placing it twice is the same as once."""
+        """Place the hold ``name``; idempotent."""
         self._holds[name] = None
         self._open.clear()
 
     def release(self, name: str) -> None:
-        """Remove the hold ``name`` if it is placed."""
+        """Remove the hold ``name``; idempotent."""
         self._holds.pop(name, None)
         if not self._holds:
             self._open.set()
 
-    async def passed(self) -> None:
+    async def wait_open(self) -> None:
         """Wait until no hold is placed."""
         while self._holds:
             await self._open.wait()
--- a/drumbay/standins/scoring_model.py
+++ b/drumbay/standins/scoring_model.py
@@ -1,4 +1,4 @@
-"""An emulated scoring service: ``POST`` a prompt and a completion, get a score."""
+"""Emulated scoring service: ``POST`` a prompt and a completion to get a score."""
 
 import random
 
@@ -27,23 +27,23 @@
     token_ids: tuple[int, ...]
 
 
-class ScoreAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of the answer; ``score`` is from 0 to 1."""
+class ScoreResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """Response body; ``score`` is between 0 and 1."""
 
     score: float
 
 
-def score_of(request: ScoreRequest) -> float:
-    """Return the score of a completion; it depends on the request alone."""
+def compute_score(request: ScoreRequest) -> float:
+    """Return a deterministic score of a completion."""
     hashed: int = xxhash.xxh64_intdigest(msgspec.json.encode(request))
     return (hashed % SCORE_STEPS) / SCORE_STEPS
 
 
 class ScoringOperations:
-    """Scores completions."""
+    """Operations of the scoring service."""
 
-    def rejection(self, request: ApplicationRequest) -> str | None:
-        """Refuse bodies that are not a score request."""
+    def rejection_reason(self, request: ApplicationRequest) -> str | None:
+        """Reject bodies that are not a score request."""
         try:
             msgspec.json.decode(request.body, type=ScoreRequest)
         except msgspec.DecodeError:
@@ -52,12 +52,12 @@
 
     def execute(self, context: ExecutionContext, request: ApplicationRequest) -> ServiceResult:
         """Score one completion."""
-        score = score_of(msgspec.json.decode(request.body, type=ScoreRequest))
+        score = compute_score(msgspec.json.decode(request.body, type=ScoreRequest))
         return ServiceResult(
-            answer=ApplicationAnswer(
+            response=ApplicationAnswer(
                 attempt_id=request.attempt_id,
                 status=HTTP_OK,
-                body=msgspec.json.encode(ScoreAnswer(score=score)),
+                body=msgspec.json.encode(ScoreResponse(score=score)),
                 content_type="application/json",
             ),
             record=ScoringExecuted(
@@ -71,7 +71,7 @@
 
 
 class ScoringModel(ServiceModel):
-    """One emulated scoring service."""
+    """Emulated scoring service."""
 
     def __init__(
         self,
@@ -80,5 +80,5 @@
         random_source: random.Random,
         parameters: ServiceParameters | None = None,
     ) -> None:
-        """Create a scoring service whose process has started."""
+        """Create a scoring service with a running process."""
         super().__init__(clock, backend_id, ScoringOperations(), random_source, parameters)
--- a/drumbay/standins/service_model.py
+++ b/drumbay/standins/service_model.py
@@ -1,8 +1,8 @@
-"""An emulated request/answer service: the process around an operation.
+"""Emulated request/response service.
 
-The operation itself (a stock lookup, a booking, a score) is a :class:`ServiceOperation`.
-The process adds queueing, service times, crashes, freezes and faults. It does not
-deduplicate: whatever reaches it, runs.
+A :class:`ServiceOperation` implements the request itself, such as a stock lookup, a booking or
+a score. The service adds queueing, service times, crashes, freezes and faults. It does not
+deduplicate requests.
 """
 
 import asyncio
@@ -40,11 +40,11 @@
     """Sizes and times of an emulated service.
 
     Attributes:
-        max_running: Requests that run together.
-        max_waiting: Requests that may queue; more are refused as overloaded.
-        service_seconds: Mean time of one execution; times are exponentially distributed.
-        late_answer_seconds: Delay of an answer under the fault ``late_answer``.
-        overload_retry_seconds: Retry time given with a refusal.
+        max_running: Maximum number of concurrent requests.
+        max_waiting: Maximum queue length; further requests are refused as overloaded.
+        service_seconds: Mean service time; service times are exponentially distributed.
+        late_answer_seconds: Response delay with the fault ``late_answer``.
+        overload_retry_seconds: ``Retry-After`` value of an overload refusal.
     """
 
     max_running: int = 8
@@ -54,23 +54,23 @@
     overload_retry_seconds: float = 0.5
 
 
-class TruncatedAnswerError(ExchangeBrokenError):
-    """Only a part of the answer arrives.
+class TruncatedResponseError(ExchangeBrokenError):
+    """Only a part of the response is sent.
 
     Attributes:
-        answer: The whole answer, of which a server sends a part.
+        response: The complete response, of which a server sends a part.
     """
 
     code = "truncated_answer"
 
-    def __init__(self, answer: ApplicationAnswer) -> None:
-        """Store the whole answer."""
+    def __init__(self, response: ApplicationAnswer) -> None:
+        """Store the complete response."""
         super().__init__("the answer was cut off")
-        self.answer = answer
+        self.response = response
 
 
 class ExecutionContext(msgspec.Struct, frozen=True, kw_only=True):
-    """Where and when an operation runs, for its log record."""
+    """Time and process of an execution, for its log record."""
 
     time_seconds: float
     source: str
@@ -78,37 +78,37 @@
 
 
 class ServiceResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of an operation, and the record of its execution."""
+    """Response of an operation and the log record of its execution."""
 
-    answer: ApplicationAnswer
+    response: ApplicationAnswer
     record: AnyExecutionRecord
 
 
 class ServiceOperation(Protocol):
-    """What a service does with a request."""
+    """Implementation of the requests of a service."""
 
-    def rejection(self, request: ApplicationRequest) -> str | None:
-        """Return why a request cannot be run at all, or ``None``."""
+    def rejection_reason(self, request: ApplicationRequest) -> str | None:
+        """Return why a request is invalid, or ``None``."""
         ...
 
     def execute(self, context: ExecutionContext, request: ApplicationRequest) -> ServiceResult:
-        """Run one request; called once for each execution."""
+        """Execute a request; called once per execution."""
         ...
 
 
-class _Run:
-    """What the death of the process loses."""
+class _ProcessState:
+    """State of one process, lost when it crashes."""
 
     def __init__(self, boot_id: BootId, max_running: int) -> None:
         self.boot_id = boot_id
         self.ended = False
         self.slots = BatchSlots(max_running, lambda: None)
         self.pending: dict[asyncio.Future[ApplicationAnswer], asyncio.Task[None]] = {}
-        self.previous_answer: ApplicationAnswer | None = None
+        self.previous_response: ApplicationAnswer | None = None
 
 
 class ServiceModel:
-    """One emulated service over all runs of its process."""
+    """Emulated service across restarts of its process."""
 
     def __init__(
         self,
@@ -118,11 +118,11 @@
         random_source: random.Random,
         parameters: ServiceParameters | None = None,
     ) -> None:
-        """Create a service whose process has started."""
+        """Create a service with a running process."""
         self._parameters = parameters or ServiceParameters()
         self._context = ProcessContext(clock, backend_id, random_source, SERVICE_FAULTS)
         self._operation = operation
-        self._run = _Run(self._context.start_run(), self._parameters.max_running)
+        self._process = _ProcessState(self._context.start_run(), self._parameters.max_running)
 
     @property
     def backend_id(self) -> BackendId:
@@ -131,99 +131,99 @@
 
     @property
     def log(self) -> ExecutionLog:
-        """What the service truly did."""
+        """Execution log of the service."""
         return self._context.log
 
     @property
     def faults(self) -> FaultSwitches:
-        """Switchable faults."""
+        """Injectable faults."""
         return self._context.faults
 
     @property
     def boot_id(self) -> BootId:
-        """Identity of the current or last run of the process."""
-        return self._run.boot_id
+        """Identity of the current or last process."""
+        return self._process.boot_id
 
     @property
     def crashed(self) -> bool:
         """Whether the process is down."""
-        return self._run.ended
+        return self._process.ended
 
     @property
     def running(self) -> int:
-        """Requests that run now."""
-        return self._run.slots.running
+        """Number of running requests."""
+        return self._process.slots.running
 
     @property
     def waiting(self) -> int:
-        """Requests that queue now."""
-        return self._run.slots.waiting
+        """Number of queued requests."""
+        return self._process.slots.waiting
 
-    def watch_crashes(self, on_crash: Callable[[], None]) -> None:
-        """Have ``on_crash`` called whenever the process dies."""
+    def set_crash_callback(self, on_crash: Callable[[], None]) -> None:
+        """Set the function that is called when the process crashes."""
         self._context.on_crash = on_crash
 
     def crash(self) -> None:
-        """End the process at once; every exchange breaks. Effects that happened stay."""
-        run = self._run
-        if run.ended:
+        """Crash the process; every exchange breaks, but effects of executed requests stay."""
+        process = self._process
+        if process.ended:
             return
-        run.ended = True
-        self._context.log_crash(run.boot_id)
-        for answer, task in list(run.pending.items()):
-            self._settle(run, answer, ExchangeBrokenError("the service died"))
+        process.ended = True
+        self._context.log_crash(process.boot_id)
+        for response, task in list(process.pending.items()):
+            self._complete(process, response, ExchangeBrokenError("the service died"))
             if task is not asyncio.current_task():
                 task.cancel()
-        # NOTE: whoever waits for a frozen process must see that it died.
+        # Wakes callers that wait for a frozen process, so that they see the crash.
         self._context.thaw()
 
     def restart(self) -> None:
-        """Start the process again."""
+        """Restart the process."""
         self.crash()
-        self._run = _Run(self._context.start_run(), self._parameters.max_running)
+        self._process = _ProcessState(self._context.start_run(), self._parameters.max_running)
 
     def freeze(self) -> None:
-        """Stop all work; requests are taken from the network but nothing is answered."""
+        """Pause all work; requests are still accepted but get no response."""
         self._context.freeze()
 
     def thaw(self) -> None:
-        """Let a frozen process go on where it stood."""
+        """Resume the work of a frozen process."""
         self._context.thaw()
 
     async def close(self) -> None:
-        """End the process and all background tasks."""
+        """Stop the process and all background tasks."""
         self.crash()
         await self._context.tasks.close()
 
     async def exchange(self, request: ApplicationRequest) -> ApplicationAnswer:
-        """Run one request; the work goes on when the caller stops waiting.
+        """Run a request; it continues when the caller stops waiting.
 
         Raises:
             BackendNotReachedError: The process is down.
-            BackendRefusedError: The service will not run the request.
-            ExchangeBrokenError: The answer was lost; the request may have run.
+            BackendRefusedError: The service rejected the request.
+            ExchangeBrokenError: The response was lost; the request may have run.
         """
-        run = self._run
-        if run.ended:
+        process = self._process
+        if process.ended:
             raise BackendNotReachedError(f"{self.backend_id} is down")
-        await self._context.freeze_gate.passed()
-        if run.ended:
+        await self._context.freeze_gate.wait_open()
+        if process.ended:
             raise ExchangeBrokenError(f"{self.backend_id} died")
-        self._check_accepted(run, request)
-        answer: asyncio.Future[ApplicationAnswer] = asyncio.get_running_loop().create_future()
-        # NOTE: an error that no caller waits for any more is not an unhandled one.
-        answer.add_done_callback(asyncio.Future.exception)
-        ticket = run.slots.enqueue(0)
+        self._check_admission(process, request)
+        response: asyncio.Future[ApplicationAnswer] = asyncio.get_running_loop().create_future()
+        # Marks the exception as retrieved even if the caller has stopped waiting.
+        response.add_done_callback(asyncio.Future.exception)
+        ticket = process.slots.enqueue(0)
         task = self._context.tasks.spawn(
-            self._serve(run, request, ticket, answer), f"exchange-{request.attempt_id}"
+            self._serve(process, request, ticket, response), f"exchange-{request.attempt_id}"
         )
-        run.pending[answer] = task
-        return await asyncio.shield(answer)
+        process.pending[response] = task
+        return await asyncio.shield(response)
 
-    def _check_accepted(self, run: _Run, request: ApplicationRequest) -> None:
-        reason = self._operation.rejection(request)
+    def _check_admission(self, process: _ProcessState, request: ApplicationRequest) -> None:
+        reason = self._operation.rejection_reason(request)
         retry_after: float | None = None
-        if run.slots.full and run.slots.waiting >= self._parameters.max_waiting:
+        if process.slots.full and process.slots.waiting >= self._parameters.max_waiting:
             reason = "overloaded"
             retry_after = self._parameters.overload_retry_seconds
         if reason is None:
@@ -232,7 +232,7 @@
             ApplicationRefused(
                 time_seconds=self._context.clock.monotonic(),
                 source=self.backend_id,
-                boot_id=run.boot_id,
+                boot_id=process.boot_id,
                 attempt_id=request.attempt_id,
                 idempotency_key=request.idempotency_key,
                 reason=reason,
@@ -242,59 +242,62 @@
 
     async def _serve(
         self,
-        run: _Run,
+        process: _ProcessState,
         request: ApplicationRequest,
         ticket: Ticket,
-        answer: asyncio.Future[ApplicationAnswer],
+        response: asyncio.Future[ApplicationAnswer],
     ) -> None:
         try:
             await ticket.granted
             rate = 1.0 / self._parameters.service_seconds
             await self._context.work(self._context.random_source.expovariate(rate))
-            result = self._execute(run, request)
+            result = self._execute(process, request)
         finally:
-            run.slots.leave(ticket)
-        await self._answer(run, result, answer)
+            process.slots.release(ticket)
+        await self._respond(process, result, response)
 
-    def _execute(self, run: _Run, request: ApplicationRequest) -> ServiceResult:
+    def _execute(self, process: _ProcessState, request: ApplicationRequest) -> ServiceResult:
         context = ExecutionContext(
             time_seconds=self._context.clock.monotonic(),
             source=self.backend_id,
-            boot_id=run.boot_id,
+            boot_id=process.boot_id,
         )
         result = self._operation.execute(context, request)
         self.log.append(result.record)
         return result
 
-    async def _answer(
-        self, run: _Run, result: ServiceResult, answer: asyncio.Future[ApplicationAnswer]
+    async def _respond(
+        self,
+        process: _ProcessState,
+        result: ServiceResult,
+        response: asyncio.Future[ApplicationAnswer],
     ) -> None:
         faults = self.faults
-        if faults.strikes(FaultKind.CRASH_AFTER_EFFECT):
+        if faults.should_inject(FaultKind.CRASH_AFTER_EFFECT):
             self.crash()
             return
-        if faults.strikes(FaultKind.LATE_ANSWER):
+        if faults.should_inject(FaultKind.LATE_ANSWER):
             await self._context.work(self._parameters.late_answer_seconds)
-        if faults.strikes(FaultKind.TRUNCATED_ANSWER):
-            self._settle(run, answer, TruncatedAnswerError(result.answer))
+        if faults.should_inject(FaultKind.TRUNCATED_ANSWER):
+            self._complete(process, response, TruncatedResponseError(result.response))
             return
-        previous = run.previous_answer
-        run.previous_answer = result.answer
-        if previous is not None and faults.strikes(FaultKind.CROSSED_ANSWER):
-            self._settle(run, answer, previous)
+        previous = process.previous_response
+        process.previous_response = result.response
+        if previous is not None and faults.should_inject(FaultKind.CROSSED_ANSWER):
+            self._complete(process, response, previous)
             return
-        self._settle(run, answer, result.answer)
+        self._complete(process, response, result.response)
 
-    def _settle(
+    def _complete(
         self,
-        run: _Run,
-        answer: asyncio.Future[ApplicationAnswer],
+        process: _ProcessState,
+        response: asyncio.Future[ApplicationAnswer],
         result: ApplicationAnswer | BackendError,
     ) -> None:
-        run.pending.pop(answer, None)
-        if answer.done():
+        process.pending.pop(response, None)
+        if response.done():
             return
         if isinstance(result, BackendError):
-            answer.set_exception(result)
+            response.set_exception(result)
         else:
-            answer.set_result(result)
+            response.set_result(result)
--- a/drumbay/standins/service_server.py
+++ b/drumbay/standins/service_server.py
@@ -1,4 +1,4 @@
-"""An emulated application or scoring service as an HTTP server."""
+"""HTTP server of an emulated application or scoring service."""
 
 import ssl
 
@@ -19,7 +19,7 @@
 from drumbay.exceptions import Execution
 from drumbay.identifiers import AttemptId, BackendId
 from drumbay.standins.http_shell import EmulatorServer, JsonHandler, ProcessCommand
-from drumbay.standins.service_model import ServiceModel, TruncatedAnswerError
+from drumbay.standins.service_model import ServiceModel, TruncatedResponseError
 
 HTTP_TOO_MANY_REQUESTS = 429
 HTTP_UNAVAILABLE = 503
@@ -27,10 +27,10 @@
 
 
 class ExchangeHandler(JsonHandler):
-    """Any request of the service itself."""
+    """Handler of all requests to the service itself."""
 
     def initialize(self, service: ServiceModel) -> None:
-        """Store the service."""
+        """Set the service."""
         self._service = service
 
     async def get(self) -> None:
@@ -52,20 +52,20 @@
             idempotency_key=headers.get(IDEMPOTENCY_KEY_HEADER),
         )
         try:
-            answer = await self._service.exchange(request)
+            response = await self._service.exchange(request)
         except BackendRefusedError as error:
             self._send_refusal(request, error)
             return
-        except TruncatedAnswerError as error:
-            await self._send_part(error)
+        except TruncatedResponseError as error:
+            await self._send_truncated(error)
             return
         except BackendError:
             self.drop_connection()
             return
-        self.set_status(answer.status)
-        self.set_header(REQUEST_ID_HEADER, answer.attempt_id)
-        self.set_header("Content-Type", answer.content_type)
-        self.write(answer.body)
+        self.set_status(response.status)
+        self.set_header(REQUEST_ID_HEADER, response.attempt_id)
+        self.set_header("Content-Type", response.content_type)
+        self.write(response.body)
 
     def _send_refusal(self, request: ApplicationRequest, error: BackendRefusedError) -> None:
         self.set_header(REQUEST_ID_HEADER, request.attempt_id)
@@ -78,12 +78,12 @@
             retry_after_seconds=error.retry_after_seconds,
         )
 
-    async def _send_part(self, error: TruncatedAnswerError) -> None:
-        answer = error.answer
-        self.set_status(answer.status)
-        self.set_header(REQUEST_ID_HEADER, answer.attempt_id)
-        self.set_header("Content-Length", str(len(answer.body)))
-        self.write(answer.body[: len(answer.body) // 2])
+    async def _send_truncated(self, error: TruncatedResponseError) -> None:
+        response = error.response
+        self.set_status(response.status)
+        self.set_header(REQUEST_ID_HEADER, response.attempt_id)
+        self.set_header("Content-Length", str(len(response.body)))
+        self.write(response.body[: len(response.body) // 2])
         try:
             await self.flush()
         except StreamClosedError:
@@ -95,11 +95,11 @@
     """``GET /admin/status``."""
 
     def initialize(self, service: ServiceModel) -> None:
-        """Store the service."""
+        """Set the service."""
         self._service = service
 
     def get(self) -> None:
-        """Answer with the load."""
+        """Return the identity and the load of the service."""
         service = self._service
         self.send(
             ServiceStatus(
@@ -112,7 +112,7 @@
 
 
 class ServiceServer:
-    """Serves one emulated application or scoring service."""
+    """HTTP server of one emulated application or scoring service."""
 
     def __init__(
         self,
@@ -123,7 +123,7 @@
         port: int,
         ssl_context: ssl.SSLContext | None = None,
     ) -> None:
-        """Create a server; ``port`` 0 takes a free port."""
+        """Create a server; ``port`` 0 selects a free port."""
         self._service = service
         self._server = EmulatorServer(
             service,
@@ -139,7 +139,7 @@
 
     @property
     def base_url(self) -> str:
-        """URL at which the service is reached."""
+        """Base URL of the service."""
         return self._server.base_url
 
     @property
@@ -148,14 +148,14 @@
         return self._service.backend_id
 
     def carry_out(self, command: ProcessCommand) -> None:
-        """Crash or freeze the process, and let it recover later."""
+        """Crash or freeze the process; it recovers after a delay."""
         self._server.carry_out(command)
 
     def start(self) -> None:
-        """Bind the port and serve."""
+        """Bind the port and start serving."""
         self._server.start()
 
     async def stop(self) -> None:
-        """End the service and stop serving."""
+        """Stop serving and stop the service."""
         await self._server.stop()
         await self._service.close()
--- a/drumbay/standins/simple_process.py
+++ b/drumbay/standins/simple_process.py
@@ -1,4 +1,4 @@
-"""Crash and freeze of an emulated process that has no work of its own to lose."""
+"""Crash and freeze of an emulated process without volatile state."""
 
 from collections.abc import Callable
 
@@ -8,28 +8,28 @@
 
 
 class SimpleProcess:
-    """Base class of emulators whose data outlive a crash.
+    """Base class of emulators whose state survives a crash.
 
     Attributes:
-        log: What the process truly did.
-        faults: Switchable faults.
+        log: Execution log.
+        faults: Injectable faults.
         crashed: Whether the process is down.
     """
 
     def __init__(self, supported_faults: tuple[FaultKind, ...] = ()) -> None:
-        """Create a process that runs."""
+        """Create a running process."""
         self.log = ExecutionLog()
         self.faults = FaultSwitches(supported_faults)
         self.crashed = False
         self._gate = ProcessGate()
         self._on_crash: Callable[[], None] | None = None
 
-    def watch_crashes(self, on_crash: Callable[[], None]) -> None:
-        """Have ``on_crash`` called whenever the process dies."""
+    def set_crash_callback(self, on_crash: Callable[[], None]) -> None:
+        """Set the function that is called when the process crashes."""
         self._on_crash = on_crash
 
     def crash(self) -> None:
-        """End the process at once."""
+        """Crash the process."""
         if self.crashed:
             return
         self.crashed = True
@@ -38,13 +38,13 @@
             self._on_crash()
 
     def restart(self) -> None:
-        """Start the process again."""
+        """Restart the process."""
         self.crashed = False
 
     def freeze(self) -> None:
-        """Stop all work."""
+        """Pause all work."""
         self._gate.hold(FREEZE_HOLD)
 
     def thaw(self) -> None:
-        """Go on with the work."""
+        """Resume the work."""
         self._gate.release(FREEZE_HOLD)
--- a/drumbay/standins/trainer_model.py
+++ b/drumbay/standins/trainer_model.py
@@ -1,4 +1,4 @@
-"""An emulated trainer that pulls samples by cursor and publishes weight versions."""
+"""Emulated trainer that pulls samples by cursor and publishes weight versions."""
 
 from typing import Protocol
 
@@ -17,12 +17,12 @@
 
 
 class PulledSample(msgspec.Struct, frozen=True, kw_only=True):
-    """One sample as the trainer sees it.
+    """A sample as the trainer receives it.
 
     Attributes:
         sample_id: Identity of the sample.
         cursor: Position of the sample in the stream.
-        weight_versions: Versions the sample names.
+        weight_versions: Versions that generated the sample.
     """
 
     sample_id: SampleId
@@ -31,14 +31,14 @@
 
 
 class PulledBatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Samples from a cursor on; an empty batch means that none is ready."""
+    """Samples starting at a cursor; empty if none is ready."""
 
     samples: tuple[PulledSample, ...]
     next_cursor: Cursor
 
 
 class SampleSource(Protocol):
-    """Where a trainer pulls samples from."""
+    """Source of samples for a trainer."""
 
     async def pull(
         self,
@@ -47,34 +47,34 @@
         max_samples: int,
         oldest_version: WeightVersion,
     ) -> PulledBatch:
-        """Return samples from ``cursor`` on that are no older than ``oldest_version``.
+        """Return samples starting at ``cursor`` whose weights are at least ``oldest_version``.
 
         Raises:
-            UnavailableError: No answer could be had; pull again with the same cursor.
+            UnavailableError: The source did not respond; retry with the same cursor.
         """
         ...
 
 
 class VersionPublisher(Protocol):
-    """Where a trainer publishes versions."""
+    """Destination of the weight versions of a trainer."""
 
     async def publish(self, model: str, version: WeightVersion) -> None:
         """Make a version available.
 
         Raises:
-            DrumbayError: It was not published.
+            DrumbayError: The version was not published.
         """
         ...
 
 
 class TrainerParameters(msgspec.Struct, frozen=True, kw_only=True):
-    """Sizes and times of a trainer.
+    """Configuration of an emulated trainer.
 
     Attributes:
-        samples_per_step: Samples consumed by one step.
-        step_seconds: Time of one step once its samples are there.
-        poll_seconds: Time between pulls while no sample is ready.
-        max_staleness_versions: Oldest accepted weights, in versions behind the trainer.
+        samples_per_step: Samples consumed by a step.
+        step_seconds: Time of a step after its samples are collected.
+        poll_seconds: Delay between pulls while no sample is ready, and after a failure.
+        max_staleness_versions: Maximum number of versions that a sample may lag the trainer.
     """
 
     samples_per_step: int = 64
@@ -84,17 +84,17 @@
 
 
 class TrainerCheckpoint(msgspec.Struct, frozen=True, kw_only=True):
-    """What a trainer saves after a step."""
+    """Checkpoint saved after a step."""
 
     step: int
     cursor: Cursor
 
 
 class TrainerModel:
-    """One emulated trainer.
+    """Emulated trainer.
 
     Attributes:
-        log: What the trainer truly did.
+        log: Execution log.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
         publisher: VersionPublisher,
         parameters: TrainerParameters | None = None,
     ) -> None:
-        """Create a trainer whose ``first_version`` is published already."""
+        """Create a trainer; ``first_version`` must be published already."""
         self.log = ExecutionLog()
         self._clock = clock
         self._name = name
@@ -118,66 +118,66 @@
         self._publisher = publisher
         self._parameters = parameters or TrainerParameters()
         self._version = first_version
-        self._run = 1
+        self._run_number = 1
         self._step = 0
         self._cursor = Cursor(0)
         self._checkpoints = [TrainerCheckpoint(step=0, cursor=Cursor(0))]
 
     @property
     def step(self) -> int:
-        """Number of the step under way, from 0."""
+        """Index of the current step, from 0."""
         return self._step
 
     @property
     def version(self) -> WeightVersion:
-        """Newest version of the trainer."""
+        """Latest version published by the trainer."""
         return self._version
 
     @property
     def oldest_accepted_version(self) -> WeightVersion:
-        """Oldest weights that a sample may be built from."""
+        """Oldest weight version of samples that the trainer accepts."""
         return WeightVersion(max(0, self._version - self._parameters.max_staleness_versions))
 
     @property
     def checkpoints(self) -> tuple[TrainerCheckpoint, ...]:
-        """Checkpoints saved, oldest first."""
+        """Saved checkpoints, oldest first."""
         return tuple(self._checkpoints)
 
     async def run_steps(self, steps: int) -> None:
-        """Train a number of steps."""
+        """Train for a number of steps."""
         for _ in range(steps):
             await self._run_step()
 
     async def restart_from(self, checkpoint: TrainerCheckpoint) -> None:
-        """Go back to a checkpoint; later samples are consumed again.
+        """Restore a checkpoint; later samples are consumed again.
 
-        NOTE: cancel :meth:`run_steps` first. Numbers of versions are never used twice, so
-        the restored weights are published under the next number.
+        :meth:`run_steps` must be cancelled first. The restored weights are published under a
+        new version, since version numbers are never reused.
         """
-        self._run += 1
+        self._run_number += 1
         self._step = checkpoint.step
         self._cursor = checkpoint.cursor
-        kept = [saved for saved in self._checkpoints if saved.step <= checkpoint.step]
-        self._checkpoints = kept
+        kept_checkpoints = [saved for saved in self._checkpoints if saved.step <= checkpoint.step]
+        self._checkpoints = kept_checkpoints
         self.log.append(
             TrainerRestarted(
                 time_seconds=self._clock.monotonic(),
                 source=self._name,
                 step=checkpoint.step,
                 cursor=checkpoint.cursor,
-                trainer_run=self._run,
+                trainer_run=self._run_number,
             )
         )
         await self._publish_next()
 
     async def _run_step(self) -> None:
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         remaining = self._parameters.samples_per_step
         while remaining > 0:
             remaining -= await self._pull(remaining)
-        collected = self._clock.monotonic()
+        collected_at = self._clock.monotonic()
         await self._clock.sleep(self._parameters.step_seconds)
-        trained = self._clock.monotonic()
+        trained_at = self._clock.monotonic()
         await self._publish_next()
         self.log.append(
             StepFinished(
@@ -185,16 +185,16 @@
                 source=self._name,
                 step=self._step,
                 weight_version=self._version,
-                idle_seconds=collected - began,
-                busy_seconds=trained - collected,
-                trainer_run=self._run,
+                idle_seconds=collected_at - started_at,
+                busy_seconds=trained_at - collected_at,
+                trainer_run=self._run_number,
             )
         )
         self._step += 1
         self._checkpoints.append(TrainerCheckpoint(step=self._step, cursor=self._cursor))
 
     async def _pull(self, max_samples: int) -> int:
-        """Consume what is ready and return the number of samples."""
+        """Pull and consume the samples that are ready, and return their number."""
         try:
             batch = await self._source.pull(
                 self._stream, self._cursor, max_samples, self.oldest_accepted_version
@@ -205,7 +205,7 @@
             return 0
         for sample in batch.samples:
             self._consume(sample)
-        # NOTE: the cursor may move past samples that were dropped as too old.
+        # The cursor can advance past samples that were dropped as too old.
         self._cursor = batch.next_cursor
         if not batch.samples:
             await self._clock.sleep(self._parameters.poll_seconds)
@@ -222,7 +222,7 @@
                 weight_versions=sample.weight_versions,
                 trainer_version=self._version,
                 oldest_accepted_version=self.oldest_accepted_version,
-                trainer_run=self._run,
+                trainer_run=self._run_number,
             )
         )
 
--- a/drumbay/standins/trainer_server.py
+++ b/drumbay/standins/trainer_server.py
@@ -1,4 +1,4 @@
-"""An emulated trainer as a process that pulls samples from drumbay over HTTP."""
+"""Emulated trainer process that pulls samples from drumbay over HTTP."""
 
 import asyncio
 import ssl
@@ -21,7 +21,7 @@
 
 
 class HttpSampleSource:
-    """Pulls samples from the first of several nodes that answers."""
+    """Pulls samples over HTTP, and switches to the next node after a failure."""
 
     def __init__(
         self, connector: HttpConnector, node_urls: tuple[str, ...], token: str | None = None
@@ -30,7 +30,7 @@
         self._connector = connector
         self._node_urls = node_urls
         self._headers = {} if token is None else {"Authorization": f"Bearer {token}"}
-        self._current = 0
+        self._node_index = 0
 
     async def pull(
         self,
@@ -39,29 +39,29 @@
         max_samples: int,
         oldest_version: WeightVersion,
     ) -> PulledBatch:
-        """Return samples from ``cursor`` on; after a failure the next node is asked.
+        """Return samples starting at ``cursor``; the next call uses another node after a failure.
 
         Raises:
-            UnavailableError: The node did not answer.
+            UnavailableError: The node did not respond.
         """
         query = f"cursor={cursor}&max={max_samples}&oldest_version={oldest_version}"
         path = f"/v1/streams/{quote(stream, safe='')}/samples?{query}"
         call = HttpCall(
             method="GET",
-            url=self._node_urls[self._current] + path,
+            url=self._node_urls[self._node_index] + path,
             headers=self._headers,
             timeout_seconds=PULL_TIMEOUT_SECONDS,
         )
         try:
             return await self._pull(call)
         except BackendError:
-            self._current = (self._current + 1) % len(self._node_urls)
+            self._node_index = (self._node_index + 1) % len(self._node_urls)
             raise
 
     async def _pull(self, call: HttpCall) -> PulledBatch:
-        answer = await self._connector.exchange(call)
-        await raise_for_status(answer)
-        body = await answer.body(MAX_BATCH_BYTES)
+        response = await self._connector.exchange(call)
+        await raise_for_status(response)
+        body = await response.body(MAX_BATCH_BYTES)
         try:
             return msgspec.json.decode(body, type=PulledBatch)
         except msgspec.DecodeError as error:
@@ -69,21 +69,21 @@
 
 
 class TrainerProcess(SimpleProcess):
-    """Runs a trainer; a crash loses the step under way, a restart goes back to a checkpoint.
+    """Runs a trainer; a crash loses the current step, a restart restores a checkpoint.
 
     Attributes:
-        checkpoints_lost: How many of the newest checkpoints the next restart passes over.
+        checkpoints_lost: Number of newest checkpoints that the next restart skips.
     """
 
     def __init__(self, trainer: TrainerModel, steps: int) -> None:
-        """Create a process that trains up to a number of steps."""
+        """Create a process that trains for a number of steps."""
         super().__init__()
         self.log = trainer.log
         self.checkpoints_lost = 0
         self._trainer = trainer
         self._steps = steps
         self._tasks = TaskOwner()
-        self._run: asyncio.Task[None] | None = None
+        self._training_task: asyncio.Task[None] | None = None
 
     @property
     def trainer(self) -> TrainerModel:
@@ -92,43 +92,43 @@
 
     @property
     def finished(self) -> bool:
-        """Whether all steps are trained."""
+        """Whether all steps are completed."""
         return self._trainer.step >= self._steps
 
     def start(self) -> None:
-        """Begin to train."""
-        self._run = self._tasks.spawn(self._train(), "train")
+        """Start training."""
+        self._training_task = self._tasks.spawn(self._train(), "train")
 
     def crash(self) -> None:
-        """End the process at once."""
-        if self._run is not None:
-            self._run.cancel()
+        """Crash the process."""
+        if self._training_task is not None:
+            self._training_task.cancel()
         super().crash()
 
     def restart(self) -> None:
-        """Go on from a checkpoint."""
+        """Restart training from a checkpoint."""
         super().restart()
-        self._run = self._tasks.spawn(self._recover(), "train")
+        self._training_task = self._tasks.spawn(self._recover(), "train")
 
     async def close(self) -> None:
-        """End the training."""
+        """Stop training."""
         await self._tasks.close()
 
     async def _recover(self) -> None:
-        saved = self._trainer.checkpoints
-        kept = max(len(saved) - self.checkpoints_lost, 1)
+        saved_checkpoints = self._trainer.checkpoints
+        kept_count = max(len(saved_checkpoints) - self.checkpoints_lost, 1)
         self.checkpoints_lost = 0
-        await self._trainer.restart_from(saved[kept - 1])
+        await self._trainer.restart_from(saved_checkpoints[kept_count - 1])
         await self._train()
 
     async def _train(self) -> None:
         while not self.finished:
-            await self._gate.passed()
+            await self._gate.wait_open()
             await self._trainer.run_steps(1)
 
 
 class TrainerStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of ``GET /admin/status``."""
+    """Response of ``GET /admin/status``."""
 
     step: int
     finished: bool
@@ -140,11 +140,11 @@
     """``GET /admin/status``."""
 
     def initialize(self, process: TrainerProcess) -> None:
-        """Store the process."""
+        """Set the trainer process."""
         self._process = process
 
     def get(self) -> None:
-        """Answer with the progress."""
+        """Return the progress of the trainer."""
         trainer = self._process.trainer
         self.send(
             TrainerStatus(
@@ -163,14 +163,14 @@
 
 
 class LoseCheckpointsHandler(JsonHandler):
-    """``POST /faults/checkpoints``: the next restart begins from an older checkpoint."""
+    """``POST /faults/checkpoints``: make the next restart use an older checkpoint."""
 
     def initialize(self, process: TrainerProcess) -> None:
-        """Store the process."""
+        """Set the trainer process."""
         self._process = process
 
     def post(self) -> None:
-        """Set how many checkpoints are lost."""
+        """Set the number of checkpoints that the next restart skips."""
         try:
             body = msgspec.json.decode(self.request.body, type=LoseCheckpointsBody)
         except msgspec.DecodeError as error:
@@ -181,7 +181,7 @@
 
 
 class TrainerServer:
-    """Serves one emulated trainer; training begins with :meth:`start`."""
+    """HTTP server of one emulated trainer."""
 
     def __init__(
         self,
@@ -192,7 +192,7 @@
         port: int,
         ssl_context: ssl.SSLContext | None = None,
     ) -> None:
-        """Create a server; ``port`` 0 takes a free port."""
+        """Create a server; ``port`` 0 selects a free port."""
         self._process = process
         arguments = {"process": process}
         self._server = EmulatorServer(
@@ -209,15 +209,15 @@
 
     @property
     def base_url(self) -> str:
-        """URL at which the trainer answers."""
+        """Base URL of the trainer."""
         return self._server.base_url
 
     def start(self) -> None:
-        """Bind the port, serve and begin to train."""
+        """Bind the port, start serving and start training."""
         self._server.start()
         self._process.start()
 
     async def stop(self) -> None:
-        """End the training and stop serving."""
+        """Stop serving and stop training."""
         await self._server.stop()
         await self._process.close()
--- a/drumbay/standins/weight_store_model.py
+++ b/drumbay/standins/weight_store_model.py
@@ -1,4 +1,4 @@
-"""An emulated, rate-limited store of weight versions."""
+"""Emulated weight store with limited bandwidth."""
 
 import msgspec
 
@@ -10,13 +10,13 @@
 
 
 class UnknownVersionError(DrumbayError):
-    """The store holds no such version of the model."""
+    """The store does not have the version of the model."""
 
     code = "unknown_version"
 
 
 class VersionConflictError(DrumbayError):
-    """A version was published that is not newer than the newest one."""
+    """A published version is not newer than the latest one."""
 
     code = "version_conflict"
 
@@ -28,12 +28,12 @@
 
 
 class WeightStoreParameters(msgspec.Struct, frozen=True, kw_only=True):
-    """Sizes and rates of the store.
+    """Configuration of the weight store.
 
     Attributes:
-        bytes_per_second: Rate shared by all readers.
+        bytes_per_second: Bandwidth shared by all readers.
         version_bytes: Size of one version of a model.
-        part_bytes: Unit in which readers take turns.
+        part_bytes: Size of the parts in which weights are sent to readers.
     """
 
     bytes_per_second: float = 2.0e9
@@ -42,7 +42,7 @@
 
 
 class WeightStoreModel(SimpleProcess):
-    """Versions of models, served to readers at a limited rate; they outlive a crash."""
+    """Weight versions of models, kept across crashes and served with limited bandwidth."""
 
     def __init__(
         self, clock: Clock, name: str, parameters: WeightStoreParameters | None = None
@@ -53,21 +53,21 @@
         self._name = name
         self._parameters = parameters or WeightStoreParameters()
         self._versions: dict[str, list[WeightVersion]] = {}
-        self._free_at_seconds = 0.0
+        self._next_send_at_seconds = 0.0
 
     @property
     def parameters(self) -> WeightStoreParameters:
-        """Sizes and rates."""
+        """Configuration of the store."""
         return self._parameters
 
     def publish(self, model: str, version: WeightVersion) -> None:
-        """Add a version, newer than all others of the model.
+        """Add a version, which must be newer than all others of the model.
 
         Raises:
             WeightStoreDownError: The store is down.
-            VersionConflictError: The version is not newer than the newest one.
+            VersionConflictError: The version is not newer than the latest one.
         """
-        self._check_up()
+        self._check_running()
         versions = self._versions.setdefault(model, [])
         if versions and version <= versions[-1]:
             raise VersionConflictError(f"{model}: {version} is not above {versions[-1]}")
@@ -87,7 +87,7 @@
         Raises:
             WeightStoreDownError: The store is down.
         """
-        self._check_up()
+        self._check_running()
         return tuple(self._versions.get(model, ()))
 
     def check_version(self, model: str, version: WeightVersion) -> None:
@@ -95,38 +95,38 @@
 
         Raises:
             WeightStoreDownError: The store is down.
-            UnknownVersionError: There is no such version.
+            UnknownVersionError: The version does not exist.
         """
-        self._check_up()
+        self._check_running()
         if version not in self._versions.get(model, ()):
             raise UnknownVersionError(f"{model} version {version}")
 
-    async def wait_part(self, part_bytes: int) -> None:
-        """Wait for the turn to send some bytes, and reserve the time they take."""
+    async def reserve_bandwidth(self, part_bytes: int) -> None:
+        """Reserve bandwidth after earlier callers, and wait for the transfer of a part."""
         now = self._clock.monotonic()
-        start = max(now, self._free_at_seconds)
-        self._free_at_seconds = start + part_bytes / self._parameters.bytes_per_second
-        await self._clock.sleep(self._free_at_seconds - now)
-        await self._gate.passed()
+        start = max(now, self._next_send_at_seconds)
+        self._next_send_at_seconds = start + part_bytes / self._parameters.bytes_per_second
+        await self._clock.sleep(self._next_send_at_seconds - now)
+        await self._gate.wait_open()
 
     async def fetch(self, model: str, version: WeightVersion, reader: BackendId) -> None:
-        """Return once a reader has the whole weights of a version.
+        """Return when a reader has received all weights of a version.
 
         Raises:
             WeightStoreDownError: The store is down.
-            UnknownVersionError: There is no such version.
+            UnknownVersionError: The version does not exist.
         """
         remaining = self._parameters.version_bytes
         while remaining > 0:
             self.check_version(model, version)
             part_bytes = min(remaining, self._parameters.part_bytes)
-            await self.wait_part(part_bytes)
+            await self.reserve_bandwidth(part_bytes)
             remaining -= part_bytes
         self.check_version(model, version)
         self.record_fetched(model, version, reader)
 
     def record_fetched(self, model: str, version: WeightVersion, reader: BackendId) -> None:
-        """Log that a reader has the whole weights."""
+        """Log that a reader has received all weights of a version."""
         self.log.append(
             WeightsFetched(
                 time_seconds=self._clock.monotonic(),
@@ -137,6 +137,6 @@
             )
         )
 
-    def _check_up(self) -> None:
+    def _check_running(self) -> None:
         if self.crashed:
             raise WeightStoreDownError(f"{self._name} is down")
--- a/drumbay/standins/weight_store_server.py
+++ b/drumbay/standins/weight_store_server.py
@@ -1,4 +1,4 @@
-"""An emulated weight store as an HTTP server, and the clients of it."""
+"""HTTP server of an emulated weight store, and its client."""
 
 import ssl
 
@@ -28,21 +28,21 @@
 
 
 class VersionList(msgspec.Struct, frozen=True, kw_only=True):
-    """Versions of one model, oldest first."""
+    """Response with the versions of a model, oldest first."""
 
     model: str
     versions: tuple[WeightVersion, ...]
 
 
 class StoreHandler(JsonHandler):
-    """Base class of the store's handlers."""
+    """Base class of the store's request handlers."""
 
     def initialize(self, store: WeightStoreModel) -> None:
-        """Store the model of the weight store."""
+        """Set the weight store model."""
         self.store = store
 
     def send_store_error(self, error: DrumbayError) -> None:
-        """Answer a failure of the store."""
+        """Send an error of the store."""
         status = HTTP_UNAVAILABLE
         if isinstance(error, UnknownVersionError):
             status = HTTP_NOT_FOUND
@@ -55,7 +55,7 @@
     """``GET /v1/models/MODEL/versions``."""
 
     def get(self, model: str) -> None:
-        """Answer with the versions."""
+        """Return the versions of a model."""
         try:
             self.send(VersionList(model=model, versions=self.store.versions(model)))
         except DrumbayError as error:
@@ -66,7 +66,7 @@
     """``PUT`` and ``GET /v1/models/MODEL/versions/VERSION``."""
 
     def put(self, model: str, version: str) -> None:
-        """Publish a version; publishing the newest one again changes nothing."""
+        """Publish a version; publishing the latest one again has no effect."""
         number = WeightVersion(int(version))
         try:
             published = self.store.versions(model)
@@ -77,7 +77,7 @@
             self.send_store_error(error)
 
     async def get(self, model: str, version: str) -> None:
-        """Send the weights at the limited rate."""
+        """Stream the weights of a version with limited bandwidth."""
         number = WeightVersion(int(version))
         parameters = self.store.parameters
         remaining = parameters.version_bytes
@@ -87,7 +87,7 @@
             while remaining > 0:
                 self.store.check_version(model, number)
                 part_bytes = min(remaining, parameters.part_bytes)
-                await self.store.wait_part(part_bytes)
+                await self.store.reserve_bandwidth(part_bytes)
                 self.write(bytes(part_bytes))
                 await self.flush()
                 remaining -= part_bytes
@@ -108,7 +108,7 @@
 
 
 class WeightStoreServer:
-    """Serves one emulated weight store."""
+    """HTTP server of one emulated weight store."""
 
     def __init__(
         self,
@@ -119,7 +119,7 @@
         port: int,
         ssl_context: ssl.SSLContext | None = None,
     ) -> None:
-        """Create a server; ``port`` 0 takes a free port."""
+        """Create a server; ``port`` 0 selects a free port."""
         arguments = {"store": store}
         self._server = EmulatorServer(
             store,
@@ -135,11 +135,11 @@
 
     @property
     def base_url(self) -> str:
-        """URL at which the store is reached."""
+        """Base URL of the store."""
         return self._server.base_url
 
     def start(self) -> None:
-        """Bind the port and serve."""
+        """Bind the port and start serving."""
         self._server.start()
 
     async def stop(self) -> None:
@@ -148,10 +148,10 @@
 
 
 class HttpWeightStore:
-    """Reads and publishes versions over HTTP."""
+    """HTTP client of the weight store."""
 
     def __init__(self, connector: HttpConnector, base_url: str) -> None:
-        """Create a client of the store at ``base_url``."""
+        """Create a client for the store at ``base_url``."""
         self._connector = connector
         self._base_url = base_url
 
@@ -159,7 +159,7 @@
         """Return the versions of a model, oldest first.
 
         Raises:
-            UnavailableError: The store did not answer.
+            UnavailableError: The store did not respond.
         """
         call = HttpCall(
             method="GET",
@@ -167,13 +167,13 @@
             headers={},
             timeout_seconds=ADMIN_TIMEOUT_SECONDS,
         )
-        return (await self._list(call)).versions
+        return (await self._request_versions(call)).versions
 
     async def publish(self, model: str, version: WeightVersion) -> None:
-        """Make a version available; publishing the newest one again changes nothing.
+        """Make a version available; publishing the latest one again has no effect.
 
         Raises:
-            UnavailableError: The store did not answer or refused.
+            UnavailableError: The store did not respond or refused the version.
         """
         call = HttpCall(
             method="PUT",
@@ -182,13 +182,13 @@
             body=b"{}",
             timeout_seconds=ADMIN_TIMEOUT_SECONDS,
         )
-        await self._list(call)
+        await self._request_versions(call)
 
     async def fetch(self, model: str, version: WeightVersion, reader: BackendId) -> None:
-        """Read the whole weights of a version and drop them.
+        """Read all weights of a version and discard them.
 
         Raises:
-            UnavailableError: The weights did not arrive whole.
+            UnavailableError: The weights did not arrive completely.
         """
         call = HttpCall(
             method="GET",
@@ -196,16 +196,16 @@
             headers={READER_HEADER: reader},
             timeout_seconds=FETCH_TIMEOUT_SECONDS,
         )
-        answer = await self._connector.exchange(call)
-        await raise_for_status(answer)
-        async for _part in answer.body_parts():
+        response = await self._connector.exchange(call)
+        await raise_for_status(response)
+        async for _part in response.body_parts():
             continue
 
-    async def _list(self, call: HttpCall) -> VersionList:
-        answer = await self._connector.exchange(call)
-        await raise_for_status(answer)
+    async def _request_versions(self, call: HttpCall) -> VersionList:
+        response = await self._connector.exchange(call)
+        await raise_for_status(response)
         try:
-            return msgspec.json.decode(await answer.body(MAX_LIST_BYTES), type=VersionList)
+            return msgspec.json.decode(await response.body(MAX_LIST_BYTES), type=VersionList)
         except msgspec.DecodeError as error:
             raise ExchangeBrokenError(str(error)) from error
 
--- a/drumbay/standins/worker_log.py
+++ b/drumbay/standins/worker_log.py
@@ -1,4 +1,4 @@
-"""Faults of emulated workers, and the log of what befell them."""
+"""Faults and log records of emulated workers."""
 
 import msgspec
 
@@ -8,18 +8,18 @@
 
 
 class WorkerFaults(msgspec.Struct, kw_only=True):
-    """Faults of one worker; the default is a sound one.
+    """Active faults of a worker; the default is a healthy worker.
 
     Attributes:
-        dark: Nothing answers and no connection comes up.
-        slowdown: Factor on every duration.
-        break_after_events: Cut each stream after so many events.
-        lose_answers: Run requests of clients, but break off before the answer.
-        failing: Answer every run with a failure.
-        rejecting: Say that no request can ever be served.
-        full: Refuse everything without running it.
-        orders_unanswered: Orders get no answer.
-        orders_late_seconds: Unanswered orders are carried out after this time; never if 0.
+        dark: The worker does not respond and accepts no connections.
+        slowdown: Factor applied to every duration.
+        break_after_events: Number of events after which each stream breaks.
+        lose_answers: Run requests, but break the connection before the response.
+        failing: Fail every run.
+        rejecting: Reject every stream request as invalid.
+        full: Refuse every request without running it.
+        orders_unanswered: Orders get no response.
+        orders_late_seconds: Delay after which unanswered orders are executed; never if 0.
     """
 
     dark: bool = False
@@ -34,7 +34,7 @@
 
 
 class LoggedRun(msgspec.Struct, kw_only=True):
-    """One run of a request at a start of a worker."""
+    """Execution of a request by a worker."""
 
     worker_id: BackendId
     worker_started_at_ms: int = 0
@@ -50,17 +50,17 @@
 
     @property
     def start(self) -> WorkerIncarnation:
-        """Return which start of which worker it was."""
+        """Return the incarnation of the worker."""
         return WorkerIncarnation(worker_id=self.worker_id, started_at_ms=self.worker_started_at_ms)
 
     @property
     def stamp(self) -> str:
-        """Return the worker's mark of this run, that no other run bears."""
+        """Return the worker's unique stamp for this run."""
         return f"{self.worker_id}/{self.request_id}/{self.started_at}"
 
 
 class LoggedOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """One order that reached a worker."""
+    """Order received by a worker."""
 
     worker_id: BackendId
     order: LoadOrder
@@ -69,7 +69,7 @@
 
 
 class LoggedCrash(msgspec.Struct, frozen=True, kw_only=True):
-    """A start of a worker that ended under a request."""
+    """Unexpected end of a worker."""
 
     worker_id: BackendId
     worker_started_at_ms: int = 0
@@ -77,5 +77,5 @@
 
     @property
     def start(self) -> WorkerIncarnation:
-        """Return which start of which worker it was."""
+        """Return the incarnation of the worker."""
         return WorkerIncarnation(worker_id=self.worker_id, started_at_ms=self.worker_started_at_ms)
