--- a/drumbay/standins/worker_pool.py
+++ b/drumbay/standins/worker_pool.py
@@ -1,7 +1,7 @@
-"""Emulated workers on a passed-in clock: streams, answers, orders, and their faults.
+"""Emulated workers on an injected clock: streams, calls, load orders and faults.
 
-Implements :class:`drumbay.workers.interface.WorkerClient` in process. Every call is logged, so
-that tests can compare what callers were told with what the workers did.
+Implements :class:`drumbay.workers.interface.WorkerClient` in process. Runs and orders are
+logged, so that tests can compare the results of callers with what the workers executed.
 """
 
 import asyncio
@@ -35,25 +35,25 @@
     WorkerUnreachableError,
 )
 
-LONGEST_TEXT_EVENTS = 16
+MAX_TEXT_EVENTS = 16
 LONG_TEXT_EVENTS = 160
 
 CRASH_SECONDS = 0.05
-"""A request that crashes its worker has run for so long when the worker ends."""
+"""Time that a crashing request runs before its worker ends."""
 
-RETURN_SECONDS = 3.1
-"""A worker that has ended is back after so long, under another id at the same address."""
+REPLACEMENT_SECONDS = 3.1
+"""Delay until a stopped worker is replaced by one with another id at the same address."""
 
 RESTART_SECONDS = 2.5
-"""One that starts again under its own id is back after so long: within three heartbeats, so that
-discovery never misses it."""
+"""Delay until a worker restarts under its own id: less than three heartbeats, so that discovery
+does not remove its entry."""
 
 
 class EmulatedWorker:
-    """State of one worker."""
+    """State of an emulated worker."""
 
     def __init__(self, worker: Worker) -> None:
-        """Start sound and idle."""
+        """Create a healthy, idle worker."""
         self.worker = worker
         self.versions: dict[str, WeightVersion] = dict(worker.versions)
         self.faults = WorkerFaults()
@@ -61,24 +61,24 @@
         self.busy = False
         self.sequence = 0
         self.highest_fence = 0
-        self.has_ended = False
+        self.has_stopped = False
 
 
 class EmulatedWorkerPool:
     """All workers of a deployment.
 
     Attributes:
-        long_texts: Whether every text has 160 events; otherwise up to 16, by the request.
-        failing_requests: Requests that every worker answers with a failure.
-        crashing_bodies: A request with such a body ends each worker that begins to run it.
-        crash_seconds: How long it has run then.
-        crashes: Workers that ended under such a request, with the time, oldest first.
-        keep_ids: Whether workers that end start again under their own id.
-        discovery_seconds: Discovery tells of a worker that is back so much later.
-        kept_connections: Workers to which a caller seems to keep a connection.
-        silences: How often the open connections of all workers have fallen silent.
-        runs: Every run that began, oldest first.
-        orders: Every order that arrived, oldest first.
+        long_texts: Whether every text has 160 events; otherwise 2 to 16, depending on the request.
+        failing_requests: Ids of requests that fail on every worker.
+        crashing_bodies: Bodies of requests that crash every worker that runs them.
+        crash_seconds: Time that such a request runs before the crash.
+        crashes: Workers that ended, oldest first.
+        keep_ids: Whether workers restart under their own id.
+        discovery_seconds: Delay until discovery reports a restarted worker.
+        kept_connections: Workers to which the caller has an idle connection.
+        silences: Number of times that all open streams have stalled.
+        runs: Started runs, oldest first.
+        orders: Received orders, oldest first.
     """
 
     def __init__(
@@ -90,9 +90,9 @@
         load_seconds: float = 0.9,
         tells_starts: bool = False,
     ) -> None:
-        """Create a pool without workers; with ``tells_starts`` they tell when they started."""
+        """Create an empty pool; ``tells_starts`` makes workers report their start time."""
         self._clock = clock
-        self._tells_starts = tells_starts
+        self._reports_start_times = tells_starts
         self.keep_ids = False
         self.discovery_seconds = 0.0
         self._seconds_per_event = seconds_per_event
@@ -132,7 +132,7 @@
             slots=slots,
             state=WorkerState.READY,
             versions=dict(versions or {}),
-            started_at_ms=self._now_ms() if self._tells_starts else 0,
+            started_at_ms=self._now_ms() if self._reports_start_times else 0,
         )
         emulated = EmulatedWorker(worker)
         self._workers[worker.worker_id] = emulated
@@ -142,19 +142,19 @@
         return int(self._clock.wall() * 1000)
 
     def add_listener(self, listener: Callable[[Worker], None]) -> None:
-        """Tell ``listener`` when a worker's entry changes, as discovery would."""
+        """Call ``listener`` when the discovery entry of a worker changes."""
         self._listeners.append(listener)
 
     def add_end_listener(self, listener: Callable[[Worker], None]) -> None:
-        """Tell ``listener`` when a worker ends; discovery does not know of it yet."""
+        """Call ``listener`` when a worker ends, before discovery reports it."""
         self._end_listeners.append(listener)
 
     def add_removal_listener(self, listener: Callable[[BackendId], None]) -> None:
-        """Tell ``listener`` when a worker's entry goes, as discovery would."""
+        """Call ``listener`` when the discovery entry of a worker is removed."""
         self._removal_listeners.append(listener)
 
     def entries(self) -> list[Worker]:
-        """Return every worker as discovery describes it now."""
+        """Return the current discovery entries of all workers."""
         return [
             msgspec.structs.replace(emulated.worker, versions=dict(emulated.versions))
             for emulated in self._workers.values()
@@ -169,8 +169,8 @@
         return [run for run in self.runs if run.request_id == request_id]
 
     def first_whole_at(self, request_id: str) -> float | None:
-        """Return when a run made the last event of a request's text; ``None`` if none did."""
-        count = self._text_events(request_id)
+        """Return when a run first completed the text of a request; ``None`` if none did."""
+        count = self._event_count_of(request_id)
         ends = [
             run.ended_at
             for run in self.runs_of(request_id)
@@ -178,18 +178,18 @@
         ]
         return min(ends, default=None)
 
-    # Calls
+    # Requests
 
     def has_idle_connection(self, worker: Worker) -> bool:
-        """Return whether a worker is one of those in :attr:`kept_connections`."""
+        """Return whether the caller has an idle connection to a worker."""
         return worker.worker_id in self.kept_connections
 
     async def listening(self, worker: Worker) -> ProbeResult:
-        """Look whether anybody listens at a worker's address."""
+        """Probe whether a process listens at the address of a worker."""
         emulated = self._workers.get(worker.worker_id)
         if worker.worker_id in self._replaced:
             return ProbeResult.ACCEPTS
-        if emulated is not None and emulated.has_ended:
+        if emulated is not None and emulated.has_stopped:
             return ProbeResult.REFUSES
         if emulated is None or emulated.faults.dark:
             await self._clock.sleep(0.3)
@@ -198,23 +198,23 @@
         return ProbeResult.ACCEPTS
 
     async def call(self, worker: Worker, request: WorkerRequest) -> WorkerResponse:
-        """Answer a request after the worker's time."""
-        emulated = await self._reach(worker)
-        run = self._begin(emulated, request)
+        """Run a request and return its response."""
+        emulated = await self._connect(worker)
+        run = self._begin_run(emulated, request)
         try:
             await self._work(emulated, request, self._answer_seconds * emulated.faults.slowdown)
             if emulated.faults.failing or request.request_id in self.failing_requests:
                 raise WorkerFailedError("500")
             run.events = 1
         finally:
-            self._end(emulated, run)
+            self._end_run(emulated, run)
         if emulated.faults.lose_answers:
             raise WorkerBrokenError("answer lost")
         return WorkerResponse(
             status=200,
             headers=(("Worker", worker.worker_id),),
             body=request.body,
-            load=self._load_of(emulated),
+            load=self._current_load(emulated),
             stamp=run.stamp,
         )
 
@@ -222,9 +222,9 @@
     async def stream(
         self, worker: Worker, request: WorkerRequest
     ) -> AsyncIterator["EmulatedStream"]:
-        """Stream the text of a request, from the event after ``resume_after``."""
-        emulated = await self._reach(worker)
-        run = self._begin(emulated, request)
+        """Stream the text of a request, starting after the event ``resume_after``."""
+        emulated = await self._connect(worker)
+        run = self._begin_run(emulated, request)
         try:
             if emulated.faults.failing:
                 raise WorkerFailedError("500")
@@ -232,27 +232,27 @@
                 raise WorkerRejectedError("422")
             model = dict(request.headers).get("model", "m")
             seconds = self._seconds_per_event
-            count = self._text_events(request.request_id)
+            count = self._event_count_of(request.request_id)
             if request.body in self.crashing_bodies:
                 await self._work(emulated, request, 0.0)
             stream = EmulatedStream(self._clock, emulated, run, request, model, seconds, count)
-            stream.is_cut_off_by(self)
+            stream.attach_pool(self)
             yield stream
         finally:
-            self._end(emulated, run)
+            self._end_run(emulated, run)
 
-    def _text_events(self, request_id: str) -> int:
-        return LONG_TEXT_EVENTS if self.long_texts else text_events(request_id)
+    def _event_count_of(self, request_id: str) -> int:
+        return LONG_TEXT_EVENTS if self.long_texts else text_event_count(request_id)
 
     def text(self, request_id: str) -> str:
-        """Return the whole text of a request."""
-        return _text(request_id, self._text_events(request_id))
+        """Return the complete text of a request."""
+        return _make_text(request_id, self._event_count_of(request_id))
 
-    async def _reach(self, worker: Worker) -> EmulatedWorker:
+    async def _connect(self, worker: Worker) -> EmulatedWorker:
         if worker.worker_id in self._replaced:
             raise WorkerMisdirectedError("another worker has the address")
         emulated = self._workers.get(worker.worker_id)
-        if emulated is not None and emulated.has_ended:
+        if emulated is not None and emulated.has_stopped:
             raise WorkerUnreachableError("nobody listens")
         if emulated is None or emulated.faults.dark:
             await self._clock.sleep(0.3)
@@ -264,7 +264,7 @@
         await self._clock.sleep(0.001)
         return emulated
 
-    def _begin(self, emulated: EmulatedWorker, request: WorkerRequest) -> LoggedRun:
+    def _begin_run(self, emulated: EmulatedWorker, request: WorkerRequest) -> LoggedRun:
         if emulated.active >= 3 * emulated.worker.slots:
             raise WorkerRefusedError("full")
         emulated.active += 1
@@ -284,10 +284,10 @@
         return run
 
     async def _work(self, emulated: EmulatedWorker, request: WorkerRequest, seconds: float) -> None:
-        """Let the time of a piece of work pass; all work on a worker that ends is lost."""
+        """Spend time on work, which is lost if the worker ends."""
         crashes = request.body in self.crashing_bodies
         await self._clock.sleep(self.crash_seconds if crashes else seconds)
-        if emulated.has_ended or crashes:
+        if emulated.has_stopped or crashes:
             raise WorkerBrokenError("the worker ended")
 
     async def _crash(self, emulated: EmulatedWorker) -> None:
@@ -295,10 +295,10 @@
         await self.end(emulated)
 
     async def end(self, emulated: EmulatedWorker) -> None:
-        """End a worker; after a while another one stands at its address, or it starts again."""
-        if emulated.has_ended:
+        """End a worker; after a delay it is restarted or replaced, depending on ``keep_ids``."""
+        if emulated.has_stopped:
             return
-        emulated.has_ended = True
+        emulated.has_stopped = True
         for listener in self._end_listeners:
             listener(emulated.worker)
         self.crashes.append(
@@ -309,11 +309,11 @@
             )
         )
         if self.keep_ids:
-            await self._start_again(emulated)
+            await self._restart(emulated)
         else:
             await self._replace(emulated)
 
-    async def _start_again(self, emulated: EmulatedWorker) -> None:
+    async def _restart(self, emulated: EmulatedWorker) -> None:
         await self._clock.sleep(RESTART_SECONDS)
         restarted = msgspec.structs.replace(
             emulated.worker,
@@ -323,12 +323,12 @@
         self._workers[restarted.worker_id] = EmulatedWorker(restarted)
         await self._clock.sleep(self.discovery_seconds)
         if self._workers[restarted.worker_id].worker == restarted:
-            for changed in self._listeners:
-                changed(restarted)
+            for on_changed in self._listeners:
+                on_changed(restarted)
 
     async def _replace(self, emulated: EmulatedWorker) -> None:
         ended_id = emulated.worker.worker_id
-        await self._clock.sleep(RETURN_SECONDS)
+        await self._clock.sleep(REPLACEMENT_SECONDS)
         del self._workers[ended_id]
         self._replaced.add(ended_id)
         name, _, number = ended_id.partition("~")
@@ -336,20 +336,20 @@
             emulated.worker,
             worker_id=BackendId(f"{name}~{int(number or 0) + 1}"),
             versions=dict(emulated.versions),
-            started_at_ms=self._now_ms() if self._tells_starts else 0,
+            started_at_ms=self._now_ms() if self._reports_start_times else 0,
         )
         self._workers[successor.worker_id] = EmulatedWorker(successor)
-        for removed in self._removal_listeners:
-            removed(ended_id)
-        for changed in self._listeners:
-            changed(successor)
+        for on_removed in self._removal_listeners:
+            on_removed(ended_id)
+        for on_changed in self._listeners:
+            on_changed(successor)
 
-    def _end(self, emulated: EmulatedWorker, run: LoggedRun) -> None:
+    def _end_run(self, emulated: EmulatedWorker, run: LoggedRun) -> None:
         emulated.active -= 1
         run.ended_at = self._clock.monotonic()
 
     @staticmethod
-    def _load_of(emulated: EmulatedWorker) -> WorkerLoad:
+    def _current_load(emulated: EmulatedWorker) -> WorkerLoad:
         slots = emulated.worker.slots
         running = min(slots, emulated.active)
         return WorkerLoad(running=running, waiting=emulated.active - running, slots=slots)
@@ -357,9 +357,9 @@
     # Orders
 
     async def status(self, worker: Worker, *, fresh_connection: bool = False) -> WorkerStatus:
-        """Report the worker's state; every call is as one over a new connection."""
+        """Return the status of a worker; every call uses a new connection."""
         del fresh_connection
-        emulated = await self._reach(worker)
+        emulated = await self._connect(worker)
         return WorkerStatus(
             busy=emulated.busy,
             sequence=emulated.sequence,
@@ -368,24 +368,26 @@
         )
 
     async def order(self, worker: Worker, order: LoadOrder) -> OrderOutcome:
-        """Take an order, unless its fence or sequence number is out of date."""
-        emulated = await self._reach(worker)
+        """Start a load, unless the fence or the sequence number of the order is outdated."""
+        emulated = await self._connect(worker)
         if emulated.faults.orders_unanswered:
             if emulated.faults.orders_late_seconds:
-                self._spawn(self._take_late(emulated, order, emulated.faults.orders_late_seconds))
+                self._spawn(
+                    self._handle_order_late(emulated, order, emulated.faults.orders_late_seconds)
+                )
             await self._clock.sleep(0.6)
             raise WorkerError("order unanswered")
-        return self._take(emulated, order)
+        return self._handle_order(emulated, order)
 
-    async def _take_late(
+    async def _handle_order_late(
         self, emulated: EmulatedWorker, order: LoadOrder, delay_seconds: float
     ) -> None:
         await self._clock.sleep(delay_seconds)
-        if not emulated.has_ended:
-            self._take(emulated, order)
+        if not emulated.has_stopped:
+            self._handle_order(emulated, order)
 
-    def _take(self, emulated: EmulatedWorker, order: LoadOrder) -> OrderOutcome:
-        outcome = self._judge(emulated, order)
+    def _handle_order(self, emulated: EmulatedWorker, order: LoadOrder) -> OrderOutcome:
+        outcome = self._decide_outcome(emulated, order)
         self.orders.append(
             LoggedOrder(
                 worker_id=emulated.worker.worker_id,
@@ -401,7 +403,7 @@
         return outcome
 
     @staticmethod
-    def _judge(emulated: EmulatedWorker, order: LoadOrder) -> OrderOutcome:
+    def _decide_outcome(emulated: EmulatedWorker, order: LoadOrder) -> OrderOutcome:
         if order.fence < emulated.highest_fence:
             return OrderOutcome.FENCED
         emulated.highest_fence = order.fence
@@ -413,7 +415,7 @@
 
     async def _load(self, emulated: EmulatedWorker, order: LoadOrder) -> None:
         await self._clock.sleep(self._load_seconds * emulated.faults.slowdown)
-        if emulated.has_ended:
+        if emulated.has_stopped:
             return
         emulated.versions[order.model] = order.version
         emulated.busy = False
@@ -428,7 +430,7 @@
 
 
 class EmulatedStream:
-    """The stream of one run; its text depends on the request alone."""
+    """Event stream of a run; its text is a function of the request."""
 
     def __init__(
         self,
@@ -440,7 +442,7 @@
         seconds_per_event: float,
         event_count: int,
     ) -> None:
-        """Prepare the events after ``resume_after``."""
+        """Create a stream of the events after ``resume_after``."""
         self._clock = clock
         self._emulated = emulated
         self._run = run
@@ -451,24 +453,24 @@
         self.version: WeightVersion | None = emulated.versions.get(model)
         self.load: WorkerLoad | None = None
         self._pool: EmulatedWorkerPool | None = None
-        self._silences = 0
+        self._initial_stall_count = 0
 
-    def is_cut_off_by(self, pool: EmulatedWorkerPool) -> None:
-        """Let the stream say nothing more once the open connections of a pool fall silent."""
+    def attach_pool(self, pool: EmulatedWorkerPool) -> None:
+        """Stall the stream when the pool stalls its open streams."""
         self._pool = pool
-        self._silences = pool.silences
+        self._initial_stall_count = pool.silences
 
     async def events(self) -> AsyncIterator[tuple[StreamEvent, ...]]:
-        """Yield one event at a time."""
+        """Yield the events one by one."""
         faults = self._emulated.faults
         first = (self._request.resume_after or 0) + 1
         for number in range(first, self._event_count + 1):
             await self._clock.sleep(self._seconds_per_event * faults.slowdown)
             if faults.dark:
                 await self._clock.sleep(3_600.0)
-            if self._emulated.has_ended:
+            if self._emulated.has_stopped:
                 raise WorkerBrokenError("the worker ended")
-            if self._pool is not None and self._pool.silences != self._silences:
+            if self._pool is not None and self._pool.silences != self._initial_stall_count:
                 await self._clock.sleep(3_600.0)
             limit = faults.break_after_events
             if limit is not None and self._run.events >= limit:
@@ -481,15 +483,15 @@
             yield (StreamEvent(number=number, data=data, version=version),)
 
 
-def text_events(request_id: str) -> int:
-    """Return how many events the text of a request has."""
-    return 2 + zlib.crc32(request_id.encode()) % (LONGEST_TEXT_EVENTS - 1)
+def text_event_count(request_id: str) -> int:
+    """Return the number of events in the text of a request."""
+    return 2 + zlib.crc32(request_id.encode()) % (MAX_TEXT_EVENTS - 1)
 
 
 def whole_text(request_id: str) -> str:
-    """Return the whole text of a request."""
-    return _text(request_id, text_events(request_id))
+    """Return the complete text of a request."""
+    return _make_text(request_id, text_event_count(request_id))
 
 
-def _text(request_id: str, count: int) -> str:
+def _make_text(request_id: str, count: int) -> str:
     return "\n".join(f"{request_id}:{number}" for number in range(1, count + 1))
--- a/tests/process_deployment.py
+++ b/tests/process_deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of separate processes on loopback, for tests."""
+"""Deployment of node and emulator processes on loopback, for tests."""
 
 import asyncio
 import os
@@ -17,26 +17,26 @@
 from drumbay.standins.execution_log import AnyExecutionRecord, ExecutionLogPage
 from drumbay.standins.free_addresses import free_address
 
-READY_LIMIT_SECONDS = 30.0
-END_LIMIT_SECONDS = 30.0
+READY_TIMEOUT_SECONDS = 30.0
+EXIT_TIMEOUT_SECONDS = 30.0
 POLL_SECONDS = 0.05
 NODE_COUNT = 3
 
 
-class NotReachedError(AssertionError):
-    """A process did not reach the expected state within the limit."""
+class StateNotReachedError(AssertionError):
+    """A process did not reach the expected state in time."""
 
 
 class Deployment:
-    """Three nodes, a key-value emulator, and the emulators that a test adds.
+    """Three node processes and the emulator processes that a test adds.
 
     Attributes:
         caller: Sends HTTP requests.
-        clock: The system's clock.
+        clock: System clock.
     """
 
     def __init__(self) -> None:
-        """Choose a folder and write the nodes' settings; nothing runs yet."""
+        """Create a working folder with a cluster key; no process is started."""
         self._folder = tempfile.TemporaryDirectory()
         self.folder = Path(self._folder.name)
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -51,15 +51,15 @@
         return self._urls[name]
 
     def process(self, name: str) -> subprocess.Popen[bytes]:
-        """Return a process that was started."""
+        """Return a started process."""
         return self._processes[name]
 
     def log_text(self, name: str) -> str:
-        """Return what a process has logged."""
+        """Return the log of a process."""
         return (self.folder / f"{name}.log").read_text(errors="replace")
 
     def start_standin(self, name: str, kind: str, *arguments: str) -> str:
-        """Start an emulator and return its URL."""
+        """Start an emulator process and return its URL."""
         address = free_address()
         self._urls[name] = f"http://{address}"
         listen = ("--host", address.host, "--port", str(address.port))
@@ -75,15 +75,15 @@
         seeds = ", ".join(f'"{peer}"' for peer in peers)
         for index, peer in enumerate(peers):
             name = f"node-{index + 1}"
-            front = free_address()
+            http_address = free_address()
             settings = self.folder / f"{name}.toml"
             settings.write_text(f"""node_id = "{name}"
 zone = "zone-{index + 1}"
 region = "test"
 data_folder = "{self.folder}/{name}-data"
 [http]
-host = "{front.host}"
-port = {front.port}
+host = "{http_address.host}"
+port = {http_address.port}
 [peers]
 host = "{peer.host}"
 port = {peer.port}
@@ -94,12 +94,12 @@
 [stop]
 lame_duck_seconds = {lame_duck_seconds[index]}
 """)
-            self._urls[name] = f"http://{front}"
+            self._urls[name] = f"http://{http_address}"
             self._commands[name] = ("node", "--settings", str(settings))
             self.restart(name)
 
     def restart(self, name: str) -> None:
-        """Start a process again with the arguments of its first start."""
+        """Start a process with its recorded command line."""
         with (self.folder / f"{name}.log").open("ab") as log:
             self._processes[name] = subprocess.Popen(
                 (sys.executable, "-m", "drumbay", *self._commands[name]),
@@ -112,64 +112,64 @@
         """Send a signal to a process."""
         self._processes[name].send_signal(number)
 
-    async def wait_end(self, name: str, limit_seconds: float = END_LIMIT_SECONDS) -> int:
-        """Wait until a process has ended and return its exit status."""
+    async def wait_end(self, name: str, timeout_seconds: float = EXIT_TIMEOUT_SECONDS) -> int:
+        """Wait until a process exits and return its exit status."""
         process = self._processes[name]
-        ends_at = self.clock.monotonic() + limit_seconds
+        deadline = self.clock.monotonic() + timeout_seconds
         while process.poll() is None:
-            if self.clock.monotonic() > ends_at:
-                raise NotReachedError(f"{name} did not end:\n{self.log_text(name)[-2000:]}")
+            if self.clock.monotonic() > deadline:
+                raise StateNotReachedError(f"{name} did not exit:\n{self.log_text(name)[-2000:]}")
             await self.clock.sleep(POLL_SECONDS)
         return process.returncode
 
-    async def wait_answer(self, name: str, path: str) -> HTTPResponse:
-        """Wait until a process answers a GET request with success."""
-        ends_at = self.clock.monotonic() + READY_LIMIT_SECONDS
+    async def wait_until_ok(self, name: str, path: str) -> HTTPResponse:
+        """Wait until a GET request to a process succeeds."""
+        deadline = self.clock.monotonic() + READY_TIMEOUT_SECONDS
         while True:
             try:
                 return await self.caller.send("GET", self._urls[name] + path)
             except CallFailedError as error:
-                if self.clock.monotonic() > ends_at:
-                    raise NotReachedError(
+                if self.clock.monotonic() > deadline:
+                    raise StateNotReachedError(
                         f"{name}{path}: {error}\n{self.log_text(name)[-2000:]}"
                     ) from error
             await self.clock.sleep(POLL_SECONDS)
 
     async def wait_ready(self) -> None:
-        """Wait until every node is ready and sees all others."""
+        """Wait until every node reports that it is ready."""
         for index in range(NODE_COUNT):
-            await self.wait_answer(f"node-{index + 1}", "/readyz")
+            await self.wait_until_ok(f"node-{index + 1}", "/readyz")
 
     async def status(self, name: str) -> StatusBody:
         """Return the status of a node."""
         return await self.caller.get(self._urls[name] + "/v1/status", StatusBody)
 
     async def apply(self, *resources: str) -> None:
-        """Apply resources in YAML at the first node, and wait until all nodes have them."""
+        """Apply YAML resources at the first node, and wait until all nodes have that revision."""
         await asyncio.to_thread(self._run_apply, resources)
         revision = (await self.status("node-1")).configuration_revision
-        ends_at = self.clock.monotonic() + READY_LIMIT_SECONDS
+        deadline = self.clock.monotonic() + READY_TIMEOUT_SECONDS
         for index in range(1, NODE_COUNT):
             while (await self.status(f"node-{index + 1}")).configuration_revision < revision:
-                if self.clock.monotonic() > ends_at:
-                    raise NotReachedError(f"node-{index + 1} lacks revision {revision}")
+                if self.clock.monotonic() > deadline:
+                    raise StateNotReachedError(f"node-{index + 1} lacks revision {revision}")
                 await self.clock.sleep(POLL_SECONDS)
 
     def _run_apply(self, resources: tuple[str, ...]) -> None:
         file = self.folder / "resources.yaml"
         file.write_text("\n---\n".join(resources))
         command = (sys.executable, "-m", "drumbay", "apply", "-f", str(file))
-        applied = subprocess.run(
+        completed = subprocess.run(
             (*command, "--server", self._urls["node-1"]),
             capture_output=True,
-            timeout=READY_LIMIT_SECONDS,
+            timeout=READY_TIMEOUT_SECONDS,
             check=False,
         )
-        if applied.returncode != 0:
-            raise NotReachedError(f"apply failed: {applied.stdout!r} {applied.stderr!r}")
+        if completed.returncode != 0:
+            raise StateNotReachedError(f"apply failed: {completed.stdout!r} {completed.stderr!r}")
 
     async def execution_log(self, name: str) -> list[AnyExecutionRecord]:
-        """Return what an emulator truly did."""
+        """Return the execution log of an emulator."""
         records: list[AnyExecutionRecord] = []
         while True:
             url = f"{self._urls[name]}/log?first={len(records)}"
@@ -179,11 +179,11 @@
                 return records
 
     async def arm_fault(self, name: str, path: str, body: msgspec.Struct) -> None:
-        """Send a command to an emulator's fault switches."""
+        """Send a fault command to an emulator."""
         await self.caller.send("POST", self._urls[name] + path, msgspec.json.encode(body))
 
     def close(self) -> None:
-        """End every process that was started."""
+        """Kill all started processes and remove the working folder."""
         self.caller.close()
         for process in self._processes.values():
             if process.poll() is None:
@@ -195,15 +195,15 @@
 
 
 def group_of(deployment: Deployment, kind: str, model: str | None, *names: str) -> str:
-    """Return a back end group with the named emulators."""
+    """Return the YAML of a backend group with the named emulators."""
     model_line = f"model: {model}\n" if model else ""
     backends = "".join(
         f'  - {{id: {name}, url: "{deployment.url(name)}", zone: zone-1}}\n' for name in names
     )
-    head = f"kind: BackendGroup\nname: {kind}s\nbackend_kind: {kind}\n{model_line}"
-    return f"{head}labels: {{pool: {kind}s}}\nbackends:\n{backends}"
+    header = f"kind: BackendGroup\nname: {kind}s\nbackend_kind: {kind}\n{model_line}"
+    return f"{header}labels: {{pool: {kind}s}}\nbackends:\n{backends}"
 
 
 def live_route(model: str) -> str:
-    """Return a live route of a model to all engines."""
+    """Return the YAML of a live route for a model to all engines."""
     return f"kind: Route\nname: live\nroute_kind: live\nmodel: {model}\nselector: {{}}\n"
--- a/tests/test_engine_truth.py
+++ b/tests/test_engine_truth.py
@@ -1,4 +1,4 @@
-"""The emulated engine does what its execution log says, and obeys fenced orders."""
+"""The emulated engine matches its execution log, and enforces fences of orders."""
 
 import asyncio
 import unittest
@@ -36,46 +36,44 @@
 )
 
 
-async def serve_through_a_swap(bench: Bench) -> list[AttemptId]:
-    """Return the attempts whose answer differs from the log or from its versions' tokens."""
+async def find_mismatches_across_a_swap(bench: Bench) -> list[AttemptId]:
+    """Return the attempts whose response differs from the log or the expected tokens."""
     requests = [request(f"a{number}", 40 + 40 * number) for number in range(24)]
-    served = (bench.generate(item) for item in requests)
-    await asyncio.gather(bench.load(2, 1), *served)
+    generations = (bench.generate(item) for item in requests)
+    await asyncio.gather(bench.load(2, 1), *generations)
     ended = bench.ended()
     return [
         item.attempt_id
         for item in requests
-        if not answer_is_true(bench.answers[item.attempt_id], ended[item.attempt_id], item)
+        if not matches_log(bench.answers[item.attempt_id], ended[item.attempt_id], item)
     ]
 
 
-def answer_is_true(
-    chunks: list[TokenChunk], record: GenerationEnded, item: GenerationRequest
-) -> bool:
+def matches_log(chunks: list[TokenChunk], record: GenerationEnded, item: GenerationRequest) -> bool:
     tokens = [token for chunk in chunks for token in chunk.token_ids]
-    truth = [
+    expected_tokens = [
         token_at(MODEL, item.seed, item.prompt, chunk.weight_version, chunk.first_index + offset)
         for chunk in chunks
         for offset in range(len(chunk.token_ids))
     ]
-    whole = len(tokens) == item.max_tokens and chunks[-1].finish_reason is FinishReason.STOP
-    as_logged = record.spans == spans_of(chunks) and record.digest == tokens_digest(tokens)
-    return whole and as_logged and tokens == truth
+    is_complete = len(tokens) == item.max_tokens and chunks[-1].finish_reason is FinishReason.STOP
+    is_logged = record.spans == spans_of(chunks) and record.digest == tokens_digest(tokens)
+    return is_complete and is_logged and tokens == expected_tokens
 
 
-class TruthTest(unittest.TestCase):
-    def test_answers_agree_with_the_log_and_with_the_versions(self) -> None:
+class ExecutionLogTest(unittest.TestCase):
+    def test_responses_match_the_log_across_a_weight_swap(self) -> None:
         async def scenario() -> None:
             bench = Bench()
-            self.assertEqual(await serve_through_a_swap(bench), [])
+            self.assertEqual(await find_mismatches_across_a_swap(bench), [])
             versions = {span.weight_version for end in bench.ended().values() for span in end.spans}
             self.assertEqual(versions, {1, 2})
 
         run(scenario)
 
-    def test_an_engine_that_stamps_the_wrong_version_is_found(self) -> None:
+    def test_wrong_version_stamps_are_detected(self) -> None:
         class NextVersionDecoder(EngineDecoder):
-            """Test-only fault: chunks name the version after the one that made them."""
+            """Stamps chunks with the version after the one that produced them."""
 
             def _emit(
                 self,
@@ -87,13 +85,13 @@
                 super()._emit(generation, first, tokens, WeightVersion(version + 1))
 
         async def scenario() -> None:
-            with mock.patch("drumbay.standins.engine_run.EngineDecoder", NextVersionDecoder):
+            with mock.patch("drumbay.standins.engine_process.EngineDecoder", NextVersionDecoder):
                 bench = Bench()
-            self.assertEqual(len(await serve_through_a_swap(bench)), 24)
+            self.assertEqual(len(await find_mismatches_across_a_swap(bench)), 24)
 
         run(scenario)
 
-    def test_a_swap_acknowledged_without_effect_shows_in_stamps_and_log_only(self) -> None:
+    def test_acknowledged_swap_without_effect_is_visible_in_stamps_and_log_only(self) -> None:
         async def scenario() -> None:
             bench = Bench()
             bench.arm(FaultKind.SWAP_FAILS_ACKNOWLEDGED)
@@ -127,7 +125,7 @@
 
         run(scenario)
 
-    def test_a_crash_breaks_streams_and_the_log_holds_what_was_produced(self) -> None:
+    def test_crash_breaks_streams_and_logs_the_produced_tokens(self) -> None:
         async def scenario() -> None:
             bench = Bench()
             stream = asyncio.ensure_future(bench.generate(request("a", 400)))
@@ -145,7 +143,7 @@
 
         run(scenario)
 
-    def test_a_process_started_again_with_its_seed_has_another_identity(self) -> None:
+    def test_restart_with_the_same_seed_has_a_new_boot_id(self) -> None:
         async def scenario() -> None:
             first = Bench().engine.boot_id
             await asyncio.sleep(1.0)
@@ -153,7 +151,7 @@
 
         run(scenario)
 
-    def test_an_engine_behind_a_cut_goes_on_until_it_is_cancelled(self) -> None:
+    def test_generations_continue_after_a_disconnect_until_cancelled(self) -> None:
         async def scenario() -> None:
             bench = Bench()
             streams = [
@@ -173,22 +171,22 @@
         run(scenario)
 
 
-class OrderTest(unittest.TestCase):
-    def test_an_older_fence_is_refused_before_and_during_a_load(self) -> None:
+class FencedOrderTest(unittest.TestCase):
+    def test_stale_fence_is_refused_before_and_during_a_load(self) -> None:
         async def scenario() -> None:
             bench = Bench()
-            slow = asyncio.ensure_future(bench.load(2, 5))
+            slow_load = asyncio.ensure_future(bench.load(2, 5))
             await asyncio.sleep(0.5)
             with self.assertRaises(StaleFenceError):
                 await bench.load(3, 4)
             await bench.load(4, 6)
             with self.assertRaises(StaleFenceError):
-                await slow
+                await slow_load
             self.assertEqual(bench.engine.true_version, 4)
 
         run(scenario)
 
-    def test_an_order_goes_on_when_its_answer_is_lost(self) -> None:
+    def test_order_continues_after_a_disconnect(self) -> None:
         async def scenario() -> None:
             bench = Bench()
             bench.network.cut_answers(URL)
@@ -198,7 +196,7 @@
 
         run(scenario)
 
-    def test_an_order_whose_answer_was_lost_took_effect(self) -> None:
+    def test_order_with_a_lost_response_takes_effect(self) -> None:
         async def scenario() -> None:
             bench = Bench()
             bench.arm(FaultKind.ORDER_ANSWER_LOST)
@@ -208,7 +206,7 @@
 
         run(scenario)
 
-    def test_a_version_that_is_not_loaded_is_refused(self) -> None:
+    def test_request_for_an_unloaded_version_is_refused(self) -> None:
         async def scenario() -> None:
             bench = Bench()
             with self.assertRaises(BackendRefusedError) as caught:
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedged application requests, with servers of which one answer in twenty is late."""
+"""Hedging of application requests when one response in twenty is late."""
 
 import asyncio
 import unittest
@@ -22,22 +22,22 @@
 
 
 class HedgingRun(msgspec.Struct, frozen=True, kw_only=True):
-    """What callers saw, and what the servers truly ran."""
+    """Late responses seen by clients, and executions on the servers."""
 
-    late_answers: int
+    late_responses: int
     executions: int
 
 
 def run_requests(method: str) -> HedgingRun:
     async def main() -> HedgingRun:
         world = RequestsWorld(NO_LIMITS)
-        seconds: list[float] = []
+        latencies: list[float] = []
 
         async def call() -> None:
             started_at = world.clock.monotonic()
-            answer = await world.call(method)
-            assert isinstance(answer, ApplicationAnswer), answer
-            seconds.append(world.clock.monotonic() - started_at)
+            response = await world.call(method)
+            assert isinstance(response, ApplicationAnswer), response
+            latencies.append(world.clock.monotonic() - started_at)
 
         calls = []
         for number in range(REQUESTS):
@@ -49,7 +49,7 @@
         await asyncio.gather(*calls)
         records = [entry for server in world.servers for entry in server.log.records()]
         return HedgingRun(
-            late_answers=sum(duration > LATE_SECONDS for duration in seconds),
+            late_responses=sum(duration > LATE_SECONDS for duration in latencies),
             executions=sum(isinstance(record, ApplicationExecuted) for record in records),
         )
 
@@ -57,17 +57,17 @@
 
 
 class HedgingTest(unittest.TestCase):
-    def test_lookups_do_not_wait_for_late_answers_within_the_retry_budget(self) -> None:
+    def test_hedging_avoids_late_responses_within_the_retry_budget(self) -> None:
         with mock.patch.object(RecentLatency, "hedge_delay_seconds", return_value=None):
-            self.assertGreaterEqual(run_requests("GET").late_answers, 10)
+            self.assertGreaterEqual(run_requests("GET").late_responses, 10)
         hedged = run_requests("GET")
-        self.assertEqual(hedged.late_answers, 0)
+        self.assertEqual(hedged.late_responses, 0)
         policy = RetryBudgetPolicy()
         seconds = REQUESTS * PAUSE_SECONDS
         earned = REQUESTS * policy.retry_ratio + seconds * policy.min_retries_per_second
         self.assertLessEqual(hedged.executions, REQUESTS + earned + policy.max_balance)
 
-    def test_requests_that_may_not_be_repeated_are_not_hedged(self) -> None:
+    def test_non_repeatable_requests_are_not_hedged(self) -> None:
         with mock.patch("drumbay.requests.application._is_repeatable", return_value=True):
             self.assertGreater(run_requests("POST").executions, REQUESTS)
         self.assertEqual(run_requests("POST").executions, REQUESTS)
--- a/tests/test_kv_memory.py
+++ b/tests/test_kv_memory.py
@@ -1,4 +1,4 @@
-"""The in-process key-value store keeps the contract."""
+"""The in-process key-value store meets the store contract; random faults are reproducible."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 
 
 class RandomFaultsTest(unittest.TestCase):
-    def test_fates_follow_the_seed(self) -> None:
+    def test_same_seed_draws_the_same_write_outcomes(self) -> None:
         faults = KeyValueFaults(lost_answer_probability=0.5, lost_request_probability=0.25)
         runs: list[list[WriteFate]] = []
         for _ in range(2):
@@ -26,5 +26,5 @@
         self.assertEqual(set(runs[0]), set(WriteFate))
 
 
-# NOTE: the loader would otherwise run the contract without a store.
+# Otherwise the test loader would also run the abstract base class.
 del KeyValueContract
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,25 +1,7 @@
-"""Proof with real processes: kill -9, a paused owner, a cut stream, a key-value outage.
+"""Fault tolerance with real processes: SIGKILL, a paused owner, a cut stream, a store outage.
 
-One deployment goes through all faults, one after the other. What the callers and the trainer
-were told is compared with the emulators' execution logs. Nothing depends on how fast the
-machine is: each wait is for a state, with a generous limit.
-
-What happened: it failed once in CI beside two large days and a hunt, since no node owned the stream
-within 30 s of its owner's pause. 84 pauses beside busy processors, and 12 beside processes that
-sync what they write, found a successor within 15.2 s. Beside writers that fill the page cache,
-where a small fsync takes 2.1 s at the 99th percentile, owners were elected and owned nothing
-(``campaign_won``, then ``take_over_failed detail="reply_lost: no reply within 1.000 s"`` without
-end): replies that are made durable first were waited for too short, by owners, by those who form
-the replica set, and by bookings, all of which were refused there in eight of eight plays. See
-``docs/incidents/busy-disks.md`` and ``tests/test_slow_disks.py``. Three further failures were the
-test's own: ports that other processes took before its own listened (``Address already in use``;
-``Connection reset by peer``), and a revision compared with one that was read earlier, while the
-last step of the configuration's own replica set (two revisions more in each play) was still on
-its way to busy disks.
-
-The counterpart of the bookings runs here (declared repeatable, the checker reports them).
-Those of the paused owner, the cut stream and the restart stand in tests/test_delivery.py,
-tests/test_rollout_runner.py and tests/test_configuration_replicas.py.
+Client responses and pulled samples are compared with the execution logs of the emulators. Waits
+are for states with long timeouts, so that the test does not depend on the speed of the machine.
 """
 
 import asyncio
@@ -43,9 +25,9 @@
 from drumbay.standins.kv_faults import KeyValueFaults
 from drumbay.standins.token_source import token_at
 from tests.process_deployment import (
-    READY_LIMIT_SECONDS,
+    READY_TIMEOUT_SECONDS,
     Deployment,
-    NotReachedError,
+    StateNotReachedError,
     group_of,
     live_route,
 )
@@ -57,7 +39,7 @@
 SAMPLES = 12
 BATCH_SAMPLES = 4
 BOOKINGS = 6
-BOOKING_TRIES = 12
+MAX_BOOKING_ATTEMPTS = 12
 LIVE_TOKENS = 40
 APPLICATION_ROUTE = (
     "kind: Route\nname: application\nroute_kind: application\npath_prefix: /\n"
@@ -70,8 +52,8 @@
 )
 
 
-class Told(msgspec.Struct, frozen=True, kw_only=True):
-    """What one sending of a booking was told."""
+class BookingResult(msgspec.Struct, frozen=True, kw_only=True):
+    """Result of a booking attempt as the client saw it."""
 
     key: str
     request_id: str = ""
@@ -79,24 +61,26 @@
     run: Execution | None = None
 
 
-def booking_violations(told: list[Told], executed: list[ApplicationExecuted]) -> list[str]:
-    """Return where the answers to bookings contradict what the applications did."""
+def booking_violations(
+    results: list[BookingResult], executed: list[ApplicationExecuted]
+) -> list[str]:
+    """Return contradictions between booking results and the executions of the applications."""
     violations: list[str] = []
-    keys = sorted({entry.key for entry in told})
+    keys = sorted({entry.key for entry in results})
     for key in keys:
         digests = [run.answer_digest for run in executed if run.idempotency_key == key]
         if len(digests) > 1:
             violations.append(f"{key} ran {len(digests)} times")
-        answers = [entry.answer for entry in told if entry.key == key and entry.answer]
+        answers = [entry.answer for entry in results if entry.key == key and entry.answer]
         violations += [
-            f"{key} got an answer nobody gave"
+            f"{key} got a response that no application sent"
             for answer in answers
             if answer_digest(answer) not in digests
         ]
-    refused = [entry for entry in told if entry.run is Execution.NOT_RUN and entry.request_id]
+    refused = [entry for entry in results if entry.run is Execution.NOT_RUN and entry.request_id]
     for entry in refused:
         if any(run.attempt_id.startswith(f"{entry.request_id}~") for run in executed):
-            violations.append(f"{entry.request_id} was refused as not run, and ran")
+            violations.append(f"{entry.request_id} was refused as not run, but ran")
     return violations
 
 
@@ -119,36 +103,36 @@
             APPLICATION_ROUTE,
             WEIGHT_POLICY,
         )
-        self.told: list[Told] = []
+        self.booking_results: list[BookingResult] = []
         self.batches: dict[int, bytes] = {}
 
-    async def test_promises_hold_over_faults_of_real_processes(self) -> None:
+    async def test_guarantees_hold_across_process_faults(self) -> None:
         first_owner = await self.wait_owner(NODES)
         await self.submit_step(first_owner)
         await self.pull_until(BATCH_SAMPLES, [first_owner])
         self.deployment.signal(first_owner, signal.SIGSTOP)
         others = [name for name in NODES if name != first_owner]
-        with self.subTest("a cut stream goes on at another engine"):
+        with self.subTest("a cut stream continues on another engine"):
             await self.check_cut_stream(others[0])
-        with self.subTest("a paused owner is replaced, and comes back"):
+        with self.subTest("a paused owner is replaced and returns"):
             await self.check_paused_owner(first_owner, others)
         victim = others[0]
-        alive = [name for name in NODES if name != victim]
+        surviving = [name for name in NODES if name != victim]
         with self.subTest("kill -9 of a node that dispatches bookings"):
-            await self.check_killed_dispatcher(victim, alive)
+            await self.check_killed_dispatcher(victim, surviving)
         with self.subTest("outage of the key-value service"):
-            await self.check_outage(victim, alive)
+            await self.check_outage(victim, surviving)
 
     async def wait_owner(self, among: tuple[str, ...] | list[str]) -> str:
-        ends_at = self.deployment.clock.monotonic() + READY_LIMIT_SECONDS
-        while self.deployment.clock.monotonic() < ends_at:
+        deadline = self.deployment.clock.monotonic() + READY_TIMEOUT_SECONDS
+        while self.deployment.clock.monotonic() < deadline:
             for name in among:
                 if STREAM in (await self.deployment.status(name)).owned:
                     return name
             await asyncio.sleep(0.1)
-        # The folder with the logs goes with the test: without them a failure cannot be traced.
+        # The working folder is removed after the test, so the logs go into the error message.
         logs = "\n".join(f"{name}:\n{self.deployment.log_text(name)[-4000:]}" for name in NODES)
-        raise NotReachedError(f"none of {among} owns the stream\n{logs}")
+        raise StateNotReachedError(f"none of {among} owns the stream\n{logs}")
 
     async def submit_step(self, node: str) -> None:
         prompts = tuple(
@@ -160,21 +144,21 @@
         await self.deployment.caller.send("POST", url, msgspec.json.encode(body))
 
     async def pull(self, node: str, cursor: int) -> bytes:
-        """Return the bytes at a cursor, asking again while the owner changes."""
+        """Return the response body for a cursor, retrying while the owner changes."""
         query = f"cursor={cursor}&max={BATCH_SAMPLES}&oldest_version=1"
         url = f"{self.deployment.url(node)}/v1/streams/{STREAM}/samples?{query}"
-        ends_at = self.deployment.clock.monotonic() + READY_LIMIT_SECONDS
+        deadline = self.deployment.clock.monotonic() + READY_TIMEOUT_SECONDS
         while True:
             try:
                 return (await self.deployment.caller.send("GET", url)).body
             except CallFailedError as error:
-                self.assertIsNotNone(error.error, f"no typed answer: {error}")
-                if self.deployment.clock.monotonic() > ends_at:
+                self.assertIsNotNone(error.error, f"no structured error: {error}")
+                if self.deployment.clock.monotonic() > deadline:
                     raise
             await asyncio.sleep(0.1)
 
     async def pull_until(self, count: int, nodes: list[str]) -> None:
-        """Consume batches in order until ``count`` samples were consumed in all."""
+        """Pull batches in order until ``count`` samples are consumed."""
         while len(self.consumed()) < count:
             cursor = max(self.batches, default=-1) + 1
             body = await self.pull(nodes[cursor % len(nodes)], cursor)
@@ -182,7 +166,7 @@
                 self.batches[cursor] = body
 
     def consumed(self) -> list[str]:
-        """Return the ids of the samples in the order in which they were consumed."""
+        """Return the ids of the consumed samples in order."""
         batches = (msgspec.json.decode(body, type=BatchBody) for body in self.batches.values())
         return [sample.sample_id for batch in batches for sample in batch.samples]
 
@@ -201,11 +185,11 @@
         self.assertGreater(len({span.backend_id for span in answer.spans}), 1)
         for span in answer.spans:
             produced = sum(
-                made.count
+                produced_span.count
                 for entry in await self.deployment.execution_log(span.backend_id)
                 if isinstance(entry, GenerationEnded) and entry.attempt_id.startswith(answer.id)
-                for made in entry.spans
-                if made.weight_version == span.weight_version
+                for produced_span in entry.spans
+                if produced_span.weight_version == span.weight_version
             )
             self.assertGreaterEqual(produced, span.token_count)
 
@@ -221,7 +205,7 @@
         await self.wait_owner(others)
         await self.pull_until(SAMPLES, others)
         self.deployment.signal(paused, signal.SIGCONT)
-        # The paused owner may have fixed other samples in its memory at these cursors.
+        # The paused owner may hold other samples in memory for these cursors.
         for cursor, body in sorted(self.batches.items(), reverse=True):
             for node in (paused, *others):
                 self.assertEqual(await self.pull(node, cursor), body, f"{node} at {cursor}")
@@ -229,84 +213,93 @@
         self.assertEqual(len(consumed), SAMPLES)
         self.assertEqual(len(set(consumed)), SAMPLES)
 
-    async def check_killed_dispatcher(self, victim: str, alive: list[str]) -> None:
+    async def check_killed_dispatcher(self, victim: str, surviving: list[str]) -> None:
         keys = [f"booking-{number}" for number in range(BOOKINGS)]
-        first = [asyncio.ensure_future(self.book(victim, key)) for key in keys]
+        victim_bookings = [asyncio.ensure_future(self.book(victim, key)) for key in keys]
         retries = [
-            asyncio.ensure_future(self.book_until_settled(node, key))
-            for node in alive
+            asyncio.ensure_future(self.book_until_answered(node, key))
+            for node in surviving
             for key in keys
         ]
-        # Keys that the victim never sees: their bookings are answered whenever the kill falls.
-        own_keys = {node: f"booking-at-{node}" for node in alive}
+        # Bookings that only surviving nodes get: they succeed whenever the kill happens.
+        surviving_node_keys = {node: f"booking-at-{node}" for node in surviving}
         retries.extend(
-            asyncio.ensure_future(self.book_until_settled(node, key))
-            for node, key in own_keys.items()
+            asyncio.ensure_future(self.book_until_answered(node, key))
+            for node, key in surviving_node_keys.items()
         )
-        while not await self.ran(victim):
-            self.assertFalse(all(task.done() for task in first), "the victim dispatched nothing")
+        while not await self.has_dispatched(victim):
+            self.assertFalse(
+                all(task.done() for task in victim_bookings), "the killed node dispatched nothing"
+            )
             await asyncio.sleep(0.01)
         self.deployment.signal(victim, signal.SIGKILL)
         self.assertEqual(await self.deployment.wait_end(victim), -signal.SIGKILL)
-        await asyncio.gather(*first, *retries)
-        self.assertEqual(booking_violations(self.told, await self.executed()), [])
-        answered = {entry.key for entry in self.told if entry.answer is not None}
-        self.assertLessEqual(set(own_keys.values()), answered)
-        # With the claims left out, by the callers' word, the same checker reports the doubles.
-        doubled = [await self.book(node, "repeatable", repeatable=True) for node in alive]
+        await asyncio.gather(*victim_bookings, *retries)
+        self.assertEqual(
+            booking_violations(self.booking_results, await self.executed_bookings()), []
+        )
+        answered = {entry.key for entry in self.booking_results if entry.answer is not None}
+        self.assertLessEqual(set(surviving_node_keys.values()), answered)
+        # Repeatable requests bypass claims, so the checker must report duplicate executions.
+        duplicates = [await self.book(node, "repeatable", repeatable=True) for node in surviving]
         self.assertIn(
-            f"repeatable ran {len(alive)} times", booking_violations(doubled, await self.executed())
+            f"repeatable ran {len(surviving)} times",
+            booking_violations(duplicates, await self.executed_bookings()),
         )
 
-    async def book(self, node: str, key: str, *, repeatable: bool = False) -> Told:
-        """Send a booking once and note what was told."""
+    async def book(self, node: str, key: str, *, repeatable: bool = False) -> BookingResult:
+        """Send a booking once and record its result."""
         url = self.deployment.url(node) + "/app/articles/article-1"
         declared = "true" if repeatable else "false"
         headers = {"Idempotency-Key": key, "Drumbay-Repeatable": declared}
         try:
             answer = await self.deployment.caller.send("POST", url, b"{}", headers)
-            told = Told(key=key, answer=answer.body)
+            result = BookingResult(key=key, answer=answer.body)
         except CallFailedError as error:
             detail = error.error
             run = Execution(detail.run) if detail and detail.run else Execution.MAY_HAVE_RUN
             request_id = (detail.request_id or "") if detail else ""
-            told = Told(key=key, request_id=request_id, run=run)
+            result = BookingResult(key=key, request_id=request_id, run=run)
         if not repeatable:
-            self.told.append(told)
-        return told
+            self.booking_results.append(result)
+        return result
 
-    async def book_until_settled(self, node: str, key: str) -> None:
-        for _ in range(BOOKING_TRIES):
+    async def book_until_answered(self, node: str, key: str) -> None:
+        for _ in range(MAX_BOOKING_ATTEMPTS):
             if (await self.book(node, key)).answer is not None:
                 return
             await asyncio.sleep(0.2)
 
-    async def executed(self) -> list[ApplicationExecuted]:
+    async def executed_bookings(self) -> list[ApplicationExecuted]:
         log = await self.deployment.execution_log("application-1")
         return [entry for entry in log if isinstance(entry, ApplicationExecuted)]
 
-    async def ran(self, node: str) -> bool:
-        return any(entry.attempt_id.startswith(node) for entry in await self.executed())
+    async def has_dispatched(self, node: str) -> bool:
+        return any(entry.attempt_id.startswith(node) for entry in await self.executed_bookings())
 
-    async def check_outage(self, killed: str, alive: list[str]) -> None:
+    async def check_outage(self, killed: str, surviving: list[str]) -> None:
         await self.deployment.arm_fault("key-value", "/faults", KeyValueFaults(outage=True))
-        revision = (await self.deployment.status(alive[0])).configuration_revision
+        revision = (await self.deployment.status(surviving[0])).configuration_revision
         self.deployment.restart(killed)
-        for number, node in enumerate(alive):
+        for number, node in enumerate(surviving):
             self.assertEqual(len((await self.complete(node)).token_ids), LIVE_TOKENS)
             self.assertIsNotNone((await self.book(node, f"in-outage-{number}")).answer)
-        await self.deployment.wait_answer(killed, "/readyz")
+        await self.deployment.wait_until_ok(killed, "/readyz")
         restarted = (await self.deployment.status(killed)).configuration_revision
-        self.assertGreaterEqual(restarted, revision, "the restarted node went back")
-        for node in alive:
+        self.assertGreaterEqual(restarted, revision, "the restarted node has an older revision")
+        for node in surviving:
             await self.wait_revision(node, restarted)
         self.assertEqual(len((await self.complete(killed)).token_ids), LIVE_TOKENS)
-        self.assertEqual(booking_violations(self.told, await self.executed()), [])
+        self.assertEqual(
+            booking_violations(self.booking_results, await self.executed_bookings()), []
+        )
 
     async def wait_revision(self, node: str, revision: int) -> None:
-        """Wait until a node has just this revision of the configuration in force."""
-        ends_at = self.deployment.clock.monotonic() + READY_LIMIT_SECONDS
-        while (found := (await self.deployment.status(node)).configuration_revision) != revision:
-            if self.deployment.clock.monotonic() > ends_at:
-                raise NotReachedError(f"{node} has revision {found}, not {revision}")
+        """Wait until a node has exactly this configuration revision."""
+        deadline = self.deployment.clock.monotonic() + READY_TIMEOUT_SECONDS
+        while (
+            revision_now := (await self.deployment.status(node)).configuration_revision
+        ) != revision:
+            if self.deployment.clock.monotonic() > deadline:
+                raise StateNotReachedError(f"{node} has revision {revision_now}, not {revision}")
             await asyncio.sleep(0.1)
--- a/tests/test_trainer_model.py
+++ b/tests/test_trainer_model.py
@@ -1,4 +1,4 @@
-"""The emulated trainer consumes by cursor, publishes versions and restarts."""
+"""The emulated trainer consumes samples by cursor, publishes versions and restarts."""
 
 import unittest
 
@@ -16,8 +16,8 @@
 from drumbay.standins.weight_store_model import WeightStoreModel, WeightStoreParameters
 
 
-class EndlessSamples:
-    """Serves three samples at a time; every third pull fails."""
+class UnreliableSampleSource:
+    """Unlimited sample source with at most three samples per pull; every third pull fails."""
 
     def __init__(self) -> None:
         self.pulls = 0
@@ -44,8 +44,8 @@
         return PulledBatch(samples=samples, next_cursor=Cursor(end))
 
 
-class StorePublisher:
-    """Publishes into a weight store in the same process."""
+class WeightStorePublisher:
+    """Publishes to an in-process weight store."""
 
     def __init__(self, store: WeightStoreModel) -> None:
         self._store = store
@@ -55,7 +55,7 @@
 
 
 class TrainerModelTest(unittest.TestCase):
-    def build(self) -> tuple[TrainerModel, WeightStoreModel]:
+    def make_trainer(self) -> tuple[TrainerModel, WeightStoreModel]:
         clock = OutsideClock()
         store = WeightStoreModel(clock, "store", WeightStoreParameters(version_bytes=1))
         store.publish("m", WeightVersion(1))
@@ -65,15 +65,15 @@
             "m",
             StreamName("m"),
             WeightVersion(1),
-            EndlessSamples(),
-            StorePublisher(store),
+            UnreliableSampleSource(),
+            WeightStorePublisher(store),
             TrainerParameters(samples_per_step=10, step_seconds=7.0),
         )
         return trainer, store
 
-    def test_steps_consume_each_cursor_once_and_publish(self) -> None:
+    def test_each_step_consumes_new_samples_and_publishes_a_version(self) -> None:
         async def scenario() -> None:
-            trainer, store = self.build()
+            trainer, store = self.make_trainer()
             await trainer.run_steps(3)
             records = trainer.log.records()
             consumed = [r.cursor for r in records if isinstance(r, SampleConsumed)]
@@ -85,19 +85,19 @@
 
         run_simulation(scenario)
 
-    def test_a_restart_consumes_again_from_the_checkpoint_under_a_new_version(self) -> None:
+    def test_restart_consumes_samples_after_the_checkpoint_again(self) -> None:
         async def scenario() -> None:
-            trainer, store = self.build()
+            trainer, store = self.make_trainer()
             await trainer.run_steps(3)
             await trainer.restart_from(trainer.checkpoints[1])
             await trainer.run_steps(1)
             records = trainer.log.records()
             restarted = [r for r in records if isinstance(r, TrainerRestarted)]
             self.assertEqual([(r.step, r.cursor) for r in restarted], [(1, 10)])
-            again = [
+            consumed_again = [
                 r.cursor for r in records if isinstance(r, SampleConsumed) and r.trainer_run == 2
             ]
-            self.assertEqual(again, list(range(10, 20)))
+            self.assertEqual(consumed_again, list(range(10, 20)))
             self.assertEqual(store.versions("m"), (1, 2, 3, 4, 5, 6))
             self.assertEqual(trainer.oldest_accepted_version, 5)
 
--- a/tests/test_version_loading.py
+++ b/tests/test_version_loading.py
@@ -1,4 +1,4 @@
-"""The leader and its orders: one leader at a time, loads in turn, late and lost orders."""
+"""Weight version loading: planning, leader failover, and load orders that execute late."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class PlannerTest(unittest.TestCase):
-    def directory(self, **versions: int) -> WorkerDirectory:
+    def make_directory(self, **versions: int) -> WorkerDirectory:
         pool = EmulatedWorkerPool(OutsideClock())
         for name, version in versions.items():
             models = {"m": WeightVersion(version), "n": WeightVersion(version)}
@@ -25,19 +25,19 @@
         directory.replace_all(pool.entries())
         return directory
 
-    def planned(self, directory: WorkerDirectory, **named: int) -> list[tuple[str, str, int]]:
+    def plan_loads(self, directory: WorkerDirectory, **named: int) -> list[tuple[str, str, int]]:
         planner = VersionPlanner(LoadPolicy(min_concurrent_loads=10))
         versions = {model: WeightVersion(version) for model, version in named.items()}
         loads = planner.plan(versions, directory.all_records().values(), 0.0)
         return [(load.worker_id, load.model, load.version) for load in loads]
 
-    def test_half_of_the_workers_follow_each_version(self) -> None:
-        directory = self.directory(a=1, b=1, c=1, d=1)
-        self.assertEqual(len(self.planned(directory, m=2)), 2)
-        self.assertEqual(len(self.planned(directory, m=2, n=1)), 2)
+    def test_half_of_the_workers_load_each_new_version(self) -> None:
+        directory = self.make_directory(a=1, b=1, c=1, d=1)
+        self.assertEqual(len(self.plan_loads(directory, m=2)), 2)
+        self.assertEqual(len(self.plan_loads(directory, m=2, n=1)), 2)
 
-    def test_a_version_that_stays_the_newest_goes_to_every_worker(self) -> None:
-        directory = self.directory(a=2, b=2, c=1, d=1)
+    def test_latest_version_is_loaded_everywhere_after_a_delay(self) -> None:
+        directory = self.make_directory(a=2, b=2, c=1, d=1)
         planner = VersionPlanner(LoadPolicy(min_concurrent_loads=10))
         named = {"m": WeightVersion(2)}
         records = list(directory.all_records().values())
@@ -45,13 +45,13 @@
         self.assertEqual(planner.plan(named, records, 14.9), ())
         self.assertEqual(len(planner.plan(named, records, 15.0)), 2)
 
-    def test_workers_that_no_step_could_use_go_first(self) -> None:
-        directory = self.directory(a=2, b=2, c=1, d=1)
-        loads = self.planned(directory, m=3, n=1)
+    def test_workers_without_usable_versions_load_first(self) -> None:
+        directory = self.make_directory(a=2, b=2, c=1, d=1)
+        loads = self.plan_loads(directory, m=3, n=1)
         self.assertEqual(loads, [("c", "m", 3), ("d", "m", 3)])
 
-    def test_no_more_loads_run_at_once_than_allowed(self) -> None:
-        directory = self.directory(a=1, b=1, c=1, d=1)
+    def test_concurrent_loads_are_limited(self) -> None:
+        directory = self.make_directory(a=1, b=1, c=1, d=1)
         planner = VersionPlanner(LoadPolicy())
         named = {"m": WeightVersion(2)}
         records = list(directory.all_records().values())
@@ -61,17 +61,17 @@
             planner.record_load_started(load.worker_id)
         self.assertEqual(planner.plan(named, records, 0.1), ())
 
-    def test_more_workers_load_more_at_once(self) -> None:
-        for worker_count, at_once in ((3, 2), (6, 2), (23, 9), (24, 10)):
-            directory = self.directory(**{f"w{number}": 1 for number in range(worker_count)})
+    def test_concurrent_load_limit_grows_with_the_worker_count(self) -> None:
+        for worker_count, expected_loads in ((3, 2), (6, 2), (23, 9), (24, 10)):
+            directory = self.make_directory(**{f"w{number}": 1 for number in range(worker_count)})
             planner = VersionPlanner(LoadPolicy(full_rollout_after_seconds=0.0))
             records = list(directory.all_records().values())
             named = {"m": WeightVersion(2), "n": WeightVersion(2)}
-            self.assertEqual(len(planner.plan(named, records, 0.0)), at_once)
+            self.assertEqual(len(planner.plan(named, records, 0.0)), expected_loads)
 
 
 class LeaderTest(unittest.TestCase):
-    def test_one_node_leads_and_loads_every_named_version(self) -> None:
+    def test_single_leader_loads_every_announced_version(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
                 node.lead()
@@ -90,7 +90,7 @@
 
         play(scenario, node_count=3)
 
-    def test_a_successor_waits_for_the_time_of_a_lease(self) -> None:
+    def test_successor_waits_for_the_lease_to_expire(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
                 node.lead()
@@ -109,15 +109,19 @@
             await asyncio.sleep(33.0)
             orders = world.workers.orders
             holders = [logged.order.holder for logged in orders]
-            change = next(i for i, holder in enumerate(holders) if holder != holders[0])
-            self.assertGreaterEqual(orders[change].at - orders[change - 1].at, LEASE_SECONDS)
-            self.assertGreater(orders[change].order.fence, orders[change - 1].order.fence)
+            first_by_successor = next(i for i, holder in enumerate(holders) if holder != holders[0])
+            self.assertGreaterEqual(
+                orders[first_by_successor].at - orders[first_by_successor - 1].at, LEASE_SECONDS
+            )
+            self.assertGreater(
+                orders[first_by_successor].order.fence, orders[first_by_successor - 1].order.fence
+            )
             for entry in world.workers.entries():
                 self.assertEqual(entry.versions["m"], 3)
 
         play(scenario, node_count=3)
 
-    def test_where_workers_check_fences_only_workers_ordered_lately_are_left_alone(self) -> None:
+    def test_with_fence_checks_successor_waits_only_for_recently_ordered_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
                 node.lead()
@@ -127,24 +131,28 @@
             await asyncio.sleep(0.5)
             now = world.clock.monotonic()
             leader = next(n for n in world.nodes if n.leader.fence(now) is not None)
-            ordered = {logged.worker_id: logged.at for logged in world.workers.orders}
-            self.assertEqual(len(ordered), 2)
+            ordered_at = {logged.worker_id: logged.at for logged in world.workers.orders}
+            self.assertEqual(len(ordered_at), 2)
             await leader.kill()
             for node in world.nodes:
                 node.named.name("m", WeightVersion(3))
             await asyncio.sleep(10.0)
-            later = [o for o in world.workers.orders if o.order.holder != str(leader.address)]
-            firsts: dict[str, float] = {}
-            for logged in later:
-                firsts.setdefault(logged.worker_id, logged.at)
-            for worker_id, at in ordered.items():
-                self.assertGreaterEqual(firsts.get(worker_id, at + 9.0) - at, LEASE_SECONDS)
-            others = [at for worker_id, at in firsts.items() if worker_id not in ordered]
-            self.assertLess(min(others) - now, 2.8)
+            successor_orders = [
+                o for o in world.workers.orders if o.order.holder != str(leader.address)
+            ]
+            first_order_at: dict[str, float] = {}
+            for logged in successor_orders:
+                first_order_at.setdefault(logged.worker_id, logged.at)
+            for worker_id, at in ordered_at.items():
+                self.assertGreaterEqual(first_order_at.get(worker_id, at + 9.0) - at, LEASE_SECONDS)
+            first_at_other_workers = [
+                at for worker_id, at in first_order_at.items() if worker_id not in ordered_at
+            ]
+            self.assertLess(min(first_at_other_workers) - now, 2.8)
 
         play(scenario, node_count=3, worker_count=6, workers_check_fences=True)
 
-    def test_a_successor_of_a_leader_that_resigned_waits_as_well(self) -> None:
+    def test_successor_of_a_resigned_leader_waits_for_the_lease(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             for node in world.nodes:
                 node.lead()
@@ -161,12 +169,14 @@
             await asyncio.sleep(33.0)
             orders = world.workers.orders
             holders = [logged.order.holder for logged in orders]
-            change = next(i for i, holder in enumerate(holders) if holder != holders[0])
-            self.assertGreaterEqual(orders[change].at - orders[change - 1].at, LEASE_SECONDS)
+            first_by_successor = next(i for i, holder in enumerate(holders) if holder != holders[0])
+            self.assertGreaterEqual(
+                orders[first_by_successor].at - orders[first_by_successor - 1].at, LEASE_SECONDS
+            )
 
         play(scenario, node_count=3)
 
-    def test_a_restarted_leader_leads_again_at_once_with_a_newer_fence(self) -> None:
+    def test_restarted_leader_resumes_immediately_with_a_newer_fence(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.nodes[0].lead()
             await asyncio.sleep(1.0)
@@ -181,7 +191,7 @@
 
         play(scenario, node_count=1)
 
-    def test_a_leader_without_the_store_gives_no_orders_past_its_lease(self) -> None:
+    def test_leader_gives_no_orders_after_its_lease_expired_in_an_outage(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.nodes[0].lead()
             await asyncio.sleep(1.0)
@@ -198,19 +208,19 @@
 
 
 class LateOrderTest(unittest.TestCase):
-    def test_an_order_carried_out_late_never_brings_an_old_version_back(self) -> None:
+    def test_late_order_does_not_restore_an_old_version(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.nodes[0].lead()
             await asyncio.sleep(1.0)
-            late = world.workers["worker-1"]
-            late.faults.orders_unanswered = True
-            late.faults.orders_late_seconds = 5.0
+            late_worker = world.workers["worker-1"]
+            late_worker.faults.orders_unanswered = True
+            late_worker.faults.orders_late_seconds = 5.0
             world.nodes[0].named.name("m", WeightVersion(2))
             await asyncio.sleep(1.0)
-            late.faults.orders_unanswered = False
+            late_worker.faults.orders_unanswered = False
             world.nodes[0].named.name("m", WeightVersion(3))
             await asyncio.sleep(33.0)
-            self.assertEqual(late.versions["m"], 3)
+            self.assertEqual(late_worker.versions["m"], 3)
             outcomes = [o.outcome for o in world.workers.orders if o.worker_id == "worker-1"]
             self.assertIn(OrderOutcome.CONFLICT, outcomes)
 
--- a/tests/test_weight_store_http.py
+++ b/tests/test_weight_store_http.py
@@ -1,4 +1,4 @@
-"""The client of the weight store reads what the emulated store serves over HTTP."""
+"""HTTP client of the weight store against the emulated store."""
 
 import unittest
 
@@ -26,7 +26,7 @@
             self.store.publish(MODEL, WeightVersion(version))
         self.assertEqual(await self.client.versions(MODEL), (WeightVersion(1), WeightVersion(2)))
 
-    async def test_a_store_that_is_not_there_is_unavailable(self) -> None:
+    async def test_stopped_store_is_reported_as_unavailable(self) -> None:
         await self.server.stop()
         with self.assertRaises(WeightStoreUnavailableError):
             await self.client.versions(MODEL)
