--- a/drumbay/backends/memory.py
+++ b/drumbay/backends/memory.py
@@ -162,7 +162,7 @@
         except ResponseLostError:
             # The engine cannot detect that its caller is gone, so it continues to generate.
             response_lost = True
-            engine_model.run_unread(chunks)
+            engine_model.drain_in_background(chunks)
             raise
         finally:
             if not response_lost:
--- a/drumbay/bench/weights_cluster.py
+++ b/drumbay/bench/weights_cluster.py
@@ -194,7 +194,7 @@
 
     def true_versions(self) -> list[int]:
         """Return the version that truly serves on each engine."""
-        return [int(engine.true_version) for engine in self.engines]
+        return [int(engine.actual_version) for engine in self.engines]
 
     async def wait_until(self, condition: Callable[[], bool], limit_seconds: float) -> float:
         """Wait for a condition, checked every 50 ms; return the seconds it took.
--- a/drumbay/cli/standin.py
+++ b/drumbay/cli/standin.py
@@ -16,7 +16,7 @@
 from drumbay.standins.engine_model import EngineModel
 from drumbay.standins.engine_parameters import EngineParameters
 from drumbay.standins.engine_server import EngineServer
-from drumbay.standins.kv_server import serve_key_value_standin
+from drumbay.standins.kv_server import serve_key_value_emulator
 from drumbay.standins.machine_list_model import MachineListModel
 from drumbay.standins.machine_list_server import MachineListServer
 from drumbay.standins.scoring_model import ScoringModel
@@ -267,7 +267,7 @@
     """Emulate the key-value service (etcd v3 JSON gateway)."""
 
     async def run() -> None:
-        server_task = asyncio.ensure_future(serve_key_value_standin(host, port))
+        server_task = asyncio.ensure_future(serve_key_value_emulator(host, port))
         await _wait_for_stop_signal()
         server_task.cancel()
         await asyncio.gather(server_task, return_exceptions=True)
--- a/drumbay/kv/memory.py
+++ b/drumbay/kv/memory.py
@@ -20,7 +20,7 @@
     TransactionResult,
     WatchBatch,
 )
-from drumbay.standins.kv_faults import WriteFate
+from drumbay.standins.kv_faults import EmulatedWriteOutcome
 from drumbay.standins.kv_model import KeyValueModel
 from drumbay.standins.kv_watch import watch_model
 
@@ -111,28 +111,30 @@
     async def _read(self, operation: Callable[[], ResultT]) -> ResultT:
         try:
             self._admit()
-            return await self._exchange(operation, WriteFate.ANSWERED)
+            return await self._exchange(operation, EmulatedWriteOutcome.ANSWERED)
         except DeadlineExceededError as error:
             raise KeyValueUnavailableError("no response to a read") from error
 
     async def _write(self, operation: Callable[[], ResultT]) -> ResultT:
         self._admit()
-        fate = self._model.injector.draw_write_fate()
+        outcome = self._model.injector.draw_write_outcome()
         try:
-            return await self._exchange(operation, fate)
+            return await self._exchange(operation, outcome)
         except DeadlineExceededError as error:
             raise KeyValueOutcomeUnknownError("no response to a write") from error
 
-    async def _exchange(self, operation: Callable[[], ResultT], fate: WriteFate) -> ResultT:
+    async def _exchange(
+        self, operation: Callable[[], ResultT], outcome: EmulatedWriteOutcome
+    ) -> ResultT:
         """Send one operation and wait for its response.
 
         Raises:
             DeadlineExceededError: No response in time; the operation may take effect later.
         """
         response: asyncio.Future[ResultT] = asyncio.get_running_loop().create_future()
-        if not self._is_delayed() and fate is WriteFate.ANSWERED:
+        if not self._is_delayed() and outcome is EmulatedWriteOutcome.ANSWERED:
             return operation()
-        task = asyncio.get_running_loop().create_task(self._serve(operation, fate, response))
+        task = asyncio.get_running_loop().create_task(self._serve(operation, outcome, response))
         self._in_flight[task] = None
         task.add_done_callback(lambda done: self._in_flight.pop(done, None))
         return await self._clock.wait_for(response, self._timeout_seconds)
@@ -144,23 +146,23 @@
     async def _serve(
         self,
         operation: Callable[[], ResultT],
-        fate: WriteFate,
+        outcome: EmulatedWriteOutcome,
         response: asyncio.Future[ResultT],
     ) -> None:
         """Execute one operation as the store would, whether or not the client still waits."""
         faults = self._model.injector.faults
         clock = self._model.clock
         await clock.sleep(faults.request_delay_seconds)
-        if fate is WriteFate.REQUEST_LOST:
+        if outcome is EmulatedWriteOutcome.REQUEST_LOST:
             return
         try:
             self._model.injector.check_outage()
             result = operation()
         except Exception as error:
             await clock.sleep(faults.answer_delay_seconds)
-            if fate is WriteFate.ANSWERED and not response.done():
+            if outcome is EmulatedWriteOutcome.ANSWERED and not response.done():
                 response.set_exception(error)
             return
         await clock.sleep(faults.answer_delay_seconds)
-        if fate is WriteFate.ANSWERED and not response.done():
+        if outcome is EmulatedWriteOutcome.ANSWERED and not response.done():
             response.set_result(result)
--- a/drumbay/standins/http_shell.py
+++ b/drumbay/standins/emulator_server.py
@@ -148,7 +148,7 @@
         await self._close_connections()
         await self._tasks.close()
 
-    def carry_out(self, command: ProcessCommand) -> None:
+    def execute_command(self, command: ProcessCommand) -> None:
         """Crash or freeze the process; it recovers after a delay."""
         if command.action is ProcessAction.CRASH:
             self._restart_delay_seconds = command.recover_after_seconds
@@ -258,7 +258,7 @@
         """Execute the accepted command."""
         command: ProcessCommand | None = getattr(self, "_command", None)
         if command is not None:
-            self._server.carry_out(command)
+            self._server.execute_command(command)
 
 
 class LogHandler(JsonHandler):
--- a/drumbay/standins/engine_completions.py
+++ b/drumbay/standins/engine_completions.py
@@ -30,9 +30,9 @@
 )
 from drumbay.exceptions import Execution
 from drumbay.identifiers import AttemptId
+from drumbay.standins.emulator_server import HTTP_BAD_REQUEST, JsonHandler
 from drumbay.standins.engine_model import EngineModel
 from drumbay.standins.generation import CHARACTERS_PER_TOKEN
-from drumbay.standins.http_shell import HTTP_BAD_REQUEST, JsonHandler
 from drumbay.tasks import TaskOwner
 
 HTTP_CONFLICT = 409
--- a/drumbay/standins/engine_model.py
+++ b/drumbay/standins/engine_model.py
@@ -90,7 +90,7 @@
         return self._process.ended
 
     @property
-    def true_version(self) -> WeightVersion:
+    def actual_version(self) -> WeightVersion:
         """Version that produces tokens; the reported one can differ."""
         return self._process.weights.version
 
@@ -142,7 +142,7 @@
             async for chunk in chunks:
                 yield chunk
 
-    def run_unread(self, chunks: AsyncGenerator[TokenChunk]) -> None:
+    def drain_in_background(self, chunks: AsyncGenerator[TokenChunk]) -> None:
         """Consume a stream whose reader is disconnected, until it ends or is cancelled."""
         self._context.tasks.spawn(_drain(chunks), "unread-stream")
 
--- a/drumbay/standins/engine_server.py
+++ b/drumbay/standins/engine_server.py
@@ -23,13 +23,13 @@
 from drumbay.clock import Clock
 from drumbay.identifiers import BackendId
 from drumbay.standins.cache_transfer import CacheExport
+from drumbay.standins.emulator_server import HTTP_BAD_REQUEST, EmulatorServer, ProcessCommand
 from drumbay.standins.engine_completions import (
     ChatCompletionsHandler,
     CompletionsHandler,
     EngineHandler,
 )
 from drumbay.standins.engine_model import EngineModel
-from drumbay.standins.http_shell import HTTP_BAD_REQUEST, EmulatorServer, ProcessCommand
 from drumbay.tasks import TaskOwner
 
 
@@ -163,9 +163,9 @@
         """Name of the engine."""
         return self._engine.backend_id
 
-    def carry_out(self, command: ProcessCommand) -> None:
+    def execute_command(self, command: ProcessCommand) -> None:
         """Crash or freeze the process; it recovers after a delay."""
-        self._server.carry_out(command)
+        self._server.execute_command(command)
 
     def start(self) -> None:
         """Bind the port and start serving."""
--- a/drumbay/standins/free_addresses.py
+++ b/drumbay/standins/free_addresses.py
@@ -16,7 +16,7 @@
 _allocated_ports: set[int] = set()
 
 
-def own_host() -> str:
+def loopback_host() -> str:
     """Return a loopback host derived from the id of this process."""
     high, low = divmod(os.getpid(), HOSTS_PER_BLOCK)
     return f"127.{1 + high % HOSTS_PER_BLOCK}.{low}.1"
@@ -24,7 +24,7 @@
 
 def free_address() -> NetworkAddress:
     """Allocate an address on this process's host that is free for TCP and UDP."""
-    host = own_host()
+    host = loopback_host()
     while True:
         port = _find_free_port(host)
         if port is not None and port not in _allocated_ports:
--- a/drumbay/standins/kv_faults.py
+++ b/drumbay/standins/kv_faults.py
@@ -44,7 +44,7 @@
     watches_stalled: bool = False
 
 
-class WriteFate(StrEnum):
+class EmulatedWriteOutcome(StrEnum):
     """Outcome of a write."""
 
     ANSWERED = "answered"
@@ -140,30 +140,30 @@
         if self._faults.watches_broken:
             raise KeyValueUnavailableError("watch broken")
 
-    def draw_write_fate(self) -> WriteFate:
+    def draw_write_outcome(self) -> EmulatedWriteOutcome:
         """Draw the outcome of the next write."""
         outcome = self._draw_outcome()
-        if outcome is not WriteFate.ANSWERED:
+        if outcome is not EmulatedWriteOutcome.ANSWERED:
             self.unanswered += 1
         return outcome
 
-    def _draw_outcome(self) -> WriteFate:
+    def _draw_outcome(self) -> EmulatedWriteOutcome:
         if self._remaining_lost_requests > 0:
             self._remaining_lost_requests -= 1
-            return WriteFate.REQUEST_LOST
+            return EmulatedWriteOutcome.REQUEST_LOST
         if self._remaining_lost_answers > 0:
             self._remaining_lost_answers -= 1
-            return WriteFate.ANSWER_LOST
+            return EmulatedWriteOutcome.ANSWER_LOST
         return self._draw_random_outcome()
 
-    def _draw_random_outcome(self) -> WriteFate:
+    def _draw_random_outcome(self) -> EmulatedWriteOutcome:
         lost_request = self._faults.lost_request_probability
         lost_either = lost_request + self._faults.lost_answer_probability
         if lost_either == 0.0:
-            return WriteFate.ANSWERED
+            return EmulatedWriteOutcome.ANSWERED
         sample = self._generator.random()
         if sample < lost_request:
-            return WriteFate.REQUEST_LOST
+            return EmulatedWriteOutcome.REQUEST_LOST
         if sample < lost_either:
-            return WriteFate.ANSWER_LOST
-        return WriteFate.ANSWERED
+            return EmulatedWriteOutcome.ANSWER_LOST
+        return EmulatedWriteOutcome.ANSWERED
--- a/drumbay/standins/kv_server.py
+++ b/drumbay/standins/kv_server.py
@@ -26,7 +26,7 @@
     WatchCompactedError,
     WatchEvent,
 )
-from drumbay.standins.kv_faults import KeyValueFaults, WriteFate
+from drumbay.standins.kv_faults import EmulatedWriteOutcome, KeyValueFaults
 from drumbay.standins.kv_model import DEFAULT_HISTORY_LIMIT, KeyValueModel
 from drumbay.standins.kv_records import LogEntry
 from drumbay.standins.kv_watch import watch_model
@@ -91,16 +91,16 @@
     async def _serve(self) -> None:
         injector = self.model.injector
         injector.admit(self.model.now())
-        outcome = injector.draw_write_fate() if self.is_write else WriteFate.ANSWERED
+        outcome = injector.draw_write_outcome() if self.is_write else EmulatedWriteOutcome.ANSWERED
         faults = injector.faults
         await self._delay(faults.request_delay_seconds)
-        if outcome is WriteFate.REQUEST_LOST:
+        if outcome is EmulatedWriteOutcome.REQUEST_LOST:
             self.detach().close()
             return
         injector.check_outage()
         response_body = self.execute()
         await self._delay(faults.answer_delay_seconds)
-        if outcome is WriteFate.ANSWER_LOST:
+        if outcome is EmulatedWriteOutcome.ANSWER_LOST:
             self.detach().close()
             return
         self.finish_with(response_body)
@@ -316,7 +316,7 @@
     return Application(routes, log_function=lambda handler: None)
 
 
-async def serve_key_value_standin(
+async def serve_key_value_emulator(
     host: str, port: int, *, history_limit: int = DEFAULT_HISTORY_LIMIT
 ) -> None:
     """Serve an empty key-value store on the system clock until cancelled.
--- a/drumbay/standins/machine_list_server.py
+++ b/drumbay/standins/machine_list_server.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from drumbay.clock import Clock
-from drumbay.standins.http_shell import HTTP_BAD_REQUEST, EmulatorServer, JsonHandler
+from drumbay.standins.emulator_server import HTTP_BAD_REQUEST, EmulatorServer, JsonHandler
 from drumbay.standins.machine_list_model import Machine, MachineChange, MachineListModel
 
 MACHINES_PATH = "/v1/machines"
--- a/drumbay/standins/platform_duties.py
+++ b/drumbay/standins/platform_duties.py
@@ -27,13 +27,13 @@
 
     Attributes:
         down: Whether calls are deferred without being executed.
-        silent_next: Number of next calls that get no response.
-        silent_late_seconds: Delay after which calls without a response are executed; never if
+        unanswered_next: Number of next calls that get no response.
+        late_execution_seconds: Delay after which calls without a response are executed; never if
             ``None``.
         calls: Executed calls, oldest first.
         refused: Tokens of calls whose fence was too low.
         usage: First accepted counts of each window.
-        contradictions: Accepted reports whose counts differ from the first ones of the window.
+        conflicting_reports: Accepted reports whose counts differ from the first ones of the window.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -42,12 +42,12 @@
         self._highest_fence = 0
         self._late_tasks: set[asyncio.Task[None]] = set()
         self.down = False
-        self.silent_next = 0
-        self.silent_late_seconds: float | None = None
+        self.unanswered_next = 0
+        self.late_execution_seconds: float | None = None
         self.calls: list[LoggedCall] = []
         self.refused: list[DutyToken] = []
         self.usage: dict[int, Mapping[TenantName, int]] = {}
-        self.contradictions: list[UsageReport] = []
+        self.conflicting_reports: list[UsageReport] = []
 
     async def report_usage(self, token: DutyToken, report: UsageReport) -> DutyOutcome:
         """Handle a usage report."""
@@ -58,10 +58,10 @@
         return await self._handle(LoggedCall(at=0.0, token=token, count=count))
 
     async def _handle(self, call: LoggedCall) -> DutyOutcome:
-        if self.silent_next:
-            self.silent_next -= 1
-            if self.silent_late_seconds is not None:
-                task = asyncio.ensure_future(self._execute_late(call, self.silent_late_seconds))
+        if self.unanswered_next:
+            self.unanswered_next -= 1
+            if self.late_execution_seconds is not None:
+                task = asyncio.ensure_future(self._execute_late(call, self.late_execution_seconds))
                 self._late_tasks.add(task)
                 task.add_done_callback(self._late_tasks.discard)
             await self._clock.sleep(CALL_TIMEOUT_SECONDS)
@@ -88,9 +88,9 @@
     def _record_usage(self, report: UsageReport) -> None:
         accepted = self.usage.setdefault(report.window, report.counts)
         if accepted != report.counts:
-            self.contradictions.append(report)
+            self.conflicting_reports.append(report)
 
-    def holders_in_turns(self, window_seconds: float) -> bool:
+    def has_alternating_holders(self, window_seconds: float) -> bool:
         """Return whether calls went from one holder to another and back within a window."""
         last_call_at: dict[str, float] = {}
         previous: str | None = None
--- a/drumbay/standins/service_server.py
+++ b/drumbay/standins/service_server.py
@@ -18,7 +18,7 @@
 from drumbay.clock import Clock
 from drumbay.exceptions import Execution
 from drumbay.identifiers import AttemptId, BackendId
-from drumbay.standins.http_shell import EmulatorServer, JsonHandler, ProcessCommand
+from drumbay.standins.emulator_server import EmulatorServer, JsonHandler, ProcessCommand
 from drumbay.standins.service_model import ServiceModel, TruncatedResponseError
 
 HTTP_TOO_MANY_REQUESTS = 429
@@ -147,9 +147,9 @@
         """Name of the service."""
         return self._service.backend_id
 
-    def carry_out(self, command: ProcessCommand) -> None:
+    def execute_command(self, command: ProcessCommand) -> None:
         """Crash or freeze the process; it recovers after a delay."""
-        self._server.carry_out(command)
+        self._server.execute_command(command)
 
     def start(self) -> None:
         """Bind the port and start serving."""
--- a/drumbay/standins/trainer_server.py
+++ b/drumbay/standins/trainer_server.py
@@ -11,7 +11,7 @@
 from drumbay.backends.responses import raise_for_status
 from drumbay.clock import Clock
 from drumbay.identifiers import Cursor, StreamName, WeightVersion
-from drumbay.standins.http_shell import EmulatorServer, JsonHandler
+from drumbay.standins.emulator_server import EmulatorServer, JsonHandler
 from drumbay.standins.simple_process import SimpleProcess
 from drumbay.standins.trainer_model import PulledBatch, TrainerModel
 from drumbay.tasks import TaskOwner
--- a/drumbay/standins/weight_store_server.py
+++ b/drumbay/standins/weight_store_server.py
@@ -11,7 +11,7 @@
 from drumbay.clock import Clock
 from drumbay.exceptions import DrumbayError
 from drumbay.identifiers import BackendId, WeightVersion
-from drumbay.standins.http_shell import EmulatorServer, JsonHandler
+from drumbay.standins.emulator_server import EmulatorServer, JsonHandler
 from drumbay.standins.weight_store_model import (
     UnknownVersionError,
     VersionConflictError,
--- a/drumbay/standins/worker_log.py
+++ b/drumbay/standins/worker_log.py
@@ -11,10 +11,10 @@
     """Active faults of a worker; the default is a healthy worker.
 
     Attributes:
-        dark: The worker does not respond and accepts no connections.
+        unreachable: The worker does not respond and accepts no connections.
         slowdown: Factor applied to every duration.
         break_after_events: Number of events after which each stream breaks.
-        lose_answers: Run requests, but break the connection before the response.
+        lose_responses: Run requests, but break the connection before the response.
         failing: Fail every run.
         rejecting: Reject every stream request as invalid.
         full: Refuse every request without running it.
@@ -22,10 +22,10 @@
         orders_late_seconds: Delay after which unanswered orders are executed; never if 0.
     """
 
-    dark: bool = False
+    unreachable: bool = False
     slowdown: float = 1.0
     break_after_events: int | None = None
-    lose_answers: bool = False
+    lose_responses: bool = False
     failing: bool = False
     rejecting: bool = False
     full: bool = False
@@ -49,7 +49,7 @@
     versions: list[WeightVersion] = []
 
     @property
-    def start(self) -> WorkerIncarnation:
+    def incarnation(self) -> WorkerIncarnation:
         """Return the incarnation of the worker."""
         return WorkerIncarnation(worker_id=self.worker_id, started_at_ms=self.worker_started_at_ms)
 
@@ -76,6 +76,6 @@
     at: float
 
     @property
-    def start(self) -> WorkerIncarnation:
+    def incarnation(self) -> WorkerIncarnation:
         """Return the incarnation of the worker."""
         return WorkerIncarnation(worker_id=self.worker_id, started_at_ms=self.worker_started_at_ms)
--- a/drumbay/standins/worker_pool.py
+++ b/drumbay/standins/worker_pool.py
@@ -74,9 +74,9 @@
         crash_seconds: Time that such a request runs before the crash.
         crashes: Workers that ended, oldest first.
         keep_ids: Whether workers restart under their own id.
-        discovery_seconds: Delay until discovery reports a restarted worker.
-        kept_connections: Workers to which the caller has an idle connection.
-        silences: Number of times that all open streams have stalled.
+        discovery_delay_seconds: Delay until discovery reports a restarted worker.
+        idle_connections: Workers to which the caller has an idle connection.
+        stall_count: Number of times that all open streams have stalled.
         runs: Started runs, oldest first.
         orders: Received orders, oldest first.
     """
@@ -88,13 +88,13 @@
         seconds_per_event: float = 0.05,
         answer_seconds: float = 0.03,
         load_seconds: float = 0.9,
-        tells_starts: bool = False,
+        reports_start_times: bool = False,
     ) -> None:
-        """Create an empty pool; ``tells_starts`` makes workers report their start time."""
+        """Create an empty pool; ``reports_start_times`` makes workers report their start time."""
         self._clock = clock
-        self._reports_start_times = tells_starts
+        self._reports_start_times = reports_start_times
         self.keep_ids = False
-        self.discovery_seconds = 0.0
+        self.discovery_delay_seconds = 0.0
         self._seconds_per_event = seconds_per_event
         self._answer_seconds = answer_seconds
         self._load_seconds = load_seconds
@@ -109,8 +109,8 @@
         self.crashing_bodies: set[bytes] = set()
         self.crash_seconds = CRASH_SECONDS
         self.crashes: list[LoggedCrash] = []
-        self.kept_connections: set[BackendId] = set()
-        self.silences = 0
+        self.idle_connections: set[BackendId] = set()
+        self.stall_count = 0
         self.runs: list[LoggedRun] = []
         self.orders: list[LoggedOrder] = []
 
@@ -168,7 +168,7 @@
         """Return the runs of one request."""
         return [run for run in self.runs if run.request_id == request_id]
 
-    def first_whole_at(self, request_id: str) -> float | None:
+    def first_completed_at(self, request_id: str) -> float | None:
         """Return when a run first completed the text of a request; ``None`` if none did."""
         count = self._event_count_of(request_id)
         ends = [
@@ -182,7 +182,7 @@
 
     def has_idle_connection(self, worker: Worker) -> bool:
         """Return whether the caller has an idle connection to a worker."""
-        return worker.worker_id in self.kept_connections
+        return worker.worker_id in self.idle_connections
 
     async def listening(self, worker: Worker) -> ProbeResult:
         """Probe whether a process listens at the address of a worker."""
@@ -191,7 +191,7 @@
             return ProbeResult.ACCEPTS
         if emulated is not None and emulated.has_stopped:
             return ProbeResult.REFUSES
-        if emulated is None or emulated.faults.dark:
+        if emulated is None or emulated.faults.unreachable:
             await self._clock.sleep(0.3)
             return ProbeResult.SILENT
         await self._clock.sleep(0.001)
@@ -208,7 +208,7 @@
             run.events = 1
         finally:
             self._end_run(emulated, run)
-        if emulated.faults.lose_answers:
+        if emulated.faults.lose_responses:
             raise WorkerBrokenError("answer lost")
         return WorkerResponse(
             status=200,
@@ -254,7 +254,7 @@
         emulated = self._workers.get(worker.worker_id)
         if emulated is not None and emulated.has_stopped:
             raise WorkerUnreachableError("nobody listens")
-        if emulated is None or emulated.faults.dark:
+        if emulated is None or emulated.faults.unreachable:
             await self._clock.sleep(0.3)
             raise WorkerUnreachableError("no connection")
         if emulated.worker.address != worker.address:
@@ -321,7 +321,7 @@
             started_at_ms=max(self._now_ms(), emulated.worker.started_at_ms + 1),
         )
         self._workers[restarted.worker_id] = EmulatedWorker(restarted)
-        await self._clock.sleep(self.discovery_seconds)
+        await self._clock.sleep(self.discovery_delay_seconds)
         if self._workers[restarted.worker_id].worker == restarted:
             for on_changed in self._listeners:
                 on_changed(restarted)
@@ -458,7 +458,7 @@
     def attach_pool(self, pool: EmulatedWorkerPool) -> None:
         """Stall the stream when the pool stalls its open streams."""
         self._pool = pool
-        self._initial_stall_count = pool.silences
+        self._initial_stall_count = pool.stall_count
 
     async def events(self) -> AsyncIterator[tuple[StreamEvent, ...]]:
         """Yield the events one by one."""
@@ -466,11 +466,11 @@
         first = (self._request.resume_after or 0) + 1
         for number in range(first, self._event_count + 1):
             await self._clock.sleep(self._seconds_per_event * faults.slowdown)
-            if faults.dark:
+            if faults.unreachable:
                 await self._clock.sleep(3_600.0)
             if self._emulated.has_stopped:
                 raise WorkerBrokenError("the worker ended")
-            if self._pool is not None and self._pool.silences != self._initial_stall_count:
+            if self._pool is not None and self._pool.stall_count != self._initial_stall_count:
                 await self._clock.sleep(3_600.0)
             limit = faults.break_after_events
             if limit is not None and self._run.events >= limit:
@@ -488,7 +488,7 @@
     return 2 + zlib.crc32(request_id.encode()) % (MAX_TEXT_EVENTS - 1)
 
 
-def whole_text(request_id: str) -> str:
+def full_text(request_id: str) -> str:
     """Return the complete text of a request."""
     return _make_text(request_id, text_event_count(request_id))
 
--- a/tests/process_deployment.py
+++ b/tests/process_deployment.py
@@ -194,7 +194,7 @@
         self._folder.cleanup()
 
 
-def group_of(deployment: Deployment, kind: str, model: str | None, *names: str) -> str:
+def backend_group(deployment: Deployment, kind: str, model: str | None, *names: str) -> str:
     """Return the YAML of a backend group with the named emulators."""
     model_line = f"model: {model}\n" if model else ""
     backends = "".join(
--- a/tests/serving_world.py
+++ b/tests/serving_world.py
@@ -168,7 +168,7 @@
         self.clock = OutsideClock()
         self.model = KeyValueModel(self.clock)
         self.duties = EmulatedPlatformDuties(self.clock)
-        self.workers = EmulatedWorkerPool(self.clock, tells_starts=workers_keep_ids)
+        self.workers = EmulatedWorkerPool(self.clock, reports_start_times=workers_keep_ids)
         self.workers.keep_ids = workers_keep_ids
         for number in range(1, worker_count + 1):
             self.workers.add(f"worker-{number}", SERVICE, {MODEL: WeightVersion(1)})
--- a/tests/test_backend_promises.py
+++ b/tests/test_backend_promises.py
@@ -21,9 +21,9 @@
 from drumbay.clock import SystemClock
 from drumbay.identifiers import AttemptId, BackendId
 from drumbay.standins.application_model import ApplicationModel, answer_digest
+from drumbay.standins.emulator_server import ProcessAction, ProcessCommand
 from drumbay.standins.execution_log import ApplicationExecuted
 from drumbay.standins.faults import FaultCommand, FaultKind
-from drumbay.standins.http_shell import ProcessAction, ProcessCommand
 from drumbay.standins.service_model import ServiceParameters
 from drumbay.standins.service_server import ServiceServer
 
@@ -86,7 +86,7 @@
         if number % 100 == 50:
             action = ProcessAction.CRASH if number % 200 == 50 else ProcessAction.FREEZE
             command = ProcessCommand(action=action, recover_after_seconds=0.1)
-            self.server.carry_out(command)
+            self.server.execute_command(command)
         elif number % 9 == 4:
             fault = self.rng.choice(RESPONSE_FAULTS)
             self.model.faults.apply(FaultCommand(fault=fault, count=1))
--- a/tests/test_batch_workers.py
+++ b/tests/test_batch_workers.py
@@ -6,7 +6,7 @@
 from drumbay.batches.records import BatchId, ItemResult, ResultState
 from drumbay.identifiers import WeightVersion
 from drumbay.standins.worker_log import WorkerFaults
-from drumbay.standins.worker_pool import whole_text
+from drumbay.standins.worker_pool import full_text
 from tests.serving_world import ServingWorld, batch_spec, play, read_all
 
 BATCH = BatchId("batch")
@@ -19,7 +19,7 @@
             await world.nodes[0].batches.submit(batch_spec())
             results = await read_all(world.nodes[0].batches, BATCH)
             for result in results:
-                self.assertEqual(result.text, whole_text(result.item_id))
+                self.assertEqual(result.text, full_text(result.item_id))
             return list(results)
 
         return play(scenario)
@@ -28,17 +28,17 @@
         self.assertEqual(len(self.run_with(WorkerFaults(break_after_events=1))), 12)
 
     def test_items_leave_an_unresponsive_worker(self) -> None:
-        self.assertEqual(len(self.run_with(WorkerFaults(dark=True))), 12)
+        self.assertEqual(len(self.run_with(WorkerFaults(unreachable=True))), 12)
 
     def test_items_leave_a_worker_that_becomes_unresponsive(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await world.nodes[0].batches.submit(batch_spec(groups=6))
             await asyncio.sleep(0.2)
-            world.workers["worker-1"].faults.dark = True
+            world.workers["worker-1"].faults.unreachable = True
             results = await read_all(world.nodes[0].batches, BATCH)
             self.assertEqual(len(results), 24)
             for result in results:
-                self.assertEqual(result.text, whole_text(result.item_id))
+                self.assertEqual(result.text, full_text(result.item_id))
 
         play(scenario)
 
@@ -109,7 +109,7 @@
             results = await read_all(world.nodes[0].batches, BATCH)
             for result in results:
                 self.assertEqual(result.versions, (WeightVersion(2),))
-                self.assertEqual(result.text, whole_text(result.item_id))
+                self.assertEqual(result.text, full_text(result.item_id))
 
         play(scenario)
 
@@ -138,7 +138,7 @@
             results = await read_all(world.nodes[0].batches, BATCH)
             for result in results:
                 self.assertEqual(len(result.versions), 1)
-                self.assertEqual(result.text, whole_text(result.item_id))
+                self.assertEqual(result.text, full_text(result.item_id))
 
         play(scenario)
 
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -12,7 +12,7 @@
 )
 from drumbay.batches.records import BatchId, BatchSpec, ItemId, ItemResult, ResultState
 from drumbay.identifiers import WeightVersion
-from drumbay.standins.worker_pool import whole_text
+from drumbay.standins.worker_pool import full_text
 from tests.serving_world import ServingWorld, WorldNode, batch_spec, play, read_all
 
 BATCH = BatchId("batch")
@@ -29,7 +29,7 @@
         self.assertEqual(set(Counter(r.item_id for r in results).values()), {1})
         for result in results:
             self.assertEqual(result.state, ResultState.DONE)
-            self.assertEqual(result.text, whole_text(result.item_id))
+            self.assertEqual(result.text, full_text(result.item_id))
 
     def test_every_node_serves_each_result_once_and_complete(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -128,7 +128,7 @@
             results = await read_all(world.nodes[0].batches, BatchId("again"))
             self.assertEqual(len(results), 12)
             for result in results:
-                self.assertEqual(result.text, whole_text(result.item_id))
+                self.assertEqual(result.text, full_text(result.item_id))
                 self.assertEqual(result.versions, (WeightVersion(2),))
             for item_id, events in event_counts.items():
                 first, second = world.workers.runs_of(item_id)
@@ -150,7 +150,7 @@
             await world.nodes[1].batches.submit(again)
             results = await read_all(world.nodes[0].batches, BatchId("again"))
             for result in results:
-                self.assertEqual(result.text, whole_text(result.item_id))
+                self.assertEqual(result.text, full_text(result.item_id))
                 self.assertEqual(result.versions, (WeightVersion(2),))
             for item_id in event_counts:
                 self.assertIsNone(world.workers.runs_of(item_id)[-1].resume_after)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -142,8 +142,8 @@
     Tries of an item or a reward request share an id, so each of their runs counts.
     """
     runs = [run for run in workers.runs if run.request_id in request_ids]
-    ended = {crash.start: crash.at for crash in workers.crashes}
-    times = sorted({ended[run.start] for run in runs if run.start in ended})
+    ended = {crash.incarnation: crash.at for crash in workers.crashes}
+    times = sorted({ended[run.incarnation] for run in runs if run.incarnation in ended})
     if len(times) < MIN_CRASHES:
         return 0
     late = [run for run in runs if run.started_at > times[MIN_CRASHES - 1] + PROPAGATION_SECONDS]
@@ -222,7 +222,7 @@
 
     async def run_late_discovery(self, world: ServingWorld) -> None:
         """Restarted workers answer before their restart is discovered."""
-        world.workers.discovery_seconds = 1.5
+        world.workers.discovery_delay_seconds = 1.5
         await self.run_requests(world, RequestKind.IDEMPOTENT)
 
     async def run_hedged_lookups(self, world: ServingWorld) -> None:
@@ -345,7 +345,7 @@
             await start_nodes(world)
             forwarder = world.nodes[0].node.forwarder
             for number in (1, 2, 3):
-                world.workers[f"lookup-{number}"].faults.lose_answers = True
+                world.workers[f"lookup-{number}"].faults.lose_responses = True
             for number in range(10):
                 with self.assertRaises(RequestFailedError):
                     await forwarder.forward(
@@ -354,7 +354,7 @@
                 await asyncio.sleep(0.2)
             self.assertGreaterEqual(len(world.workers.runs), 10)
             for number in (1, 2, 3):
-                world.workers[f"lookup-{number}"].faults.lose_answers = False
+                world.workers[f"lookup-{number}"].faults.lose_responses = False
             for number in range(20):
                 await forwarder.forward(
                     route(RequestKind.IDEMPOTENT), request(f"s{number}", b"sound")
@@ -506,7 +506,7 @@
             await start_nodes(world)
             node = world.nodes[0].node
             unreachable_worker = world.workers["lookup-1"]
-            unreachable_worker.faults.dark = True
+            unreachable_worker.faults.unreachable = True
             node.quarantine.record_unanswered_run(
                 Fingerprint("f"), "r", unreachable_worker.worker, 0.0
             )
--- a/tests/test_engine_truth.py
+++ b/tests/test_engine_truth.py
@@ -182,7 +182,7 @@
             await bench.load(4, 6)
             with self.assertRaises(StaleFenceError):
                 await slow_load
-            self.assertEqual(bench.engine.true_version, 4)
+            self.assertEqual(bench.engine.actual_version, 4)
 
         run(scenario)
 
@@ -192,7 +192,7 @@
             bench.network.drop_responses(URL)
             with self.assertRaises(ExchangeBrokenError):
                 await bench.load(2, 1)
-            self.assertEqual(bench.engine.true_version, 2)
+            self.assertEqual(bench.engine.actual_version, 2)
 
         run(scenario)
 
@@ -202,7 +202,7 @@
             bench.arm(FaultKind.ORDER_ANSWER_LOST)
             with self.assertRaises(ExchangeBrokenError):
                 await bench.load(2, 1)
-            self.assertEqual(bench.engine.true_version, 2)
+            self.assertEqual(bench.engine.actual_version, 2)
 
         run(scenario)
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -123,7 +123,7 @@
     def test_idle_connection_is_preferred_unless_worker_is_slower(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
-            world.workers.kept_connections.add(BackendId("lookup-3"))
+            world.workers.idle_connections.add(BackendId("lookup-3"))
             for number in range(5):
                 await forwarder.forward(route(), request(f"r{number}"))
             self.assertEqual({run.worker_id for run in world.workers.runs}, {"lookup-3"})
@@ -137,7 +137,7 @@
     def test_concurrent_requests_are_spread_over_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
-            world.workers.kept_connections.add(BackendId("lookup-3"))
+            world.workers.idle_connections.add(BackendId("lookup-3"))
             sends = (forwarder.forward(route(), request(f"r{number}")) for number in range(9))
             await asyncio.gather(*sends)
             busiest = Counter(run.worker_id for run in world.workers.runs).most_common(1)
@@ -148,7 +148,7 @@
     def test_unresponsive_worker_is_hedged(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
-            world.workers["lookup-1"].faults.dark = True
+            world.workers["lookup-1"].faults.unreachable = True
             await forwarder.forward(route(), request())
             self.assertLess(world.clock.monotonic(), 0.15)
 
@@ -158,7 +158,7 @@
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world, workers=5)
             for number in range(1, 6):
-                world.workers[f"lookup-{number}"].faults.lose_answers = True
+                world.workers[f"lookup-{number}"].faults.lose_responses = True
             with self.assertRaises(ResponseLostError) as raised:
                 await forwarder.forward(route(attempts=2), request())
             self.assertEqual(raised.exception.execution, Execution.MAY_HAVE_RUN)
@@ -170,7 +170,7 @@
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
-                world.workers[f"lookup-{number}"].faults.lose_answers = True
+                world.workers[f"lookup-{number}"].faults.lose_responses = True
             once = route(RequestKind.AT_MOST_ONCE, attempts=3)
             with self.assertRaises(ResponseLostError):
                 await forwarder.forward(once, request())
--- a/tests/test_kv_memory.py
+++ b/tests/test_kv_memory.py
@@ -5,7 +5,7 @@
 
 from drumbay.kv.interface import KeyValueStore
 from drumbay.kv.memory import MemoryKeyValueStore
-from drumbay.standins.kv_faults import FaultInjector, KeyValueFaults, WriteFate
+from drumbay.standins.kv_faults import EmulatedWriteOutcome, FaultInjector, KeyValueFaults
 from tests.kv_contract import RESPONSE_TIMEOUT_SECONDS, KeyValueContract
 
 
@@ -17,13 +17,13 @@
 class RandomFaultsTest(unittest.TestCase):
     def test_same_seed_draws_the_same_write_outcomes(self) -> None:
         faults = KeyValueFaults(lost_answer_probability=0.5, lost_request_probability=0.25)
-        runs: list[list[WriteFate]] = []
+        runs: list[list[EmulatedWriteOutcome]] = []
         for _ in range(2):
             injector = FaultInjector(random.Random(7))
             injector.set_faults(faults, 0.0)
-            runs.append([injector.draw_write_fate() for _ in range(50)])
+            runs.append([injector.draw_write_outcome() for _ in range(50)])
         self.assertEqual(runs[0], runs[1])
-        self.assertEqual(set(runs[0]), set(WriteFate))
+        self.assertEqual(set(runs[0]), set(EmulatedWriteOutcome))
 
 
 # Otherwise the test loader would also run the abstract base class.
--- a/tests/test_lookup_forwarding.py
+++ b/tests/test_lookup_forwarding.py
@@ -53,7 +53,7 @@
     def test_reported_slowdown_redirects_next_request(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
-            world.workers.kept_connections.add(BackendId("lookup-3"))
+            world.workers.idle_connections.add(BackendId("lookup-3"))
             for number in range(4):
                 await forwarder.forward(route(), lookup(f"r{number}"))
             load = WorkerLoad(running=1, waiting=0, slots=4, slowdown=2.5)
@@ -95,8 +95,8 @@
             forwarder = self.forwarder(world)
             await forwarder.forward(route(), lookup("first"))
             dark = world.workers.runs[0].worker_id
-            world.workers.kept_connections.add(dark)
-            world.workers[dark].faults.dark = True
+            world.workers.idle_connections.add(dark)
+            world.workers[dark].faults.unreachable = True
             await forwarder.forward(route(), lookup("second"))
             await asyncio.sleep(0.01)
             sent_at = world.clock.monotonic()
@@ -107,7 +107,7 @@
 
     def test_refusing_worker_is_paused_for_one_request_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            world.workers.kept_connections.add(BackendId("lookup-1"))
+            world.workers.idle_connections.add(BackendId("lookup-1"))
             forwarder = self.forwarder(world)
             for number in range(9):
                 forwarder.hedge_timing.observe("lookups", 0.2 + 0.001 * number)
@@ -167,7 +167,7 @@
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
-                world.workers.kept_connections.add(BackendId(f"lookup-{number}"))
+                world.workers.idle_connections.add(BackendId(f"lookup-{number}"))
                 world.workers[f"lookup-{number}"].faults.slowdown = 1_000.0
             timing = forwarder.hedge_timing
             while timing.try_withdraw(world.clock.monotonic(), is_interactive=True):
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -13,7 +13,7 @@
 from drumbay.api.schema import CompletionAnswer, CompletionBody, ErrorBody
 from drumbay.node.stop_sequence import StopStep, run_stop_steps
 from drumbay.standins.execution_log import GenerationAccepted, GenerationEnded
-from tests.process_deployment import Deployment, group_of, live_route
+from tests.process_deployment import Deployment, backend_group, live_route
 
 TIMEOUT_SECONDS = 20.0
 MODEL = "model"
@@ -76,7 +76,7 @@
         self.deployment.start_nodes(key_value, lame_duck_seconds=(0.5, TIMEOUT_SECONDS, 0.5))
         await self.deployment.wait_ready()
         await self.deployment.apply(
-            group_of(self.deployment, "engine", MODEL, "engine-1"), live_route(MODEL)
+            backend_group(self.deployment, "engine", MODEL, "engine-1"), live_route(MODEL)
         )
 
     async def test_requests_in_flight_complete_and_new_requests_are_rejected(self) -> None:
--- a/tests/test_platform_serving.py
+++ b/tests/test_platform_serving.py
@@ -22,7 +22,7 @@
 from drumbay.serving.settings import ServingEnvironment, ServingSettings
 from drumbay.standins.free_addresses import free_address
 from drumbay.standins.kv_model import KeyValueModel
-from drumbay.standins.worker_pool import EmulatedWorkerPool, whole_text
+from drumbay.standins.worker_pool import EmulatedWorkerPool, full_text
 
 HOST = "h.example"
 TIMEOUT_SECONDS = 30.0
@@ -247,7 +247,7 @@
                 self.assertEqual(page["total"], 6)
             for result in results:
                 self.assertEqual(result["state"], "done")
-                self.assertEqual(result["text"], whole_text(str(result["id"])))
+                self.assertEqual(result["text"], full_text(str(result["id"])))
                 self.assertEqual(result["versions"], [1])
             for _ in range(2):
                 self.assertEqual((await second.ask("DELETE", "/lots/b1")).status, 200)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -28,7 +28,7 @@
     READY_TIMEOUT_SECONDS,
     Deployment,
     StateNotReachedError,
-    group_of,
+    backend_group,
     live_route,
 )
 
@@ -97,8 +97,8 @@
         deployment.start_nodes(key_value)
         await deployment.wait_ready()
         await deployment.apply(
-            group_of(deployment, "engine", MODEL, *ENGINES),
-            group_of(deployment, "application", None, "application-1"),
+            backend_group(deployment, "engine", MODEL, *ENGINES),
+            backend_group(deployment, "application", None, "application-1"),
             live_route(MODEL),
             APPLICATION_ROUTE,
             WEIGHT_POLICY,
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -24,7 +24,7 @@
 from drumbay.forwarding.records import RewardOrder
 from drumbay.forwarding.routes import RequestLimits, RoutingConfiguration
 from drumbay.identifiers import BackendId, WeightVersion
-from drumbay.standins.worker_pool import whole_text
+from drumbay.standins.worker_pool import full_text
 from drumbay.workers.directory import WorkerDirectory
 from drumbay.workers.records import StreamEvent
 from tests.serving_world import (
@@ -170,7 +170,7 @@
     def check_scored(self, world: ServingWorld, results: tuple[ItemResult, ...]) -> None:
         for result in results:
             self.assertEqual(result.state, ResultState.DONE)
-            self.assertEqual(result.text, whole_text(result.item_id))
+            self.assertEqual(result.text, full_text(result.item_id))
             assert result.reward is not None
             runs = world.workers.runs_of(reward_id(result.item_id))
             (run,) = [run for run in runs if run.stamp == result.reward.stamp]
@@ -199,13 +199,13 @@
 
     def test_lost_answers_and_full_scorers_cost_no_item(self) -> None:
         async def scenario(world: ServingWorld) -> None:
-            world.workers["scorer-1"].faults.lose_answers = True
+            world.workers["scorer-1"].faults.lose_responses = True
             world.workers["scorer-2"].faults.full = True
-            world.workers["scorer-3"].faults.dark = True
+            world.workers["scorer-3"].faults.unreachable = True
             await world.nodes[0].batches.submit(batch_spec(scored=True))
             await asyncio.sleep(4.0)
             for number in (1, 2, 3):
-                world.workers[f"scorer-{number}"].faults.lose_answers = False
+                world.workers[f"scorer-{number}"].faults.lose_responses = False
                 world.workers[f"scorer-{number}"].faults.full = False
             self.check_scored(world, await read_all(world.nodes[0].batches, BATCH))
 
--- a/tests/test_serving_simulation.py
+++ b/tests/test_serving_simulation.py
@@ -166,11 +166,11 @@
         worker = self.world.workers[f"{kind}-{self.generator.randint(1, 3)}"]
         worker.faults = self.generator.choice(
             (
-                WorkerFaults(dark=True),
+                WorkerFaults(unreachable=True),
                 WorkerFaults(slowdown=6.0),
                 WorkerFaults(break_after_events=2),
                 WorkerFaults(full=True),
-                WorkerFaults(lose_answers=True),
+                WorkerFaults(lose_responses=True),
             )
         )
         await asyncio.sleep(self.generator.uniform(0.5, 5.0))
@@ -231,7 +231,7 @@
         if call is None:
             reader.violations.append(f"{result.item_id}: score {stamp} of no reward request")
             return
-        whole = self.world.workers.first_whole_at(result.item_id)
+        whole = self.world.workers.first_completed_at(result.item_id)
         if whole is None or call.started_at < whole:
             reader.violations.append(f"{result.item_id}: scored before its text was complete")
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -161,7 +161,7 @@
             await world.nodes[0].batches.submit(batch_spec())
             await asyncio.sleep(2.0)
             self.assertEqual(len(world.workers.runs), ITEMS)
-            world.workers.silences += 1
+            world.workers.stall_count += 1
             silent_since = world.clock.monotonic()
             await asyncio.sleep(DETECTION_SECONDS)
             restarted = world.workers.runs[ITEMS:]
@@ -177,7 +177,7 @@
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec())
             await asyncio.sleep(2.0)
-            world.workers["worker-1"].faults.dark = True
+            world.workers["worker-1"].faults.unreachable = True
             dark_since = world.clock.monotonic()
             await asyncio.sleep(PAUSE_DETECTION_SECONDS)
             later = [run for run in world.workers.runs if run.started_at > dark_since]
--- a/tests/test_soak_processes.py
+++ b/tests/test_soak_processes.py
@@ -11,7 +11,7 @@
 from drumbay_soak.proxy import FaultyProxy, ProxyMode
 
 from drumbay.comm.http_exchange import NetworkAddress
-from drumbay.standins.free_addresses import free_address, own_host
+from drumbay.standins.free_addresses import free_address, loopback_host
 
 TIMEOUT_SECONDS = 30.0
 
@@ -24,10 +24,10 @@
     def test_connections_do_not_go_out_from_the_host_of_given_addresses(self) -> None:
         """Guards against an outgoing connection that takes a port before its process binds it."""
         with (
-            socket.create_server((own_host(), 0)) as server,
+            socket.create_server((loopback_host(), 0)) as server,
             socket.create_connection(server.getsockname()) as connection,
         ):
-            self.assertNotEqual(connection.getsockname()[0], own_host())
+            self.assertNotEqual(connection.getsockname()[0], loopback_host())
 
     def test_an_address_is_free_for_datagrams_too(self) -> None:
         address = free_address()
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -213,8 +213,8 @@
 
     def check_reports(self, world: ServingWorld, *, lost_windows: int = 0) -> None:
         duties = world.duties
-        self.assertEqual(duties.contradictions, [])
-        self.assertFalse(duties.holders_in_turns(TURN_SECONDS))
+        self.assertEqual(duties.conflicting_reports, [])
+        self.assertFalse(duties.has_alternating_holders(TURN_SECONDS))
         now = world.clock.wall()
         due = {
             window: counts
@@ -264,9 +264,9 @@
     def test_platform_outage_delays_reports_without_loss(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
-            world.duties.silent_late_seconds = 5.0
+            world.duties.late_execution_seconds = 5.0
             await self.generate_load(world, 9.0)
-            world.duties.silent_next = 2
+            world.duties.unanswered_next = 2
             await self.generate_load(world, 5.0)
             world.duties.down = True
             await self.generate_load(world, 6.0)
--- a/tests/test_weight_rollout.py
+++ b/tests/test_weight_rollout.py
@@ -207,7 +207,7 @@
                 "modelos",
                 engine.backend_id,
                 engine.boot_id,
-                engine.true_version,
+                engine.actual_version,
                 status.weight_version,
             )
             await asyncio.sleep(30)
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -228,9 +228,9 @@
 class QuarantineFixture:
     """A quarantine with one emulated worker; collects its notices to other nodes."""
 
-    def __init__(self, *, tells_starts: bool = True) -> None:
+    def __init__(self, *, reports_start_times: bool = True) -> None:
         self.clock = OutsideClock()
-        self.pool = EmulatedWorkerPool(self.clock, tells_starts=tells_starts)
+        self.pool = EmulatedWorkerPool(self.clock, reports_start_times=reports_start_times)
         self.pool.keep_ids = True
         self.first = self.pool.add("w", SERVICE)
         self.directory = WorkerDirectory()
@@ -427,7 +427,7 @@
 
     def test_any_answer_withdraws_a_crash_without_reported_starts(self) -> None:
         async def scenario() -> None:
-            fixture = QuarantineFixture(tells_starts=False)
+            fixture = QuarantineFixture(reports_start_times=False)
             await asyncio.sleep(1.0)
             fixture.receive_crash()
             fixture.quarantine.record_worker_response(fixture.first.worker)
