--- a/drumbay/batches/decisions.py
+++ b/drumbay/batches/decisions.py
@@ -46,7 +46,7 @@
     SILENT = "silent"
     """The worker sent events before and now sends none for any run."""
     UNSTARTED = "unstarted"
-    """The run got no event, and neither did any other run on the worker lately."""
+    """The run got no event, and no other run on the worker got one recently."""
     QUEUED = "queued"
     """The run got no event while others did: it waits in the worker's queue."""
     STALLED = "stalled"
--- a/drumbay/batches/item_order.py
+++ b/drumbay/batches/item_order.py
@@ -39,7 +39,7 @@
         return item.expected_tokens > self._long_tokens
 
     def is_postponed(self, item: BatchItem) -> bool:
-        """Return whether an item belongs to a group that the step can do without."""
+        """Return whether an item belongs to a surplus group."""
         return item.group in self._postponed
 
     def items(self) -> list[BatchItem]:
--- a/drumbay/batches/item_run.py
+++ b/drumbay/batches/item_run.py
@@ -20,9 +20,9 @@
         pending_gap: Seconds between the last two events; reported once another event follows.
         last_activity_at: Monotonic time of the last event or of the start.
         not_before: Monotonic time before which the item is not started again.
-        failures: Runs that a worker answered with a failure.
+        failures: Runs for which a worker reported a failure.
         moves: How often the item was moved off a slow worker.
-        generation: How often its text was discarded.
+        generation: How often its text was discarded and started anew.
         avoided_worker: Worker to avoid if another one is available.
         move_target: Worker that the item is being moved to.
         complete: Whether the text is complete; the item then waits for its score, if any.
@@ -89,10 +89,10 @@
     def add_event(self, event: StreamEvent, now: float, *, arrived_alone: bool) -> float | None:
         """Append an event; return the gap between the two events before it, in seconds.
 
-        ``None`` if that gap does not tell the worker's pace. The first event on a worker includes
-        queueing and prefill, and the last one of a text is shorter than the others, so a gap is
-        reported only once another event follows it. Events that were read together have no arrival
-        time of their own.
+        ``None`` if that gap does not show the worker's event interval. The first event on a worker
+        includes queueing and prefill, and the last one of a text is shorter than the others, so a
+        gap is reported only once another event follows it. Events that were read together have no
+        arrival time of their own.
         """
         if self.last_number is not None and event.number <= self.last_number:
             return None
--- a/drumbay/batches/item_scoring.py
+++ b/drumbay/batches/item_scoring.py
@@ -76,7 +76,7 @@
         try:
             reward = await self._scorer.score(decision.request, self._order)
         except RewardUnavailableError as error:
-            result = self._note_failure(decision, error)
+            result = self._handle_failure(decision, error)
         else:
             result = self._scheduler.handle_reward(item_id, reward)
         self._tasks.pop(item_id, None)
@@ -84,7 +84,7 @@
             self._on_result(result)
         self._on_change()
 
-    def _note_failure(
+    def _handle_failure(
         self, decision: ScoreText, error: RewardUnavailableError
     ) -> ItemResult | None:
         result = self._scheduler.handle_reward_failure(
--- a/drumbay/batches/job_share.py
+++ b/drumbay/batches/job_share.py
@@ -1,4 +1,4 @@
-"""Worker slots of one batch job: what it uses and needs, and its share beside other jobs."""
+"""Worker slots of one batch job: usage, demand, and its share when other jobs compete."""
 
 from collections import Counter
 from collections.abc import Set
@@ -38,7 +38,7 @@
         metrics: ServingMetrics,
         spec: BatchSpec,
         scheduler: BatchScheduler,
-        began_at: float,
+        submitted_at: float,
     ) -> None:
         """Create the share of a job that uses no slots.
 
@@ -49,7 +49,7 @@
             metrics: Counts deferred steps.
             spec: The batch job.
             scheduler: Schedules its items.
-            began_at: Monotonic time of its submission.
+            submitted_at: Monotonic time of its submission.
         """
         self.is_open = True
         self.held_back_items: Set[ItemId] = frozenset()
@@ -59,7 +59,7 @@
         self._metrics = metrics
         self._spec = spec
         self._scheduler = scheduler
-        self._began_at = began_at
+        self._submitted_at = submitted_at
         self._owned_at = clock.monotonic()
         self._late_streak = slot_sharing.late_streak_before(spec)
         self._running: Counter[BackendId] = Counter()
@@ -95,7 +95,7 @@
             model=self._spec.model,
             priority=self._spec.priority,
             is_open=self.is_open,
-            began_slot=time_slot(self._began_at + wall_offset),
+            began_slot=time_slot(self._submitted_at + wall_offset),
             due_slot=None if due_at is None else time_slot(due_at + wall_offset),
             missed=self._late_streak,
             missing_groups=self._scheduler.missing_groups,
@@ -127,7 +127,7 @@
         """Return the slots left by other batch jobs; log when the step's feasibility changes.
 
         Steps of several trainers often start together. Until the demand of the others is known,
-        only long items start, as those have priority in any case.
+        only long items start, since they start first in any case.
         """
         share = self._slot_sharing.share_for(self, self._spec.service)
         contention = share.contention
@@ -151,7 +151,7 @@
             batch=self._spec.batch_id,
             model=self._spec.model,
             is_in_time=contention.is_feasible,
-            age_seconds=round(now - self._began_at, 3),
+            age_seconds=round(now - self._submitted_at, 3),
             due_in_seconds=None if due_at is None else round(due_at - now, 3),
             work_seconds=round(own.work_seconds, 3),
             others_work_seconds=round(contention.others_work_seconds, 3),
--- a/drumbay/batches/ledger.py
+++ b/drumbay/batches/ledger.py
@@ -13,8 +13,8 @@
 * ``progress/NNNNNNNNNNNN-NNNN``: partial texts of long items, from which a new owner resumes.
 * ``results/NNNNNNNN``: results starting at that position. Each key is written once.
 
-A write whose answer is lost may still be applied later. It is retried unchanged until the store
-answers; once one copy has been applied, the comparisons of the others fail.
+A write whose response is lost may still be applied later. It is retried unchanged until the store
+responds; once one copy has been applied, the comparisons of the others fail.
 """
 
 import msgspec
@@ -171,10 +171,10 @@
     async def read_results(
         self, batch_id: BatchId, position: int, total: int, size_bytes: int
     ) -> ResultPage:
-        """Return results from a position on: at least one if there is any, otherwise up to a size.
+        """Return results from a position on, limited to a size but at least one if there is any.
 
-        A single store page is read where it contains the position, since all results of a batch job
-        may take several megabytes.
+        Reads only the store page that contains the position, since all results of a batch job may
+        take several megabytes.
         """
         prefix = _result_prefix(batch_id)
         can_skip = position >= RESULTS_PER_WRITE
@@ -217,7 +217,7 @@
         if outcome.succeeded:
             return
         await self.check_owner(batch_id, owner_revision)
-        # Only the owner writes this key, always with the same value: an earlier copy was applied.
+        # The key exists: an earlier copy of this write, the only one to this key, was applied.
 
     async def save_progress(
         self,
@@ -234,7 +234,7 @@
         )
         return outcome.succeeded
 
-    async def open_at(self, address: NetworkAddress) -> tuple[BatchId, ...]:
+    async def open_batches_at(self, address: NetworkAddress) -> tuple[BatchId, ...]:
         """Return the open batch jobs whose owner has the given address."""
         prefix = _open_key(address, BatchId(""))
         found = await self._store.range_prefix(prefix)
--- a/drumbay/batches/lingering.py
+++ b/drumbay/batches/lingering.py
@@ -1,7 +1,8 @@
 """Partial texts of ended batch jobs, for reuse by later ones.
 
 Trainers resubmit groups that an ended batch job left unfinished. The node that owned the job lets
-their runs continue for a while; the owner of the later job requests the texts from recent owners.
+their runs continue for ``LINGER_SECONDS``; the owner of the later job requests the texts from
+recent owners.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 
 
 class LingeringBatches:
-    """Ended batch jobs of this node whose runs continue, and access to those of other nodes."""
+    """Ended batch jobs of this node whose runs continue; requests texts from other nodes' ones."""
 
     def __init__(self, peers: PeerClient) -> None:
         """Create an empty collection; ``peers`` calls other nodes."""
--- a/drumbay/batches/owned.py
+++ b/drumbay/batches/owned.py
@@ -1,4 +1,4 @@
-"""The batch jobs that this node owns: start, takeover, hand-over to other nodes and end."""
+"""The batch jobs that this node owns: start, handover to other nodes, takeover and end."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -79,7 +79,7 @@
             task_owner: Runs the tasks of runners.
             newest_version: Returns the newest weight version announced for a model.
             send_notice: Sends a notice to other nodes.
-            service_use: Tells which kinds of requests reach a service.
+            service_use: Returns which kinds of requests reach a service.
             shares_slots: Whether batch jobs share worker slots with those of other owners.
             metrics: Counts batch job events.
         """
@@ -141,7 +141,7 @@
         elif await self._owners.hand_over(spec, owner):
             self._owners.handle_notice(OwnerNotice(batch_id=spec.batch_id, owner=owner))
         else:
-            await self._own_unaccepted(spec, owner)
+            await self._take_over_unconfirmed(spec, owner)
 
     def start(self, spec: BatchSpec, owner: StoredOwner) -> None:
         """Run a new batch job owned by this process; does nothing while draining."""
@@ -151,10 +151,11 @@
         self._owners.announce(spec.batch_id, owner)
         self._task_owner.spawn(self._start(runner), f"batch-start-{spec.batch_id}")
 
-    async def _own_unaccepted(self, spec: BatchSpec, owner: StoredOwner) -> None:
+    async def _take_over_unconfirmed(self, spec: BatchSpec, owner: StoredOwner) -> None:
         """Take over a batch job that its designated owner did not confirm.
 
-        An owner that accepted it without its reply arriving stops once its revision is replaced.
+        If that owner accepted the job but its reply was lost, it stops once its revision has been
+        replaced.
         """
         record = self._owners.new_record(spec.stream, len(spec.items), spec.tenant)
         try:
@@ -219,8 +220,8 @@
     async def wait_for_takeover(self, batch_id: BatchId) -> bool:
         """Wait for a takeover in progress on this node; return whether there was one.
 
-        The store names this node the owner before the batch job has been read, so callers in
-        between must not conclude that it does not own the job.
+        The store names this node as owner before it has read the batch job and created a runner;
+        without the wait, callers would conclude meanwhile that no node owns the job.
         """
         finished = self._takeovers.get(batch_id)
         if finished is None:
@@ -268,8 +269,8 @@
     async def reclaim(self, batch_id: BatchId) -> None:
         """Take over a batch job that an earlier process at this address owned.
 
-        Waiting for the trainer's next call could take seconds if its connection died with the
-        process.
+        The trainer's next call would also trigger this, but may come seconds later if its
+        connection was closed when that process ended.
         """
         try:
             owner = await self._ledger.read_owner(batch_id)
--- a/drumbay/batches/owners.py
+++ b/drumbay/batches/owners.py
@@ -43,10 +43,10 @@
 MAX_CACHED_OWNERS = 4_096
 MAX_CACHED_STREAMS = 256
 HAND_OVER_TIMEOUT_SECONDS = 0.2
-"""After this time the node that received a submission owns it itself."""
+"""After this time, the node that received a submission owns the batch job itself."""
 
 RECENT_OWNER_TTL_SECONDS = 60.0
-"""Owners that no record has named for this long are forgotten."""
+"""Owners that no owner record has named for this long are forgotten."""
 
 
 class ServiceIdentity(msgspec.Struct, frozen=True, kw_only=True):
@@ -102,9 +102,9 @@
     def choose_owner(self, spec: BatchSpec, reachable: Container[NetworkAddress]) -> OwnerRecord:
         """Return the owner record of a new batch job.
 
-        A recent owner of the stream is preferred: it has pace estimates of the workers and open
-        connections to them, and may still run resubmitted items. Nodes with an open batch job are
-        passed over.
+        A recent owner of the stream is preferred: it has event interval estimates of the
+        workers and open connections to them, and may still run resubmitted items. Nodes that
+        own an open batch job are skipped.
         """
         own = self.new_record(spec.stream, len(spec.items), spec.tenant)
         owners = self._streams.get(spec.stream)
@@ -228,12 +228,12 @@
     async def call_owner(
         self, owner: StoredOwner, request: OwnerRequest, wait_seconds: float = 0.0
     ) -> PeerReply:
-        """Return an owner's reply.
+        """Return an owner's reply, or one of the following if it sent none.
 
-        :class:`NotOwnerReply` also if no process listens at its address, or if the address is this
-        node's: the owning process has ended or dropped the batch job.
-        :class:`UnavailableReply` if no reply came: the owner may be stalled or unreachable.
-        :class:`BusyReply` if no reply came in time but the node answers pings.
+        * :class:`NotOwnerReply` if no process listens at its address, or if the address is this
+          node's: the owning process has ended or dropped the batch job.
+        * :class:`UnavailableReply` if no reply came: the owner may be stalled or unreachable.
+        * :class:`BusyReply` if no reply came in time but the node responds to pings.
         """
         if self.is_own_address(owner.record):
             return NotOwnerReply()
--- a/drumbay/batches/progress.py
+++ b/drumbay/batches/progress.py
@@ -17,7 +17,7 @@
 
 
 class _SavedState(msgspec.Struct, frozen=True, kw_only=True):
-    """What is saved of an item: event count, generation, and whether the text is complete."""
+    """Saved part of an item's text: event count, generation, and whether it is complete."""
 
     count: int
     generation: int
--- a/drumbay/batches/records.py
+++ b/drumbay/batches/records.py
@@ -16,7 +16,7 @@
 class RewardRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A request that scores the complete text of an item.
 
-    A scoring service answers it, through the route of ``host`` and ``target``. It may be repeated.
+    It is sent to a scoring service by the route of ``host`` and ``target``, and may be repeated.
     """
 
     request_id: str
@@ -26,7 +26,7 @@
 
 
 class Reward(msgspec.Struct, frozen=True, kw_only=True):
-    """Score of a text: the stamp of the response to the reward request ``request_id``."""
+    """Score of a text: ``stamp`` identifies the worker run that executed the reward request."""
 
     request_id: str
     stamp: str
@@ -56,7 +56,7 @@
 
 
 class BatchStream(msgspec.Struct, frozen=True, kw_only=True):
-    """Identifies the successive batch jobs of one model at one service."""
+    """The successive batch jobs of one model at one service."""
 
     service: str
     model: str
@@ -70,7 +70,7 @@
     ``tenant`` is the tenant whose key submitted the job and on whose behalf its items run, even if
     the key is revoked later; ``None`` without authentication. ``priority`` is its priority at
     submission: 0 goes first. Its results are due after ``due_seconds``, if known. ``submitted_at``
-    is when a node accepted it, in Unix seconds; 0 if unknown.
+    is when a node received it, in Unix seconds; 0 if unknown.
     """
 
     batch_id: BatchId
@@ -187,7 +187,7 @@
 def page_of(
     results: list[ItemResult] | tuple[ItemResult, ...], total: int, position: int, size_bytes: int
 ) -> ResultPage:
-    """Return results from a position on: at least one if available, otherwise up to a size."""
+    """Return results from a position on, limited to a size but at least one if there is any."""
     page: list[ItemResult] = []
     used_bytes = 0
     for result in results[position:]:
--- a/drumbay/batches/result_log.py
+++ b/drumbay/batches/result_log.py
@@ -13,11 +13,11 @@
 from drumbay.observability.logs import log_event
 
 FLUSH_INTERVAL_SECONDS = 0.4
-"""Results are collected for this long, since each store write has a cost."""
+"""Results are collected for this long and written together."""
 
 TAIL_FLUSH_INTERVAL_SECONDS = 1.0
-"""Flush interval while few items are left. It exceeds a trainer's pause between reads, so that the
-last results are not delayed by a read of the ones shortly before.
+"""Flush interval while few items are left. Longer than a trainer's pause between reads, so that one
+read returns the last results instead of two with a pause between them.
 """
 
 URGENT_FLUSH_DELAY_SECONDS = 0.03
@@ -27,8 +27,8 @@
 RESULT_PAGE_BYTES = 900_000
 STORE_RETRY_SECONDS = 0.15
 OWNER_CHECK_INTERVAL_SECONDS = 1.2
-"""Ownership is verified after this long without a successful write. Longer than results and partial
-texts wait for a write.
+"""Ownership is verified after this long without a successful write. Longer than the intervals of
+result and progress writes, so that a check is needed only while there is nothing to write.
 """
 
 OWNER_WATCH_INTERVAL_SECONDS = 6.0
@@ -111,7 +111,7 @@
     async def read(self, position: int, wait_seconds: float, size_bytes: int) -> ResultPage:
         """Return results from a position on, waiting until there is one or the time is up.
 
-        The page has at least one result if there is one, and otherwise up to ``size_bytes``.
+        The page is limited to ``size_bytes``, but has at least one result if there is any.
         """
         deadline = self._clock.monotonic() + wait_seconds
         while len(self._listed) <= position and not self._closed and not self.is_complete:
--- a/drumbay/batches/reward_scorer.py
+++ b/drumbay/batches/reward_scorer.py
@@ -156,7 +156,7 @@
             reward_order=order,
         )
         try:
-            answer = await self._forwarder.forward(route, outgoing)
+            response = await self._forwarder.forward(route, outgoing)
         except ForwardingError as error:
             raise RewardUnavailableError(
                 RewardFailure.NOT_SERVED,
@@ -164,10 +164,10 @@
                 route.attempts,
                 error.retry_after_seconds or 0.0,
             ) from error
-        if not 200 <= answer.status < 300:
-            log_event("reward_rejected", request=request.request_id, status=answer.status)
+        if not 200 <= response.status < 300:
+            log_event("reward_rejected", request=request.request_id, status=response.status)
             raise RewardUnavailableError(RewardFailure.REJECTED, 0, route.attempts)
-        return Reward(request_id=request.request_id, stamp=answer.stamp)
+        return Reward(request_id=request.request_id, stamp=response.stamp)
 
 
 class _ScoringQueue:
@@ -181,7 +181,7 @@
     @asynccontextmanager
     async def slot(self, batch_started_at: float) -> AsyncIterator[None]:
         """Wait for a slot and hold it until the context exits."""
-        ticket = self._slots.wait(batch_started_at)
+        ticket = self._slots.enqueue(batch_started_at)
         admitted = self._admitted[ticket] = asyncio.Event()
         try:
             await self._wait_for_slot(admitted)
--- a/drumbay/batches/run_failure.py
+++ b/drumbay/batches/run_failure.py
@@ -1,4 +1,4 @@
-"""Classifies failed item runs and records what they reveal about the worker."""
+"""Classifies failed item runs and updates the directory's record of the worker."""
 
 from drumbay.batches.decisions import RunFailure
 from drumbay.workers.directory import WorkerDirectory
@@ -14,7 +14,7 @@
 )
 
 MISDIRECTED_PAUSE_SECONDS = 1.0
-"""Pause of an address that another worker has taken, until discovery catches up."""
+"""Pause of a worker whose address another one uses now, until discovery reports the change."""
 
 
 def record_run_failure(
--- a/drumbay/batches/run_silence.py
+++ b/drumbay/batches/run_silence.py
@@ -11,13 +11,11 @@
 """A run without events for this long is stopped: its worker may have preempted it."""
 
 WORKER_SILENCE_SECONDS = 0.7
-"""A worker that sent events and has sent none for any run for this long is silent. Well above the
-usual event interval and planning delays.
-"""
+"""A worker is silent if none of its runs got an event for this long, after earlier events."""
 
 MAX_PLAN_GAP_SECONDS = 0.4
-"""A longer time between two plans means that this process was paused or overloaded, so events that
-arrived meanwhile may be unread.
+"""A longer time between two plans means that this process was paused or overloaded: events that
+arrived meanwhile may be unread, so timeouts start anew.
 """
 
 
--- a/drumbay/batches/runner.py
+++ b/drumbay/batches/runner.py
@@ -58,22 +58,22 @@
 
 PLAN_INTERVAL_SECONDS = 0.1
 PLAN_DEBOUNCE_SECONDS = 0.005
-"""Delay before planning, to cover runs that end at the same moment."""
+"""Delay before planning, so that one plan covers runs that end at the same moment."""
 
 TAIL_ITEM_SHARE = 0.25
-"""With at most this share of items left, results arrive one by one."""
+"""With at most this share of items left, the longer flush interval applies."""
 
 LINGER_SECONDS = 8.0
 """How long runs continue after the end of a batch job, for items that are resubmitted."""
 
 RESUME_DELAY_SECONDS = 1.7
 MIN_RESUMED_EVENTS = 45
-"""A replaced owner that is still alive stops within ``OWNER_CHECK_INTERVAL_SECONDS``. Only longer
-texts are worth waiting for that; shorter ones are generated again.
+"""A replaced owner that is still alive stops within ``OWNER_CHECK_INTERVAL_SECONDS``. Texts with
+fewer events than this are generated again at once instead of resumed after the delay.
 """
 
 RUN_BUDGET_SECONDS = 30.0
-"""Upper bound of a run, above the generation time of the longest text."""
+"""Time limit of a run; longer than the generation of the longest text."""
 
 MAX_BATCH_AGE_SECONDS = 60.0
 """Bounds the computed age of a batch job, as clocks of two machines may differ."""
@@ -138,12 +138,12 @@
         self._slot_sharing = slot_sharing
         self._newest_version = newest_version
         self._version_at_start = newest_version()
-        began_at = self._started_at - _age_seconds(spec, clock.wall())
+        submitted_at = self._started_at - _age_seconds(spec, clock.wall())
         self._scheduler = BatchScheduler(
-            spec, self._started_at, listed, slot_sharing.event_size_of(spec.model), began_at
+            spec, self._started_at, listed, slot_sharing.event_size_of(spec.model), submitted_at
         )
         self.share = JobShare(
-            clock, directory, slot_sharing, metrics, spec, self._scheduler, began_at
+            clock, directory, slot_sharing, metrics, spec, self._scheduler, submitted_at
         )
         self._missing_groups = self._scheduler.missing_groups
         self._finished: dict[ItemId, ItemResult] = {}
@@ -172,7 +172,7 @@
             self._scheduler,
             task_owner,
             spec.batch_id,
-            RewardOrder(batch_started_at=began_at, batch_priority=spec.priority),
+            RewardOrder(batch_started_at=submitted_at, batch_priority=spec.priority),
             on_result=self._add_result,
             on_change=self._wakeup.set,
         )
@@ -199,8 +199,8 @@
         if self._closed or self._lingering:
             return
         name = self.spec.batch_id
-        self._scheduler.adopt(resubmitted)
-        for result in self._scheduler.pop_adopted_results():
+        self._scheduler.reuse_texts(resubmitted)
+        for result in self._scheduler.pop_reused_results():
             self._add_result(result)
         self._tasks = [
             self._task_owner.spawn(self._run_scheduling(), f"batch-schedule-{name}"),
--- a/drumbay/batches/scheduler.py
+++ b/drumbay/batches/scheduler.py
@@ -33,7 +33,11 @@
     order_by_latest_start,
 )
 from drumbay.batches.start_times import EventSizeEstimate, StepSchedule
-from drumbay.batches.worker_selector import DEFAULT_PACE_SECONDS, SlotRequest, WorkerSelector
+from drumbay.batches.worker_selector import (
+    DEFAULT_EVENT_INTERVAL_SECONDS,
+    SlotRequest,
+    WorkerSelector,
+)
 from drumbay.identifiers import BackendId, WeightVersion
 from drumbay.workers.records import StreamEvent
 from drumbay.workers.worker_record import WorkerRecord
@@ -57,8 +61,8 @@
 
 MIN_EVENTS_TO_MOVE_LONG_ITEM = 3
 MIN_EVENTS_TO_MOVE_ITEM = 5
-"""Minimum events before an item leaves a slow worker. Items not expected to be long need more,
-which makes it likely that enough text remains to repay the move.
+"""Minimum events before an item leaves a slow worker. Items not expected to be long need more, so
+that enough text is likely to remain to make the move worthwhile.
 """
 
 LONG_TEXT_EVENTS = 25
@@ -73,7 +77,7 @@
     """Deterministic scheduler, driven only by the events passed to it.
 
     Items expected to be long start first and on fast workers, as they determine when a step is
-    complete. Groups that the step can probably do without start last.
+    complete. Surplus groups, which the step probably does not need, start last.
     """
 
     def __init__(
@@ -82,7 +86,7 @@
         started_at: float,
         listed: Sequence[ItemResult],
         event_size: EventSizeEstimate | None = None,
-        began_at: float | None = None,
+        submitted_at: float | None = None,
     ) -> None:
         """Create a scheduler for the items that are not yet listed.
 
@@ -91,13 +95,13 @@
             started_at: Monotonic time from which the queue limit counts.
             listed: Results that are listed already.
             event_size: Event size estimate of the model.
-            began_at: Monotonic time of the submission, if earlier than ``started_at``.
+            submitted_at: Monotonic time of the submission, if earlier than ``started_at``.
         """
         self._spec = spec
-        self._began_at = started_at if began_at is None else began_at
+        self._submitted_at = started_at if submitted_at is None else submitted_at
         self._event_size = event_size or EventSizeEstimate()
-        self._seconds_per_event = DEFAULT_PACE_SECONDS
-        self._mean_pace = DEFAULT_PACE_SECONDS
+        self._median_event_interval = DEFAULT_EVENT_INTERVAL_SECONDS
+        self._mean_event_interval = DEFAULT_EVENT_INTERVAL_SECONDS
         self._is_overloaded = False
         self._give_up_at = started_at + spec.queue_limit_seconds
         self._silence_detector = SilenceDetector(started_at)
@@ -119,7 +123,7 @@
 
     # Resumption
 
-    def adopt(self, resubmitted: ResubmittedItems) -> None:
+    def reuse_texts(self, resubmitted: ResubmittedItems) -> None:
         """Reuse texts of resubmitted items whose versions are acceptable."""
         self._order = ItemOrder(self._spec, frozenset(resubmitted.item_ids))
         self._sort_runs()
@@ -127,7 +131,7 @@
             self._restore_text(partial_text)
 
     def resume_from(self, partial_texts: Iterable[PartialText], not_before: float) -> None:
-        """Resume the texts of a replaced owner, not before it must have stopped."""
+        """Resume the texts of a replaced owner, at ``not_before`` or later."""
         for partial_text in partial_texts:
             self._restore_text(partial_text)
             run = self._runs.get(partial_text.item_id)
@@ -143,8 +147,8 @@
             self._finished.append(run.result())
             self._remove(partial_text.item_id)
 
-    def pop_adopted_results(self) -> tuple[ItemResult, ...]:
-        """Return and clear the results of items that earlier batch jobs had finished."""
+    def pop_reused_results(self) -> tuple[ItemResult, ...]:
+        """Return and clear the results of items whose reused texts are complete."""
         results = tuple(self._finished)
         self._finished.clear()
         return results
@@ -179,7 +183,7 @@
     def due_at(self) -> float | None:
         """Return the monotonic time at which the step is due; ``None`` if unknown."""
         due_seconds = self._spec.due_seconds
-        return None if due_seconds is None else self._began_at + due_seconds
+        return None if due_seconds is None else self._submitted_at + due_seconds
 
     def work_seconds(self) -> float:
         """Return the slot-seconds needed for what the trainer still waits for."""
@@ -188,7 +192,7 @@
             for run in self._runs.values()
             if not run.complete and not self._order.is_postponed(run.item)
         )
-        return events * self._mean_pace
+        return events * self._mean_event_interval
 
     def latest_starts(self, held_back: Set[ItemId], now: float) -> list[float | None]:
         """Return the latest start times of the items that wait for a slot, soonest first.
@@ -201,10 +205,10 @@
         """Return the items that wait for a slot, in start order."""
         due_at = self.due_at
         schedule = StepSchedule(
-            began_at=self._began_at,
-            due_at=self._began_at + DEFAULT_DUE_SECONDS if due_at is None else due_at,
+            submitted_at=self._submitted_at,
+            due_at=self._submitted_at + DEFAULT_DUE_SECONDS if due_at is None else due_at,
             has_due_time=due_at is not None,
-            seconds_per_event=self._seconds_per_event,
+            seconds_per_event=self._median_event_interval,
             event_size=self._event_size,
             is_overloaded=self._is_overloaded,
         )
@@ -258,7 +262,7 @@
     def handle_event(
         self, item_id: ItemId, event: StreamEvent, now: float, *, arrived_alone: bool = True
     ) -> float | None:
-        """Append an event to an item's text; return a gap that tells the worker's pace, if any."""
+        """Append an event to an item's text; return the worker's event interval, if measured."""
         run = self._runs.get(item_id)
         return run.add_event(event, now, arrived_alone=arrived_alone) if run is not None else None
 
@@ -413,8 +417,8 @@
             self._spec, workers, newest_version, now, limits.isolated_workers, share.used_by_others
         )
         self._is_overloaded = share.contention is not None and share.contention.is_overloaded
-        self._seconds_per_event = selector.median_pace
-        self._mean_pace = selector.mean_pace
+        self._median_event_interval = selector.median_event_interval
+        self._mean_event_interval = selector.mean_event_interval
         decisions: list[Decision] = [*self._given_up, *self._stop_decisions(selector, now)]
         self._given_up.clear()
         decisions.extend(self._start_decisions(selector, now, limits, share))
@@ -537,8 +541,8 @@
         if run.events_on_worker < min_events:
             return None
         if not selector.is_slow(run.worker_id):
-            is_decisive = is_long or len(run.texts) >= LONG_TEXT_EVENTS
-            if run.moves or not is_decisive or not selector.is_somewhat_slow(run.worker_id):
+            counts_as_long = is_long or len(run.texts) >= LONG_TEXT_EVENTS
+            if run.moves or not counts_as_long or not selector.is_somewhat_slow(run.worker_id):
                 return None
         min_gain_seconds = 0.0
         if selector.is_shared(run.worker_id):
--- a/drumbay/batches/scoring_slots.py
+++ b/drumbay/batches/scoring_slots.py
@@ -38,8 +38,8 @@
         self._issued_count = 0
         self._in_use = 0
 
-    def wait(self, batch_started_at: float) -> Ticket:
-        """Enqueue a request."""
+    def enqueue(self, batch_started_at: float) -> Ticket:
+        """Add a waiting request and return its ticket."""
         self._issued_count += 1
         ticket = Ticket(batch_started_at, self._issued_count)
         heapq.heappush(self._waiting, ticket)
--- a/drumbay/batches/service.py
+++ b/drumbay/batches/service.py
@@ -125,7 +125,7 @@
             newest_version: Returns the newest version announced for a model.
             announce: Notifies the other nodes of a batch job's owner.
             send_notice: Sends a notice to some nodes.
-            service_use: Tells which kinds of requests reach a service.
+            service_use: Returns which kinds of requests reach a service.
             shares_slots: Whether batch jobs share worker slots with those of other owners.
             metrics: Counts batch job events.
         """
@@ -183,7 +183,7 @@
         """Take over what an earlier process at this address owned, retrying store errors."""
         while True:
             try:
-                for batch_id in await self.ledger.open_at(self._identity.address):
+                for batch_id in await self.ledger.open_batches_at(self._identity.address):
                     await self._owned.reclaim(batch_id)
                 return
             except (KeyValueError, BatchUnavailableError) as error:
--- a/drumbay/batches/slot_contention.py
+++ b/drumbay/batches/slot_contention.py
@@ -18,9 +18,7 @@
 from drumbay.identifiers import BackendId
 
 NOTICE_TTL_SECONDS = 1.2
-"""Reports expire after this time, which exceeds two regular notice intervals, so that an ended
-owner does not block slots.
-"""
+"""A report expires after two missed notices, so that an ended owner does not block slots."""
 
 MAX_TRACKED_OWNERS = 1_024
 """Owners whose latest notice number is kept, to reject delayed notices."""
@@ -43,12 +41,12 @@
         total_slots: All slots of the service's workers.
         others_work_seconds: Slot-seconds that the other jobs need.
         free_slots: Slots of the service that are not in use.
-        later_job_starts: Number of items to start by time slot, for jobs that go after this one
-            on equal urgency.
+        later_job_starts: Number of items by the time slot in which they must start, for jobs that
+            go after this one on equal urgency.
         earlier_job_starts: The same for jobs that go before this one on equal urgency.
         deferrable_ahead: Number of waiting items of jobs that go before this one which are late or
             not needed by their trainer.
-        late_slots: How many slots the job may use regardless of the other jobs.
+        late_slots: Slots reserved for the job's late items, whatever the other jobs need.
         wall_offset: Difference between this owner's wall clock and its monotonic clock.
     """
 
@@ -63,21 +61,27 @@
     late_slots: int
     wall_offset: float = 0.0
 
-    def count_ahead(self, start_slot: int | None) -> int:
+    def count_ahead(self, start_time_slot: int | None) -> int:
         """Return how many waiting items of other jobs go before an item.
 
         Args:
-            start_slot: Time slot by which the item must start; ``None`` if it is deferrable.
+            start_time_slot: Time slot by which the item must start; ``None`` if it is deferrable.
         """
-        if start_slot is None:
+        if start_time_slot is None:
             return (
                 sum(self.later_job_starts.values())
                 + sum(self.earlier_job_starts.values())
                 + self.deferrable_ahead
             )
-        sooner = sum(count for slot, count in self.later_job_starts.items() if slot < start_slot)
+        sooner = sum(
+            count
+            for time_slot, count in self.later_job_starts.items()
+            if time_slot < start_time_slot
+        )
         return sooner + sum(
-            count for slot, count in self.earlier_job_starts.items() if slot <= start_slot
+            count
+            for time_slot, count in self.earlier_job_starts.items()
+            if time_slot <= start_time_slot
         )
 
 
@@ -232,7 +236,7 @@
 def _late_slot_share(
     job: JobSlotUsage, competitors: Iterable[JobSlotUsage], feasible: Set[BatchId], slots: int
 ) -> int:
-    """Return the job's part of the slots for late items; the remainder goes to the first jobs."""
+    """Return the job's part of the slots for late items; the first jobs share the remainder."""
     late = [competitor for competitor in competitors if _deferrable_items(competitor, feasible)]
     share, rest = divmod(max(1, int(LATE_SLOT_SHARE * slots)), len(late) + 1)
     position = sum(_tie_break_key(competitor) < _tie_break_key(job) for competitor in late)
--- a/drumbay/batches/slot_exchange.py
+++ b/drumbay/batches/slot_exchange.py
@@ -94,6 +94,6 @@
         self._last_sent = jobs
 
     def _record_steps(self, jobs: Iterable[JobSlotUsage]) -> None:
-        now_slot = time_slot(self._clock.wall())
+        current_time_slot = time_slot(self._clock.wall())
         for job in jobs:
-            self.history.observe(job, now_slot)
+            self.history.observe(job, current_time_slot)
--- a/drumbay/batches/slot_sharing.py
+++ b/drumbay/batches/slot_sharing.py
@@ -55,7 +55,7 @@
             clock: Time.
             directory: The workers.
             owners: Maps batch jobs to owners.
-            service_use: Tells which kinds of requests reach a service.
+            service_use: Returns which kinds of requests reach a service.
             send_notice: Sends a notice to other nodes.
             jobs: Returns this node's jobs, including ended ones with lingering runs.
             is_enabled: Whether slots are shared at all.
--- a/drumbay/batches/slot_usage.py
+++ b/drumbay/batches/slot_usage.py
@@ -8,7 +8,7 @@
 from drumbay.identifiers import BackendId
 
 TIME_SLOT_SECONDS = 0.25
-"""Resolution of exchanged times; coarse enough to group the start times of many items."""
+"""Resolution of exchanged times; items with start times in one slot are counted together."""
 
 
 class JobSlotUsage(msgspec.Struct, frozen=True, kw_only=True):
@@ -22,8 +22,8 @@
         model: The model that the items request.
         priority: Its priority; 0 goes first.
         is_open: Whether it is open; an ended one uses slots while its runs linger.
-        began_slot: When it was submitted.
-        due_slot: When its step is due; ``None`` if unknown.
+        began_slot: Time slot of its submission.
+        due_slot: Time slot in which its step is due; ``None`` if unknown.
         missed: Late streak: how many consecutive steps of its trainer before it were late.
         missing_groups: How many groups its trainer still waits for.
         running: Number of runs by worker.
--- a/drumbay/batches/start_order.py
+++ b/drumbay/batches/start_order.py
@@ -65,9 +65,9 @@
         started: How many items this planning round has started so far.
         running: How many items of the job use a slot.
     """
-    start_slot = None
+    start_time_slot = None
     if latest_start is not None and contention.is_feasible:
-        start_slot = time_slot(latest_start + contention.wall_offset)
-    if start_slot is None and running < contention.late_slots:
+        start_time_slot = time_slot(latest_start + contention.wall_offset)
+    if start_time_slot is None and running < contention.late_slots:
         return True
-    return contention.free_slots - started > contention.count_ahead(start_slot)
+    return contention.free_slots - started > contention.count_ahead(start_time_slot)
--- a/drumbay/batches/start_times.py
+++ b/drumbay/batches/start_times.py
@@ -48,7 +48,7 @@
     not all steps can be in time.
     """
 
-    began_at: float
+    submitted_at: float
     due_at: float
     seconds_per_event: float
     event_size: EventSizeEstimate
@@ -56,17 +56,18 @@
     has_due_time: bool = True
 
     def latest_start(self, run: ItemRun) -> float:
-        """Return the latest start of an item to finish in time at median pace."""
+        """Return the latest start of an item to finish in time at the median event interval."""
         seconds = self.event_size.remaining_events(run) * self.seconds_per_event
         return self.due_at - COMPLETION_MARGIN_SECONDS - seconds
 
     def is_late(self, run: ItemRun, now: float) -> bool:
         """Return whether an item is expected to finish too late, so that others go first.
 
-        Without overload, items that have text or that never fitted into the step are not late: the
-        trainer waits for them anyway. Under overload they would take slots from feasible steps.
+        Without overload, items that have text or that were too long for the step from the start are
+        not late: the trainer waits for them anyway. Under overload they would take slots from
+        feasible steps.
         """
         latest_start = self.latest_start(run)
-        if not self.is_overloaded and (run.texts or latest_start <= self.began_at):
+        if not self.is_overloaded and (run.texts or latest_start <= self.submitted_at):
             return False
         return now > latest_start + LATE_START_GRACE_SECONDS
--- a/drumbay/batches/step_history.py
+++ b/drumbay/batches/step_history.py
@@ -10,7 +10,7 @@
 
 
 class _Step(msgspec.Struct, frozen=True):
-    """The newest step of a model: when it began and the late streak before it.
+    """The newest step of a model: its first time slot and the late streak before it.
 
     ``is_late`` is set once the step was seen past its due time with groups missing.
     """
@@ -37,7 +37,7 @@
             return latest.late_streak_before
         return latest.late_streak_before + 1 if latest.is_late else 0
 
-    def observe(self, job: JobSlotUsage, now_slot: int) -> None:
+    def observe(self, job: JobSlotUsage, current_time_slot: int) -> None:
         """Update the history with a job's slot usage; ended jobs are ignored."""
         if not job.is_open:
             return
@@ -45,7 +45,7 @@
         if latest is not None and latest.began_slot > job.began_slot:
             return
         was_late = latest is not None and latest.batch_id == job.batch_id and latest.is_late
-        is_past_due = job.due_slot is not None and now_slot > job.due_slot
+        is_past_due = job.due_slot is not None and current_time_slot > job.due_slot
         if latest is None and len(self._latest) >= MAX_TRACKED_MODELS:
             del self._latest[next(iter(self._latest))]
         self._latest.pop(job.model, None)
--- a/drumbay/batches/worker_selector.py
+++ b/drumbay/batches/worker_selector.py
@@ -1,4 +1,4 @@
-"""Selects workers for items by free slots, pace and weight versions."""
+"""Selects workers for items by free slots, event intervals and weight versions."""
 
 import zlib
 from collections.abc import Mapping
@@ -20,21 +20,24 @@
 
 OLD_WEIGHTS_PENALTY = 0.2
 TOKEN_LOAD_PENALTY = 0.3
-"""Weight of a worker's token load in the cost of long items, in units of relative pace."""
+"""Parts of the cost of a worker for long items, relative to the median event interval: for weights
+older than the newest version, and for a token load of 1.
+"""
 
 SHARED_PROMPT_BONUS = 1.0
-"""Extra token load accepted to reuse a cached prompt: all slots of a worker."""
+"""Extra token load accepted to reuse a cached prompt; 1 stands for all slots of a worker."""
+
+DEFAULT_EVENT_INTERVAL_SECONDS = 0.045
+"""Assumed while no worker's event interval is known."""
 
-DEFAULT_PACE_SECONDS = 0.045
-"""Seconds between events while no worker's pace is known."""
 UNVERSIONED = WeightVersion(0)
-"""Version of a model that a worker does not report; enough for jobs without a minimum."""
+"""Version of a model that a worker does not report; satisfies only jobs without a minimum."""
 
 
 class SlotRequest(msgspec.Struct, frozen=True, kw_only=True):
     """An item that needs a slot.
 
-    ``avoided_worker`` is passed over if there is another. With ``prefers_active``, workers that
+    ``avoided_worker`` is used only if no other has a slot. With ``prefers_active``, workers that
     recently sent events to this node come first: others may have failed together with the item's
     previous worker without being detected yet. An item that ``is_isolated`` shares no worker with
     other isolated items or with requests that may crash it.
@@ -54,7 +57,7 @@
 
     Each run occupies KV cache on its worker, and several long texts on one worker exceed it, which
     leads to preemption. Therefore items are spread by expected output tokens. The token load of a
-    worker is their sum relative to all its slots holding items of average length.
+    worker is the sum of these; it is 1 if all slots hold items of average length.
     """
 
     def __init__(
@@ -97,24 +100,26 @@
             if self._versions[worker_id] >= spec.minimum_version
         }
         self._free_total = sum(self._free_slots.values())
-        known_paces = [record.event_intervals.current(now) for record in workers.values()]
-        paces = sorted(pace for pace in known_paces if pace is not None)
-        self._median = paces[(len(paces) - 1) // 2] if paces else DEFAULT_PACE_SECONDS
+        current_intervals = [record.event_intervals.current(now) for record in workers.values()]
+        intervals = sorted(interval for interval in current_intervals if interval is not None)
+        self._median_interval = (
+            intervals[(len(intervals) - 1) // 2] if intervals else DEFAULT_EVENT_INTERVAL_SECONDS
+        )
         # On shared machines, short slowdowns are ignored.
-        self._recent_paces = {
+        self._recent_intervals = {
             worker_id: record.event_intervals.sustained(now)
             if record.is_shared
             else record.event_intervals.recent(now)
             for worker_id, record in workers.items()
         }
-        self._usual_paces = {
+        self._baseline_intervals = {
             worker_id: record.event_intervals.baseline() for worker_id, record in workers.items()
         }
-        self._paces = {
-            worker_id: self._expected_pace(record, now) or self._median
+        self._expected_intervals = {
+            worker_id: self._expected_interval(record, now) or self._median_interval
             for worker_id, record in workers.items()
         }
-        self._newest = newest_version
+        self._newest_version = newest_version
         self._average_tokens = _average_tokens(spec)
         self._tokens = {
             worker_id: record.expected_tokens + others[worker_id] * self._average_tokens
@@ -122,25 +127,27 @@
         }
         self._group_workers: dict[str, BackendId] = {}
 
-    def _expected_pace(self, record: WorkerRecord, now: float) -> float | None:
+    def _expected_interval(self, record: WorkerRecord, now: float) -> float | None:
         """Return the seconds between events that an item can expect at a worker."""
-        usual = record.event_intervals.baseline()
-        if not record.is_shared or usual is None:
+        baseline = record.event_intervals.baseline()
+        if not record.is_shared or baseline is None:
             return record.event_intervals.current(now)
-        return max(usual, self._recent_paces[record.worker.worker_id] or usual)
+        return max(baseline, self._recent_intervals[record.worker.worker_id] or baseline)
 
     @property
-    def median_pace(self) -> float:
+    def median_event_interval(self) -> float:
         """Return the median of the workers' seconds between events."""
-        return self._median
+        return self._median_interval
 
     @property
-    def mean_pace(self) -> float:
+    def mean_event_interval(self) -> float:
         """Return the harmonic mean of the workers' seconds between events."""
-        if not self._paces:
-            return self._median
+        if not self._expected_intervals:
+            return self._median_interval
         # Event rates add up, so intervals average harmonically.
-        return len(self._paces) / sum(1.0 / pace for pace in self._paces.values())
+        return len(self._expected_intervals) / sum(
+            1.0 / interval for interval in self._expected_intervals.values()
+        )
 
     @property
     def has_free_slot(self) -> bool:
@@ -154,21 +161,23 @@
     def is_slow(self, worker_id: BackendId) -> bool:
         """Return whether a worker is much slower than the median.
 
-        On shared machines it must also be slower than usual. Leaving a worker that is always slow
-        gains nothing overall: another item would have used the faster slot.
+        On shared machines it must also be much slower than its own baseline: moving items off a
+        worker that is always slow gains nothing, as other items would have used the faster slots.
         """
-        recent = self._recent_paces.get(worker_id)
+        recent = self._recent_intervals.get(worker_id)
         if recent is None:
             return False
-        usual = self._median
+        reference = self._median_interval
         if self.is_shared(worker_id):
-            usual = max(self._usual_paces[worker_id] or self._median, self._median)
-        return recent > SLOW_FACTOR * usual
+            reference = max(
+                self._baseline_intervals[worker_id] or self._median_interval, self._median_interval
+            )
+        return recent > SLOW_FACTOR * reference
 
     def is_somewhat_slow(self, worker_id: BackendId) -> bool:
         """Return whether a worker is slower than the median beyond normal variation."""
-        recent = self._recent_paces.get(worker_id)
-        return recent is not None and recent > SOMEWHAT_SLOW_FACTOR * self._median
+        recent = self._recent_intervals.get(worker_id)
+        return recent is not None and recent > SOMEWHAT_SLOW_FACTOR * self._median_interval
 
     def is_shared(self, worker_id: BackendId) -> bool:
         """Return whether a worker shares its machine with others."""
@@ -184,14 +193,16 @@
             worker_id: Current worker of the item.
             min_gain_seconds: Minimum improvement per event.
         """
-        pace = self._paces.get(worker_id, self._median)
-        limit = min(FASTER_FACTOR * pace, pace - min_gain_seconds)
+        interval = self._expected_intervals.get(worker_id, self._median_interval)
+        limit = min(FASTER_FACTOR * interval, interval - min_gain_seconds)
         faster = [
-            w for w, count in self._free_slots.items() if count > 0 and self._paces[w] < limit
+            w
+            for w, count in self._free_slots.items()
+            if count > 0 and self._expected_intervals[w] < limit
         ]
         if not faster:
             return None
-        chosen = min(faster, key=lambda w: (self._paces[w], w))
+        chosen = min(faster, key=lambda w: (self._expected_intervals[w], w))
         self._use_slot(chosen)
         return chosen
 
@@ -249,15 +260,19 @@
 
     def _long_item_cost(self, worker_id: BackendId, group: str) -> float:
         del group
-        relative_pace = self._paces[worker_id] / self._median
-        is_old = self._versions[worker_id] < self._newest
+        relative_interval = self._expected_intervals[worker_id] / self._median_interval
+        is_old = self._versions[worker_id] < self._newest_version
         penalty = OLD_WEIGHTS_PENALTY if is_old else 0.0
-        return relative_pace + penalty + TOKEN_LOAD_PENALTY * self._token_load(worker_id)
+        return relative_interval + penalty + TOKEN_LOAD_PENALTY * self._token_load(worker_id)
 
     def _short_item_cost(self, worker_id: BackendId, group: str) -> float:
         # Items of a group share a prompt, which the worker has cached.
         shares_prompt = self._group_workers.get(group) == worker_id
-        token_load = self._token_load(worker_id) * self._paces[worker_id] / self._median
+        token_load = (
+            self._token_load(worker_id)
+            * self._expected_intervals[worker_id]
+            / self._median_interval
+        )
         return token_load - SHARED_PROMPT_BONUS * shares_prompt
 
 
--- a/tests/test_batch_decisions.py
+++ b/tests/test_batch_decisions.py
@@ -74,7 +74,7 @@
             )
         )
 
-    def set_pace(self, worker: str, seconds: float) -> None:
+    def set_event_interval(self, worker: str, seconds: float) -> None:
         for _ in range(INTERVAL_SAMPLES):
             self.directory.observe_event_interval(BackendId(worker), seconds, 0.0)
 
@@ -158,8 +158,8 @@
         self.assertEqual(self.count_silent_stops(scheduler, 6.5, 6.7), 2)
 
     def test_long_items_go_to_fast_workers_with_priority(self) -> None:
-        for worker, pace in (("w1", 0.05), ("w2", 0.03), ("w3", 0.05)):
-            self.set_pace(worker, pace)
+        for worker, interval in (("w1", 0.05), ("w2", 0.03), ("w3", 0.05)):
+            self.set_event_interval(worker, interval)
         spec = spec_with_lengths({"batch-0-1": 900})
         scheduler = BatchScheduler(msgspec.structs.replace(spec, wanted_groups=3), 0.0, ())
         started = self.started(self.plan(scheduler, 0.0))
@@ -203,7 +203,7 @@
     def test_a_step_needs_each_resubmitted_group_and_enough_others(self) -> None:
         spec = msgspec.structs.replace(batch_spec(groups=4, group_size=1), wanted_groups=2)
         scheduler = BatchScheduler(spec, 0.0, ())
-        scheduler.adopt(ResubmittedItems(item_ids=(ItemId("batch-0-0"),)))
+        scheduler.reuse_texts(ResubmittedItems(item_ids=(ItemId("batch-0-0"),)))
         self.plan(scheduler, 0.0)
         self.assertEqual(scheduler.missing_groups, 2)
         for item, missing in (("batch-1-0", 1), ("batch-2-0", 1), ("batch-0-0", 0)):
@@ -234,12 +234,12 @@
         workers = {run.worker_id for run in self.started(self.plan(more, 0.1)).values()}
         self.assertIn("w1", workers)
 
-    def is_moved_after(self, pace_seconds: float, events: int, expected_tokens: int) -> bool:
+    def is_moved_after(self, event_interval: float, events: int, expected_tokens: int) -> bool:
         """Return whether an item leaves its worker for faster ones after some events."""
         self.setUp()
-        self.set_pace("w1", pace_seconds)
+        self.set_event_interval("w1", event_interval)
         for worker in ("w2", "w3"):
-            self.set_pace(worker, 0.03)
+            self.set_event_interval(worker, 0.03)
             self.directory.pause(BackendId(worker), 0.0, 0.5)
         spec = spec_with_lengths({"batch-0-0": expected_tokens})
         scheduler = BatchScheduler(spec, 0.0, ())
@@ -260,8 +260,8 @@
 
     def test_an_item_leaves_a_somewhat_slow_worker_only_once(self) -> None:
         for worker in ("w1", "w2"):
-            self.set_pace(worker, 0.04)
-        self.set_pace("w3", 0.03)
+            self.set_event_interval(worker, 0.04)
+        self.set_event_interval("w3", 0.03)
         scheduler = BatchScheduler(spec_with_lengths({"batch-0-0": 900}), 0.0, ())
         self.directory.pause(BackendId("w3"), 0.0, 0.5)
         self.plan(scheduler, 0.0)
--- a/tests/test_batch_owners.py
+++ b/tests/test_batch_owners.py
@@ -137,7 +137,7 @@
 
         play(scenario, node_count=6)
 
-    def test_a_node_in_the_middle_of_a_takeover_answers_as_owner(self) -> None:
+    def test_a_node_that_is_taking_over_replies_as_owner(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec(groups=1))
--- a/tests/test_batch_store.py
+++ b/tests/test_batch_store.py
@@ -1,4 +1,4 @@
-"""Batch jobs under store faults: outages, lost answers, retention and relayed store calls."""
+"""Batch jobs under store faults: outages, lost responses, retention and relayed store calls."""
 
 import asyncio
 import unittest
@@ -31,7 +31,7 @@
 
         play(scenario)
 
-    def test_lost_store_answers_do_not_change_results(self) -> None:
+    def test_lost_store_responses_do_not_change_results(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.model.set_faults(KeyValueFaults(lost_answers=1))
             await world.nodes[0].batches.submit(batch_spec())
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -293,13 +293,15 @@
             restarted.lead()
             await asyncio.sleep(2.0)
             self.assertEqual(restarted.batches.owned_count, 0)
-            self.assertEqual(await restarted.batches.ledger.open_at(restarted.address), ())
+            self.assertEqual(await restarted.batches.ledger.open_batches_at(restarted.address), ())
             await world.nodes[1].batches.end(BATCH)
-            self.assertEqual(await restarted.batches.ledger.open_at(world.nodes[1].address), ())
+            self.assertEqual(
+                await restarted.batches.ledger.open_batches_at(world.nodes[1].address), ()
+            )
 
         play(scenario)
 
-    def test_a_new_owner_waits_before_resuming_runs_of_a_living_one(self) -> None:
+    def test_a_new_owner_waits_before_resuming_runs_of_a_live_one(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers.long_texts = True
             await world.nodes[0].batches.submit(batch_spec(groups=1))
--- a/tests/test_load_parts.py
+++ b/tests/test_load_parts.py
@@ -1,4 +1,4 @@
-"""Load handling components can be disabled one by one."""
+"""Load handling features can be disabled one by one."""
 
 import unittest
 from unittest.mock import Mock
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -105,7 +105,7 @@
         (result,) = self.scheduler.expire(40.0)
         self.assertEqual(result.state, ResultState.DEAD)
 
-    def returned(self, request_id: str) -> ResubmittedItems:
+    def resubmitted(self, request_id: str) -> ResubmittedItems:
         text = PartialText(
             item_id=ITEM,
             texts=("text",),
@@ -117,14 +117,14 @@
         return ResubmittedItems(item_ids=(ITEM,), partial_texts=(text,))
 
     def test_a_resubmitted_text_with_its_score_is_finished(self) -> None:
-        self.scheduler.adopt(self.returned(reward_id(ITEM)))
-        (result,) = self.scheduler.pop_adopted_results()
+        self.scheduler.reuse_texts(self.resubmitted(reward_id(ITEM)))
+        (result,) = self.scheduler.pop_reused_results()
         self.assertEqual(result.text, "text")
         self.assertIsNotNone(result.reward)
 
     def test_the_score_of_another_request_is_ignored(self) -> None:
-        self.scheduler.adopt(self.returned("another"))
-        self.assertEqual(self.scheduler.pop_adopted_results(), ())
+        self.scheduler.reuse_texts(self.resubmitted("another"))
+        self.assertEqual(self.scheduler.pop_reused_results(), ())
         self.assertEqual(len(self.scores(0.0)), 1)
         self.assertEqual(self.starts, [])
 
@@ -138,8 +138,8 @@
 class ScoringSlotsTest(unittest.TestCase):
     def test_the_oldest_batch_job_goes_first_within_the_limit(self) -> None:
         slots = ScoringSlots()
-        newer = [slots.wait(2.0) for _ in range(2)]
-        older = [slots.wait(1.0) for _ in range(2)]
+        newer = [slots.enqueue(2.0) for _ in range(2)]
+        older = [slots.enqueue(1.0) for _ in range(2)]
         self.assertEqual(slots.admit(3), (*older, newer[0]))
         self.assertEqual(slots.admit(3), ())
         slots.release()
@@ -147,7 +147,7 @@
 
     def test_a_cancelled_request_uses_no_slot(self) -> None:
         slots = ScoringSlots()
-        first, second = slots.wait(1.0), slots.wait(1.0)
+        first, second = slots.enqueue(1.0), slots.enqueue(1.0)
         slots.cancel(first)
         self.assertEqual(slots.admit(1), (second,))
 
@@ -197,7 +197,7 @@
 
         play(scenario, scorer_count=3)
 
-    def test_lost_answers_and_full_scorers_cost_no_item(self) -> None:
+    def test_items_survive_lost_responses_and_full_scorers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             world.workers["scorer-1"].faults.lose_answers = True
             world.workers["scorer-2"].faults.full = True
--- a/tests/test_worker_pace.py
+++ b/tests/test_worker_pace.py
@@ -1,4 +1,4 @@
-"""Worker selection by pace: outliers, slow workers, isolation and expected versions."""
+"""Worker selection by event interval: outliers, slow workers, isolation and expected versions."""
 
 import unittest
 
@@ -102,7 +102,7 @@
         self.assertNotEqual(self.assign(self.selector()), first)
 
 
-class WorkerPaceTest(DirectoryTest):
+class EventIntervalTest(DirectoryTest):
     def test_one_late_event_does_not_make_a_worker_slow(self) -> None:
         self.observe(FIRST, [1.0])
         self.assertFalse(self.selector().is_slow(FIRST))
@@ -128,11 +128,11 @@
         self.assertTrue(self.selector().is_slow(FIRST))
         self.assertTrue(self.selector().reserve_faster(FIRST))
 
-    def test_slowness_is_forgotten_after_a_while(self) -> None:
+    def test_old_slow_events_expire(self) -> None:
         self.observe(FIRST, [4 * USUAL_SECONDS] * 7)
         self.assertFalse(self.selector(now=10.0).is_slow(FIRST))
 
-    def test_long_items_are_spread_over_workers_of_similar_pace(self) -> None:
+    def test_long_items_are_spread_over_similarly_fast_workers(self) -> None:
         self.observe(FIRST, [0.95 * USUAL_SECONDS] * 10)
         spec = batch_spec(groups=6, group_size=1)
         items = tuple(
@@ -161,7 +161,7 @@
         assert isinstance(start, StartRun)
         self.assertEqual((start.worker_id, start.resume_after), (SECOND, 1))
 
-    def test_the_last_event_of_a_text_is_not_used_as_pace(self) -> None:
+    def test_the_last_event_of_a_text_is_not_measured(self) -> None:
         scheduler = BatchScheduler(batch_spec(groups=1, group_size=1), 0.0, ())
         workers = {r.worker.worker_id: r for r in self.directory.of_service(SERVICE)}
         scheduler.plan(workers, WeightVersion(1), 0.0)
