--- a/drumbay/admission/capacity.py
+++ b/drumbay/admission/capacity.py
@@ -8,11 +8,10 @@
 from drumbay.workers.worker_record import WorkerRecord
 
 QUEUED_REQUESTS_PER_WORKER = 1
-"""Requests sent beyond a worker's free slots, so that its next request is already queued there."""
+"""Requests sent beyond a worker's free slots, so that a freed slot gets the next one at once."""
 
 SHORT_PAUSE_SECONDS = 0.2
-"""Workers paused for at most this time count toward the capacity; workers paused for longer, as
-after a failure, do not."""
+"""Workers whose pause lasts longer than this, as after a failure, do not count as capacity."""
 
 
 def capacity_of(records: Sequence[WorkerRecord], now: float) -> ServiceCapacity:
--- a/drumbay/admission/gate.py
+++ b/drumbay/admission/gate.py
@@ -1,4 +1,4 @@
-"""Carries out admission decisions: lets requests wait, admits them or raises the rejection."""
+"""Applies admission decisions: admits requests, lets them wait, or raises their rejection."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 from drumbay.workers.directory import WorkerDirectory
 
 DISPATCH_INTERVAL_SECONDS = 0.02
-"""Interval at which queued requests are reconsidered, as pauses end or workers are added."""
+"""Interval at which the queue is dispatched again, since pauses end and workers are added."""
 
 
 class AdmissionGate:
@@ -49,12 +49,12 @@
 
 
 class AdmissionTicket:
-    """Admission of one request; it must be closed when the request has its final response."""
+    """Admission of one request; it must be released once the request has its final response."""
 
     def __init__(
         self, gate: "_ServiceGate", request: AdmissionRequest, *, is_enabled: bool
     ) -> None:
-        """Create a ticket that is not admitted yet; a disabled ticket is always admitted."""
+        """Create a ticket that is not admitted yet; a disabled one is admitted without a wait."""
         self.is_enabled = is_enabled
         self._gate = gate
         self._request = request
@@ -82,7 +82,7 @@
         self._is_in_flight = True
 
     def release(self, latency_seconds: float | None) -> None:
-        """End the request; ``latency_seconds`` is the time a worker took if one answered."""
+        """End the request; ``latency_seconds`` is the worker's latency, if one responded."""
         if self._is_in_flight:
             self._is_in_flight = False
             self._gate.release(latency_seconds)
@@ -134,7 +134,7 @@
     async def _wait(self, request: AdmissionRequest) -> Admitted | Rejected:
         waiter: asyncio.Future[Admitted | Rejected]
         waiter = self._waiters[request] = asyncio.get_running_loop().create_future()
-        self._report_waiting()
+        self._report_queue_length()
         self._set_timer()
         try:
             return await waiter
@@ -143,7 +143,7 @@
             raise
         finally:
             del self._waiters[request]
-            self._report_waiting()
+            self._report_queue_length()
 
     def _abandon(
         self, request: AdmissionRequest, waiter: "asyncio.Future[Admitted | Rejected]"
@@ -171,20 +171,20 @@
         self._dispatch()
 
     def _dispatch(self) -> None:
-        if not self._admission.waiting:
+        if not self._admission.queue_length:
             return
         for decision in self._admission.dispatch(self._clock.monotonic(), self._capacity()):
             waiter = self._waiters[decision.request]
             if not waiter.done():
                 waiter.set_result(decision)
             elif isinstance(decision, Admitted):
-                # The caller disconnected, and its task has not handled that yet.
+                # The caller disconnected, but its task has not run since.
                 self._admission.release()
-        if self._admission.waiting:
+        if self._admission.queue_length:
             self._set_timer()
 
-    def _report_waiting(self) -> None:
-        self._metrics.set_waiting(self._service, self._admission.waiting)
+    def _report_queue_length(self) -> None:
+        self._metrics.set_waiting(self._service, self._admission.queue_length)
 
     def _report_rejection(self, decision: Rejected) -> None:
         request = decision.request
--- a/drumbay/admission/limit.py
+++ b/drumbay/admission/limit.py
@@ -12,15 +12,15 @@
 """Factor applied to the limit when all workers refuse a request."""
 
 DECREASE_INTERVAL_SECONDS = 0.1
-"""The limit decreases at most once per this time or the recent latency, whichever is longer:
-requests already in flight do not reflect the lower limit yet."""
+"""Minimum time between two decreases; the recent latency if that is longer. Refusals of requests
+sent before a decrease must not cause another one."""
 
 INITIAL_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 0.2
 """Exponential backoff after a request was refused by all workers."""
 
 LIMIT_EXPIRY_SECONDS = 1.0
-"""The limit is removed after this time without a refusal, once the queue is empty."""
+"""The limit is removed once the queue is empty and no request was refused for this long."""
 
 SLOW_LATENCY_RATIO = 2.0
 """Ratio of recent to baseline latency above which the service counts as slow."""
@@ -28,7 +28,7 @@
 RECENT_LATENCY_WEIGHT = 0.2
 BASELINE_LATENCY_WEIGHT = 0.005
 """Weights of the newest response in the two moving averages of the latency. The baseline changes
-slowly, so that a few seconds of high latency do not become the norm."""
+slowly, so that it hardly follows a few seconds of high latency."""
 
 
 class ConcurrencyLimit:
@@ -66,8 +66,8 @@
     def pause_ends_at(self, capacity: ServiceCapacity, now: float) -> float:
         """Return when the next request may be sent; ``now`` or earlier if immediately.
 
-        If all workers are paused for longer than the maximum backoff, their pause is ignored:
-        only a request shows that they are available again.
+        If all workers are paused for longer than the maximum backoff, the pauses are ignored: only
+        a request shows whether a worker is available again.
         """
         ends_at = capacity.pause_ends_at
         if capacity.available_workers or ends_at is None or ends_at > now + MAX_BACKOFF_SECONDS:
@@ -106,7 +106,7 @@
             self._limit += 1.0 / self._limit
 
     def record_idle(self, now: float) -> None:
-        """Record that the queue is empty; remove the limit if no refusal came for a while."""
+        """Record that the queue is empty; remove the limit after a time without refusals."""
         if self._limit is not None and now - self._last_refusal_at >= LIMIT_EXPIRY_SECONDS:
             self._limit = None
 
--- a/drumbay/admission/queue.py
+++ b/drumbay/admission/queue.py
@@ -1,7 +1,7 @@
 """Fair queue of the requests that wait for one service.
 
-Callers' requests go before reward requests, and smaller ranks go first. Flows of the same rank
-share by start-time fair queueing (Goyal, Vin and Cheng 1996, section 2), one request at a time;
+Callers' requests go before reward requests, and smaller ranks go first. Flows of the same rank take
+turns by start-time fair queueing (Goyal, Vin and Cheng 1996, section 2), one request at a time;
 within a flow the earliest deadline goes first. To prevent starvation, the rank of a waiting flow
 improves over time, and a share of the turns is reserved for reward requests.
 """
@@ -13,14 +13,14 @@
 from drumbay.admission.records import AdmissionRequest
 
 SECONDS_PER_RANK = 0.5
-"""A flow's rank improves by one for each such period that its oldest request has waited."""
+"""A flow's rank improves by one each time its oldest request has waited this long."""
 
 TURNS_PER_REWARD = 4
-"""While both kinds wait, one turn in this many goes to a reward request."""
+"""While callers' requests wait too, every n-th turn goes to a reward request."""
 
 
 class _Flow(msgspec.Struct):
-    """The waiting requests of one rank and flow; ``start_tag`` is the start tag of the first."""
+    """The waiting requests of one rank and flow; ``start_tag`` belongs to the first one."""
 
     key: "_FlowKey"
     start_tag: float
@@ -75,17 +75,17 @@
         flow.start_tag += 1.0
         self._turns_since_reward = 0 if request.is_reward else self._turns_since_reward + 1
         self._remove(flow, request)
-        self._drop_past_tags()
+        self._drop_expired_tags()
         return request
 
-    def waiting(self) -> tuple[AdmissionRequest, ...]:
+    def requests(self) -> tuple[AdmissionRequest, ...]:
         """Return all queued requests, each flow in reverse order."""
         return tuple(
             request for flow in self._flows.values() for request in reversed(flow.requests)
         )
 
     def count_ahead(self, request: AdmissionRequest, now: float) -> int:
-        """Estimate how many requests go before one that may or may not be queued yet.
+        """Estimate how many queued requests go before a queued or a new one.
 
         Each other flow of the same rank is assumed to get as many turns as the request's own flow.
         Later arrivals and turns reserved for reward requests are not counted.
@@ -141,13 +141,13 @@
             del self._flows[flow.key]
             self._finish_tags[flow.key] = flow.start_tag
 
-    def _drop_past_tags(self) -> None:
-        """Drop finish tags that lie in the past and no longer delay their flow."""
+    def _drop_expired_tags(self) -> None:
+        """Drop finish tags up to the virtual time, which no longer delay their flow."""
         if not self._flows:
             self._finish_tags.clear()
             return
-        past = [key for key, tag in self._finish_tags.items() if tag <= self._virtual_time]
-        for key in past:
+        expired = [key for key, tag in self._finish_tags.items() if tag <= self._virtual_time]
+        for key in expired:
             del self._finish_tags[key]
 
 
--- a/drumbay/admission/records.py
+++ b/drumbay/admission/records.py
@@ -8,19 +8,20 @@
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True, kw_only=True, eq=False):
-    """A request that asks for admission to a service.
+    """A request to be admitted to a service.
 
     Compared by identity, since callers choose the request ids and may reuse one.
 
     Attributes:
         request_id: Id given by the caller.
         flow: Unit of fair sharing: the tenant, or the caller where there are no tenants.
-        rank: Smaller ranks go first; 0 is the first.
+        rank: Priority level; 0 goes first.
         arrived_at: Monotonic time of arrival.
         deadline: Monotonic time by which the caller needs the response.
         is_reward: Whether it is a reward request of a batch job.
-        batch_started_at: Of reward requests, those of the oldest batch job go first.
-        batch_priority: Of reward requests of equally old batch jobs, smaller values go first.
+        batch_started_at: Monotonic submission time of a reward request's batch job; the oldest job
+            goes first.
+        batch_priority: Priority of that batch job; for equal times, smaller values go first.
     """
 
     request_id: str
@@ -61,7 +62,7 @@
 
 
 class Rejected(msgspec.Struct, frozen=True, kw_only=True):
-    """The request is rejected; the other fields say what the decision was based on."""
+    """The request is rejected; the other fields hold the inputs and outcome of the decision."""
 
     request: AdmissionRequest
     reason: RejectionReason
@@ -90,11 +91,11 @@
     """Capacity of a service's workers, as known to this node.
 
     Attributes:
-        available_workers: Workers that take requests now.
+        available_workers: Workers that accept requests now.
         max_in_flight: Requests that this node may have in flight at the available and the briefly
             paused workers, given the load from other nodes.
         pause_ends_at: When the first pause of a worker ends; ``None`` if no worker is paused.
-        report_age_seconds: Age of the newest load report; infinite without one.
+        report_age_seconds: Age of the newest load report; infinite if there is none.
     """
 
     available_workers: int
--- a/drumbay/admission/service.py
+++ b/drumbay/admission/service.py
@@ -1,7 +1,7 @@
 """Admission decisions of one node for one service.
 
 While the service is overloaded, a request that can still be served in time is queued. A request
-whose predicted wait is too long is rejected immediately, with a time after which to retry.
+whose predicted wait is too long is rejected immediately, with a retry delay.
 """
 
 import hashlib
@@ -20,19 +20,19 @@
 )
 
 MAX_WAIT_FRACTION = 0.5
-"""Longest wait as a fraction of the time until the deadline; the rest is left to serve the request
-or to retry it at another node."""
+"""Longest wait, as a fraction of the time from arrival to deadline; the rest is for serving the
+request or retrying it at another node."""
 
 MAX_WAIT_FRACTION_UNRESPONSIVE = 0.25
-"""The fraction for a service that has not answered recently."""
+"""The same for a service that has not responded recently."""
 
 RESPONSIVE_WINDOW_SECONDS = 5.0
-"""A service that answered within this time counts as responsive: its refusals mean that it is
+"""A service that responded within this time counts as responsive: its refusals mean that it is
 overloaded, not down."""
 
 RATE_WINDOW_SECONDS = 1.0
-"""The service rate is measured over this window, once the queue has been non-empty for as long;
-otherwise the arrival rate would be measured instead."""
+"""Window of the measured service rate. It is measured only once the queue has been non-empty for as
+long: without a queue, the completion rate equals the arrival rate."""
 
 MIN_RETRY_AFTER_SECONDS = 0.05
 """Lower bound of the retry delay."""
@@ -54,7 +54,7 @@
         self._in_flight = 0
         self._completion_times: deque[float] = deque()
         self._last_response_at = -math.inf
-        self._waiting_since: float | None = None
+        self._queued_since: float | None = None
 
     @property
     def needs_capacity(self) -> bool:
@@ -62,7 +62,7 @@
         return self._limit.is_active or len(self._queue) > 0
 
     @property
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Return the number of queued requests."""
         return len(self._queue)
 
@@ -74,7 +74,7 @@
     def try_admit(
         self, request: AdmissionRequest, now: float, capacity: ServiceCapacity | None
     ) -> Admitted | Queued | Rejected:
-        """Decide about a new request; ``capacity`` is required if :attr:`needs_capacity`."""
+        """Decide on a new request; ``capacity`` is required if :attr:`needs_capacity`."""
         if not len(self._queue):
             self._limit.record_idle(now)
         if capacity is None or not self.needs_capacity or self._can_admit_now(capacity, now):
@@ -91,7 +91,7 @@
         return self._reject_or_queue(request, now, capacity)
 
     def complete(self, latency_seconds: float, now: float) -> None:
-        """Record the end of a request that a worker answered."""
+        """Record the end of a request to which a worker responded."""
         self._in_flight -= 1
         self._limit.record_response(latency_seconds)
         self._completion_times.append(now)
@@ -105,7 +105,7 @@
     def cancel(self, request: AdmissionRequest, now: float) -> None:
         """Remove a queued request whose caller disconnected."""
         if self._queue.remove(request):
-            self._update_waiting_since(now)
+            self._update_queued_since(now)
 
     def dispatch(self, now: float, capacity: ServiceCapacity) -> list[Admitted | Rejected]:
         """Admit and reject queued requests; return the decisions."""
@@ -117,11 +117,11 @@
                 continue
             self._in_flight += 1
             decisions.append(Admitted(request=request))
-        for request in self._queue.waiting():
+        for request in self._queue.requests():
             if self._exceeds_wait_limit(request, now, capacity):
                 self._queue.remove(request)
                 decisions.append(self._rejection(request, now, capacity))
-        self._update_waiting_since(now)
+        self._update_queued_since(now)
         return decisions
 
     def _can_admit_now(self, capacity: ServiceCapacity, now: float) -> bool:
@@ -141,7 +141,7 @@
         if self._exceeds_wait_limit(request, now, capacity):
             return self._rejection(request, now, capacity)
         self._queue.push(request)
-        self._update_waiting_since(now)
+        self._update_queued_since(now)
         return Queued(request=request)
 
     def _exceeds_wait_limit(
@@ -187,25 +187,25 @@
         return max(pause_seconds, self._queue.count_ahead(request, now) / rate)
 
     def _service_rate(self, now: float, capacity: ServiceCapacity) -> float | None:
-        since = self._waiting_since
+        since = self._queued_since
         if since is not None and now - since >= RATE_WINDOW_SECONDS:
             self._drop_old_completions(now)
             return max(1, len(self._completion_times)) / RATE_WINDOW_SECONDS
         latency_seconds = self._limit.recent_latency_seconds
         if not latency_seconds:
             return None
-        # Little's law. More requests than the limit may be in flight right after a decrease.
+        # Little's law. Right after a decrease, more requests than the limit may be in flight.
         return max(self._limit.current(capacity), self._in_flight) / latency_seconds
 
     def _drop_old_completions(self, now: float) -> None:
         while self._completion_times and now - self._completion_times[0] > RATE_WINDOW_SECONDS:
             self._completion_times.popleft()
 
-    def _update_waiting_since(self, now: float) -> None:
+    def _update_queued_since(self, now: float) -> None:
         if not len(self._queue):
-            self._waiting_since = None
-        elif self._waiting_since is None:
-            self._waiting_since = now
+            self._queued_since = None
+        elif self._queued_since is None:
+            self._queued_since = now
 
 
 def retry_after_seconds(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: admission, queueing order, rejection and retry delays, in virtual time."""
+"""Admission control: queueing order, rejection and retry delays, in virtual time."""
 
 import asyncio
 import heapq
@@ -48,7 +48,7 @@
 
 
 def overloaded_admission(seconds: float = 0.03) -> ServiceAdmission:
-    """Return the admission of a service that refused a request before and now answers normally."""
+    """Return the admission of a service that refused a request and serves normally since."""
     admission = ServiceAdmission()
     refused = make_request("refused", at=-0.5)
     for _ in range(SLOTS * 2):
@@ -68,7 +68,7 @@
         self.admission = overloaded_admission(seconds)
         self.admitted: list[AdmissionRequest] = []
         self.rejected: list[Rejected] = []
-        self.answered_at: dict[str, float] = {}
+        self.completed_at: dict[str, float] = {}
         self._seconds = seconds
         self._completions: list[tuple[float, str]] = []
         for arrival in sorted(arrivals, key=lambda arrival: arrival.arrived_at):
@@ -81,7 +81,7 @@
     def _run_until(self, until: float) -> None:
         while self._completions and self._completions[0][0] <= until:
             now, name = heapq.heappop(self._completions)
-            self.answered_at[name] = now
+            self.completed_at[name] = now
             self.admission.complete(self._seconds, now)
             for decision in self.admission.dispatch(now, CAPACITY):
                 self._apply(decision, now)
@@ -94,7 +94,7 @@
         heapq.heappush(self._completions, (now + self._seconds, decision.request.request_id))
 
     def latency_of(self, arrival: AdmissionRequest) -> float:
-        return self.answered_at[arrival.request_id] - arrival.arrived_at
+        return self.completed_at[arrival.request_id] - arrival.arrived_at
 
 
 class ReplayedLoadTest(unittest.TestCase):
@@ -107,7 +107,7 @@
         self.assertLess(slowest, 0.15)
         rejected = {decision.request.flow for decision in replay.rejected}
         self.assertLessEqual(rejected, {"large"})
-        served = sum(1 for name in replay.answered_at if name.startswith("large"))
+        served = sum(1 for name in replay.completed_at if name.startswith("large"))
         self.assertGreater(served, 30)
 
     def test_at_a_quarter_of_the_pace_what_is_served_is_in_time_and_the_rest_knows_at_once(
@@ -115,7 +115,7 @@
     ) -> None:
         arrivals = [make_request(f"r{n}", at=0.02 * n, flow=f"t{n % 9}") for n in range(250)]
         replay = Replay(arrivals, seconds=0.12)
-        served = [a for a in arrivals if a.request_id in replay.answered_at]
+        served = [a for a in arrivals if a.request_id in replay.completed_at]
         # Four slots of 0.12 s serve 33 requests/s; 50 requests/s arrive for five seconds.
         self.assertGreater(len(served), 0.9 * 33 * 5)
         self.assertTrue(all(replay.latency_of(a) < BUDGET_SECONDS * 0.75 for a in served))
@@ -132,13 +132,13 @@
             for n in range(10)
         ]
         replay = Replay(urgent + others, seconds=0.03)
-        delays = [replay.latency_of(a) for a in urgent if a.request_id in replay.answered_at]
+        delays = [replay.latency_of(a) for a in urgent if a.request_id in replay.completed_at]
         self.assertGreater(len(delays), 140)
-        self.assertTrue(all(other.request_id in replay.answered_at for other in others))
+        self.assertTrue(all(other.request_id in replay.completed_at for other in others))
         self.assertLess(sum(delays) / len(delays), replay.latency_of(others[1]))
 
     def test_reward_requests_yield_to_lookups_but_keep_a_share(self) -> None:
-        # The ranks of the lookups do not matter.
+        # Lookups go before reward requests, whatever their rank.
         rewards = [make_request(f"reward-{n}", flow="", is_reward=True) for n in range(60)]
         lookups = [
             make_request(f"l{n}", at=0.001 + 0.01 * n, flow=f"t{n}", rank=2) for n in range(40)
@@ -334,8 +334,8 @@
             ]
             await asyncio.sleep(0.12)
             self.set_overloaded(world, full=False)
-            answers = await asyncio.gather(*calls)
-            self.assertEqual({answer.status for answer in answers}, {200})
+            responses = await asyncio.gather(*calls)
+            self.assertEqual({response.status for response in responses}, {200})
             self.assertLess(world.clock.monotonic(), 0.5)
 
         play(scenario)
@@ -344,8 +344,8 @@
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             calls = (forwarder.forward(route(), request(f"r{number}")) for number in range(90))
-            answers = await asyncio.gather(*calls)
-            self.assertEqual(len(answers), 90)
+            responses = await asyncio.gather(*calls)
+            self.assertEqual(len(responses), 90)
             self.assertLess(world.clock.monotonic(), 0.75)
 
         play(scenario)
@@ -381,7 +381,7 @@
         play(scenario)
 
 
-class RankTest(unittest.TestCase):
+class PriorityLevelsTest(unittest.TestCase):
     def configuration(self, *priorities: int) -> RoutingConfiguration:
         routes = tuple(
             msgspec.structs.replace(
@@ -394,13 +394,13 @@
         )
         return RoutingConfiguration(version=1, routes=routes, limits=RequestLimits())
 
-    def test_ranks_at_service(self) -> None:
+    def test_priority_levels_of_a_service(self) -> None:
         self.assertEqual(self.configuration(2, 2).priority_levels_of(LOOKUPS), {2})
         self.assertEqual(self.configuration(2, 0).priority_levels_of(LOOKUPS), {0, 2})
         self.assertEqual(self.configuration(2, 0).priority_levels_of("other"), set())
         keys = KeyTable(tenants_by_digest={}, priorities={TenantName("a"): 1})
-        ranked = msgspec.structs.replace(self.configuration(2), keys=keys)
-        self.assertEqual(ranked.priority_levels_of(LOOKUPS), {1, 2})
+        with_keys = msgspec.structs.replace(self.configuration(2), keys=keys)
+        self.assertEqual(with_keys.priority_levels_of(LOOKUPS), {1, 2})
 
 
 if __name__ == "__main__":
