--- a/drumbay/limits/admission.py
+++ b/drumbay/limits/admission.py
@@ -36,11 +36,10 @@
 
     Attributes:
         route_name: Name of the route.
-        route_kind: Class of work the route belongs to.
+        route_kind: Class of work that the route belongs to.
         max_concurrency: Maximum number of requests in flight.
-        max_rate_per_second: Maximum number of requests started per second, averaged over the
-            burst.
-        burst_seconds: Seconds of the rate that may start at once.
+        max_rate_per_second: Maximum sustained rate at which requests start.
+        burst_seconds: How many seconds of that rate may start at once after an idle time.
         priority: Routes of positive priority may use the priority reserve.
     """
 
@@ -74,7 +73,7 @@
     Attributes:
         max_in_flight: Maximum number of requests in flight on the node.
         class_weights: Weight of each class of work.
-        headroom_slots: Slots kept free for each other class beyond its recent demand, so
+        headroom_slots: Slots kept free for each of the other classes beyond its recent demand, so
             that its next requests need not wait for a request to end.
         priority_reserve_share: Fraction of the node's slots reserved for routes of positive
             priority, for each class that has such a route.
@@ -139,7 +138,7 @@
         return self._peak.peak(now, self.in_flight) + self._refusals.count(now)
 
     def seconds_until_free_slot(self, now: float) -> float:
-        """Estimate the time until a slot is free, counting the requests refused before."""
+        """Estimate when a slot is free for one more request after those refused recently."""
         service_rate = self._completions.rate_per_second(now)
         if service_rate <= 0:
             return self._window_seconds
@@ -218,8 +217,8 @@
     def excess_slots(self, route_kind: RouteKind, now: float) -> int:
         """Return the slots a class holds beyond its fair share while other classes need them.
 
-        Rollouts hold slots for minutes. Their owner may preempt as many and resume them later or
-        elsewhere, so that live requests need not wait for them to end.
+        Rollouts hold slots for minutes. Their owner may preempt this many of them and resume them
+        later or elsewhere, so that live requests need not wait for their end.
         """
         in_use = self._classes[route_kind].in_flight
         return max(0, in_use - math.ceil(self._fair_share(route_kind, in_use, now)))
@@ -241,8 +240,8 @@
         return None
 
     def _is_within_share(self, route_kind: RouteKind, in_use: int, now: float) -> bool:
-        # NOTE: max-min fairness guarantees every class the share of its weight, so the
-        # allocation need not be computed below that share.
+        # Max-min fairness guarantees every class the share of its weight, so the allocation
+        # need not be computed below that share.
         if in_use < self._guaranteed_slots[route_kind]:
             return True
         return in_use < self._fair_share(route_kind, in_use + 1, now)
--- a/drumbay/limits/circuit_breaker.py
+++ b/drumbay/limits/circuit_breaker.py
@@ -44,7 +44,7 @@
 
 
 class CircuitPermit(msgspec.Struct, frozen=True, kw_only=True):
-    """Permission for one attempt; ``period`` is the breaker's period that issued it."""
+    """Permission for one attempt; ``period`` counts how often the breaker had opened or closed."""
 
     period: int
 
@@ -73,7 +73,7 @@
         return CircuitState.HALF_OPEN
 
     def admits(self, now: float) -> bool:
-        """Return whether :meth:`try_acquire` would give a permit."""
+        """Return whether :meth:`try_acquire` would return a permit."""
         state = self.state(now)
         if state is CircuitState.HALF_OPEN:
             return self._probes_in_flight < self._policy.max_probes
@@ -90,7 +90,7 @@
     def record_success(self, permit: CircuitPermit, now: float) -> None:
         """Record that the attempt of a permit succeeded."""
         if permit.period != self._period:
-            # NOTE: the attempt started before the breaker last changed its state.
+            # The attempt started before the breaker last opened or closed.
             return
         if self._opened_at is None:
             self._roll_window(now)
@@ -117,7 +117,7 @@
             self._open(now)
 
     def record_no_outcome(self, permit: CircuitPermit) -> None:
-        """Return a permit whose attempt ended without an outcome of the back end."""
+        """Release a permit whose attempt showed neither success nor failure of the back end."""
         if permit.period == self._period and self._opened_at is not None:
             self._probes_in_flight -= 1
 
--- a/drumbay/limits/deadline.py
+++ b/drumbay/limits/deadline.py
@@ -39,7 +39,7 @@
         return now >= self.expires_at
 
     def attempt_timeout_seconds(self, now: float, timeout_seconds: float) -> float:
-        """Return the time limit of one attempt: the remaining time, at most the limit."""
+        """Return the smaller of ``timeout_seconds`` and the remaining time."""
         return min(self.remaining_seconds(now), timeout_seconds)
 
     def shortened(self, seconds: float, now: float) -> "Deadline":
--- a/drumbay/limits/demand.py
+++ b/drumbay/limits/demand.py
@@ -43,7 +43,7 @@
     """Tracks the largest value in the current and the previous window."""
 
     def __init__(self, window_seconds: float, now: float) -> None:
-        """Create a peak of zero."""
+        """Create a tracker whose peak is zero."""
         self._window_seconds = window_seconds
         self._started_at = now
         self._current = 0
--- a/drumbay/limits/engine_priority.py
+++ b/drumbay/limits/engine_priority.py
@@ -4,8 +4,8 @@
 ``LIVE_PRIORITY_BASE``; the priority of a live route is added to that base, so that even a route
 of priority 0 goes before rollouts.
 
-On an engine saturated by live requests, strict priority would starve rollouts. There, rollouts
-within the share guaranteed by the operator's weights go first.
+On an engine saturated by live requests, strict priority would starve rollouts. There, rollouts go
+first as long as they stay within the share guaranteed by the operator's weights.
 """
 
 LIVE_PRIORITY_BASE = 100
--- a/drumbay/limits/engine_share.py
+++ b/drumbay/limits/engine_share.py
@@ -1,7 +1,7 @@
 """Computes how many slots of an engine rollouts may use beside live requests.
 
-Rollouts hold a slot for minutes and engines do not interrupt a running request, so a live
-request that finds all slots taken waits for one to end, whatever its priority. A weighted max-min
+Rollouts occupy a slot for minutes and engines do not interrupt a running request, so a live
+request that finds all slots in use waits for one to end, whatever its priority. A weighted max-min
 fair allocation (:mod:`drumbay.limits.fair_share`) therefore reserves slots for the recent live
 demand plus some headroom, and rollouts get the rest. Rollouts may use the whole engine when it has
 had no live requests for a while, and keep their weighted share under sustained live demand.
@@ -61,7 +61,7 @@
 
 
 class EngineShare:
-    """Allots the slots of one engine, based on its observed load over time."""
+    """Divides the slots of one engine, based on its recent load."""
 
     def __init__(self, sharing: EngineSharing, now: float) -> None:
         """Create a share without observed demand."""
@@ -90,21 +90,21 @@
     def _headroom(self, live_load: int, now: float) -> int:
         if live_load > 0:
             self._last_live_at = now
-        in_use = now - self._last_live_at <= HEADROOM_HOLD_SECONDS
-        return self._sharing.headroom_places if in_use else 0
+        had_recent_live = now - self._last_live_at <= HEADROOM_HOLD_SECONDS
+        return self._sharing.headroom_places if had_recent_live else 0
 
     def _rollout_slots(self, live_demand: int) -> int:
         sharing = self._sharing
-        places = sharing.engine_places
+        total_slots = sharing.engine_places
         demands = (
             ShareDemand(weight=sharing.live_weight, amount=live_demand),
-            ShareDemand(weight=sharing.rollout_weight, amount=places),
+            ShareDemand(weight=sharing.rollout_weight, amount=total_slots),
         )
-        live_places = fair_allocation(places, demands)[0]
-        return places - math.floor(live_places)
+        live_slots = fair_allocation(total_slots, demands)[0]
+        return total_slots - math.floor(live_slots)
 
     def _excess(self, observation: EngineObservation, slots: int) -> int:
-        """Return how many rollouts over their share keep live requests waiting."""
+        """Return how many rollouts beyond their share occupy slots that live requests wait for."""
         if not self._sharing.preempt:
             return 0
         over_share = observation.rollouts - slots
--- a/drumbay/limits/fair_share.py
+++ b/drumbay/limits/fair_share.py
@@ -24,15 +24,15 @@
     unsatisfied_indexes = [index for index, demand in enumerate(demands) if demand.weight > 0]
     while unsatisfied_indexes:
         total_weight = sum(demands[index].weight for index in unsatisfied_indexes)
-        level = remaining / total_weight
+        share_per_weight = remaining / total_weight
         newly_satisfied = [
             index
             for index in unsatisfied_indexes
-            if demands[index].amount <= level * demands[index].weight
+            if demands[index].amount <= share_per_weight * demands[index].weight
         ]
         if not newly_satisfied:
             for index in unsatisfied_indexes:
-                allocation[index] = level * demands[index].weight
+                allocation[index] = share_per_weight * demands[index].weight
             return allocation
         for index in newly_satisfied:
             allocation[index] = demands[index].amount
--- a/drumbay/limits/held_bytes.py
+++ b/drumbay/limits/held_bytes.py
@@ -1,7 +1,7 @@
 """Bounds the memory that a node uses for request bodies and responses of its callers.
 
 Guards against running out of memory when many callers send large bodies or read large responses
-slowly. Only accounts and decides; the caller refuses requests and drops responses.
+slowly. This module counts bytes and decides; its callers refuse requests and drop responses.
 """
 
 from enum import StrEnum
@@ -29,7 +29,7 @@
 this fraction of the bound, so that oversized requests are served one at a time."""
 
 STALL_TIMEOUT_SECONDS = 20.0
-"""A connection without progress for this time is dropped; longer than short network partitions."""
+"""A connection without progress for this time is dropped; short partitions are tolerated."""
 
 EXPECTED_SIZE_DECAY = 0.95
 """Decay of the expected size with each smaller response."""
@@ -39,7 +39,7 @@
 
 
 class HeldKind(StrEnum):
-    """Kind of request for which bytes are held."""
+    """Kind of request that holds bytes."""
 
     RESULTS = "results"
     SUBMISSION = "submission"
@@ -63,8 +63,8 @@
     HeldKind.SUBMISSION: 5.0,
     HeldKind.LOOKUP: 5.0,
 }
-"""Stall timeouts while other requests are refused for lack of memory. They allow for pauses of a
-second or two by packet loss."""
+"""Stall timeouts while other requests are refused for lack of memory. Pauses of a second or two by
+packet loss are tolerated."""
 
 
 class HeldBytesUsage(msgspec.Struct, frozen=True, kw_only=True):
@@ -75,10 +75,10 @@
 
 
 class HeldBytes:
-    """Accounts for held bytes by kind; decides which requests to accept and which to drop."""
+    """Counts held bytes by kind; decides which requests to accept and which to drop."""
 
     def __init__(self, bound_bytes: int | None) -> None:
-        """Create an account with a bound; ``None`` for no bound."""
+        """Start with nothing held; ``bound_bytes`` is ``None`` for no bound."""
         self._bound_bytes = bound_bytes
         self._held = dict.fromkeys(HeldKind, 0)
 
@@ -94,8 +94,8 @@
     def try_reserve(self, kind: HeldKind, amount_bytes: int, already_held_bytes: int = 0) -> bool:
         """Reserve bytes if they fit the bound; return whether they did.
 
-        ``already_held_bytes`` is what the same request holds already. It counts toward the size of
-        an oversized request, but not toward what other requests hold.
+        ``already_held_bytes`` is what the same request holds already. For oversized requests, it
+        counts as part of the request and not as held by others.
         """
         if not self._fits(kind, amount_bytes, already_held_bytes):
             return False
@@ -116,7 +116,7 @@
         Args:
             kind: The kind of the request.
             stalled_seconds: Time since the last byte was sent or received.
-            leaving: Whether the node is shutting down; the shorter timeouts apply then.
+            leaving: Whether the node is shutting down, so that the shorter timeouts apply.
         """
         is_under_pressure = leaving or self._is_under_pressure()
         timeout_seconds = (
--- a/drumbay/limits/recent_latency.py
+++ b/drumbay/limits/recent_latency.py
@@ -18,14 +18,14 @@
 
 
 class RecentLatency:
-    """Keeps the latencies of the last answered attempts of one route."""
+    """Keeps the latencies of the latest attempts of one route that got a response."""
 
     def __init__(self) -> None:
         """Start without observations."""
         self._seconds: deque[float] = deque(maxlen=MAX_OBSERVATIONS)
 
     def observe(self, seconds: float) -> None:
-        """Record the latency of an answered attempt."""
+        """Record the latency of an attempt that got a response."""
         self._seconds.append(seconds)
 
     def median_seconds(self) -> float | None:
@@ -38,5 +38,5 @@
         """Return the delay before an attempt is hedged; ``None`` with too few observations."""
         if len(self._seconds) < MIN_OBSERVATIONS:
             return None
-        slow = sorted(self._seconds)[int(HEDGE_QUANTILE * len(self._seconds))]
-        return max(MIN_HEDGE_DELAY_SECONDS, slow)
+        quantile_seconds = sorted(self._seconds)[int(HEDGE_QUANTILE * len(self._seconds))]
+        return max(MIN_HEDGE_DELAY_SECONDS, quantile_seconds)
--- a/drumbay/limits/token_bucket.py
+++ b/drumbay/limits/token_bucket.py
@@ -17,7 +17,7 @@
         self._updated_at = now
 
     def available(self, now: float) -> float:
-        """Return the tokens available at ``now``; a clock that moves backwards is ignored."""
+        """Return the tokens available at ``now``; a clock that moves backwards adds none."""
         if now > self._updated_at:
             refill = (now - self._updated_at) * self._rate_per_second
             self._tokens = min(self._capacity, self._tokens + refill)
@@ -25,7 +25,7 @@
         return self._tokens
 
     def try_take(self, now: float, amount: float = 1.0) -> bool:
-        """Take ``amount`` tokens if the bucket holds them."""
+        """Take ``amount`` tokens if available; return whether they were."""
         if self.available(now) < amount:
             return False
         self._tokens -= amount
--- a/drumbay/limits/worker_bodies.py
+++ b/drumbay/limits/worker_bodies.py
@@ -1,10 +1,10 @@
 """Limits the bytes of request bodies in flight to one worker.
 
-Guards against large requests piling up at busy workers until a worker runs out of memory.
+Prevents a worker from running out of memory while large requests wait in its queue.
 """
 
 MAX_BODY_BYTES_PER_WORKER = 67_108_864
-"""Limit per node and worker: two bodies of the usual maximum size."""
+"""Limit for each node and worker; two bodies of the usual maximum size."""
 
 SMALL_BODY_BYTES = 65_536
 """Bodies up to this size are always sent, so that small requests do not wait for large ones."""
--- a/tests/test_held_bytes.py
+++ b/tests/test_held_bytes.py
@@ -73,7 +73,7 @@
                 held.reserve(LOOKUP, BOUND_BYTES // 4)
                 self.assertTrue(held.try_reserve(kind, amount_bytes), (kind, amount_bytes))
 
-    def test_ready_answer_exceeds_the_bound_and_blocks_others(self) -> None:
+    def test_ready_response_exceeds_the_bound_and_blocks_others(self) -> None:
         held = HeldBytes(BOUND_BYTES)
         held.reserve(LOOKUP, 2 * BOUND_BYTES)
         self.assertFalse(held.try_reserve(LOOKUP, 1))
@@ -87,7 +87,7 @@
         self.assertEqual(held.held(RESULTS), 10**11)
         self.assertFalse(held.should_drop(RESULTS, 19.0, leaving=False))
 
-    def test_stall_timeouts_of_unread_answers(self) -> None:
+    def test_stall_timeouts_of_unread_responses(self) -> None:
         table = [
             # kind, held bytes, seconds unread, leaving, dropped
             (RESULTS, 100, 2.0, False, False),
@@ -107,14 +107,14 @@
                 found = held.should_drop(kind, unread_seconds, leaving=leaving)
                 self.assertEqual(found, dropped)
 
-    def test_bound_follows_the_memory_of_the_process(self) -> None:
+    def test_bound_depends_on_the_memory_limit(self) -> None:
         self.assertIsNone(held_bytes_bound(None))
         self.assertEqual(held_bytes_bound(PROCESS_BASELINE_BYTES), MIN_BOUND_BYTES)
         self.assertEqual(held_bytes_bound(PROCESS_BASELINE_BYTES + 200_000_000), 100_000_000)
 
 
-class ExpectedAnswerSizesTest(unittest.TestCase):
-    def test_expected_size_decays_after_a_large_answer(self) -> None:
+class ExpectedResponseSizesTest(unittest.TestCase):
+    def test_expected_size_decays_after_a_large_response(self) -> None:
         sizes = ExpectedResponseSizes()
         self.assertEqual(sizes.expected_bytes("r"), 0)
         sizes.observe("r", 1_000)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -46,8 +46,8 @@
 class AdmissionWithoutFairShare(AdmissionController):
     """Injected fault: slots go to the first requests regardless of fair shares."""
 
-    def _is_within_share(self, route_kind: RouteKind, held: int, now: float) -> bool:
-        del route_kind, held, now
+    def _is_within_share(self, route_kind: RouteKind, in_use: int, now: float) -> bool:
+        del route_kind, in_use, now
         return True
 
 
--- a/tests/test_worker_bodies.py
+++ b/tests/test_worker_bodies.py
@@ -46,9 +46,9 @@
                 *(forwarder.forward(at_most_once, request(f"body-{n}")) for n in range(9)),
                 return_exceptions=True,
             )
-            answers = [answer for answer in found if isinstance(answer, WorkerResponse)]
+            responses = [response for response in found if isinstance(response, WorkerResponse)]
             refused = [error for error in found if isinstance(error, NoWorkerError)]
-            self.assertEqual((len(answers), len(refused)), (3, 6))
+            self.assertEqual((len(responses), len(refused)), (3, 6))
             self.assertEqual({error.execution for error in refused}, {Execution.NOT_RUN})
             self.assertTrue(all(error.retry_after_seconds for error in refused))
             self.assertEqual(len(world.workers.runs), 3)
