--- a/drumbay/batches/item_quarantine.py
+++ b/drumbay/batches/item_quarantine.py
@@ -130,6 +130,7 @@
 
 def _may_start(verdict: Verdict) -> bool:
     may_run_alongside = (
-        verdict.reason is Reason.RUN_UNDER_WAY and verdict.consecutive_crashes < CRASHES_UNTIL_TRIAL
+        verdict.reason is Reason.RUN_IN_PROGRESS
+        and verdict.consecutive_crashes < CRASHES_UNTIL_TRIAL
     )
     return verdict.decision is Decision.RUN or may_run_alongside
--- a/drumbay/quarantine/ledger.py
+++ b/drumbay/quarantine/ledger.py
@@ -22,13 +22,13 @@
 from drumbay.workers.records import WorkerIncarnation
 
 CRASHES_UNTIL_HELD = 3
-"""Consecutive crashes from which a request is held; fewer may be coincidence."""
+"""Number of consecutive crashes from which a request is held; fewer may be coincidence."""
 
 CRASHES_UNTIL_TRIAL = 2
 WORKERS_PER_TRIAL = 2
 """From this number of consecutive crashes, runs of the request are trials: a node runs at most one
-trial for each two workers at a time, on separate workers. Requests that merely shared a worker with
-the cause are thereby cleared."""
+trial per ``WORKERS_PER_TRIAL`` workers at a time, on separate workers. This clears requests that
+only shared a worker with the cause."""
 
 MIN_WORKERS_LEFT = 1
 MIN_WORKERS_LEFT_BY_TRIAL = 2
@@ -36,16 +36,15 @@
 services, all other workers must be available."""
 
 PROPAGATION_SECONDS = 0.1
-"""Time for the news of a crash to reach every node."""
+"""Time in which the notice of a crash reaches every node."""
 
 INITIAL_HOLD_SECONDS = 30.0
 HOLD_GROWTH_FACTOR = 8.0
 MAX_HOLD_SECONDS = 3_600.0
-"""A held request gets one run after 30 s, 4 min, 32 min, then each hour, in case the cause of the
-crashes is gone."""
+"""A held request runs again after a hold that grows with each crash, in case the cause is fixed."""
 
 EXPIRY_SECONDS = 2 * MAX_HOLD_SECONDS
-"""Requests without a crash for this time are dropped; longer than the longest hold."""
+"""Requests without a crash for this time are dropped. Longer than the longest hold."""
 
 RECOVERY_WAIT_SECONDS = 1.0
 """Retry delay while too few workers are available."""
@@ -55,7 +54,7 @@
 
 MAX_REQUESTS = 1_024
 MAX_CRASHES_PER_REQUEST = 16
-"""Bounds on the memory of the ledger."""
+"""Bounds on the size of the ledger."""
 
 
 class QuarantineLedger:
@@ -100,7 +99,7 @@
         )
 
     def last_learned_at(self, incarnation: WorkerIncarnation) -> float | None:
-        """Return when this node last learned of a crash that this incarnation can withdraw."""
+        """Return when this node last learned of a crash that :meth:`withdraw` would drop."""
         incarnations = _incarnations_cleared_by(incarnation)
         learned_times = [
             crashes[each].learned_at
@@ -117,8 +116,8 @@
     ) -> tuple[WorkerCrash, ...]:
         """Add crashes under a request; return those that were new.
 
-        Of a crash that is reported again, the earlier time is kept: the age of a report grows with
-        its delay, which could make consecutive crashes look concurrent.
+        If a crash is reported again, its earliest time is kept: a delayed report makes a crash look
+        later than it was, and consecutive crashes could look concurrent.
         """
         known = self._crashes.get(fingerprint, {})
         reported = tuple(crashes)
@@ -141,11 +140,11 @@
         return new
 
     def _evict(self) -> None:
-        """Drop the request with the fewest consecutive crashes; the oldest of several."""
+        """Drop the oldest of the requests with the fewest consecutive crashes."""
         del self._crashes[min(self._crashes, key=self.consecutive_crashes)]
 
     def clear(self, fingerprint: Fingerprint) -> bool:
-        """Drop a request that was answered; return whether it was recorded."""
+        """Drop a request that got a response; return whether it was recorded."""
         return self._crashes.pop(fingerprint, None) is not None
 
     def withdraw(self, incarnation: WorkerIncarnation) -> tuple[Fingerprint, ...]:
@@ -182,7 +181,7 @@
         activity: RequestActivity,
         now: float,
     ) -> Verdict:
-        """Decide about the next run of a request.
+        """Decide on the next run of a request.
 
         Args:
             fingerprint: The request.
@@ -192,12 +191,12 @@
         """
         crash_count = self.consecutive_crashes(fingerprint)
         risks_too_many_workers = _risks_too_many_workers(crash_count, availability)
-        # While a hedged run is pending, another run could crash a third worker before the first
-        # crash is known.
-        is_decisive = risks_too_many_workers or crash_count + activity.checks >= CRASHES_UNTIL_HELD
-        if activity.checks and (activity.runs or is_decisive):
-            return _wait(Reason.CHECK_UNDER_WAY, crash_count)
-        if not crash_count or self._is_bystander(fingerprint, crash_count):
+        # While a failed run is checked and its hedge is pending, a third run could crash one more
+        # worker before the first crash is known.
+        may_hold = risks_too_many_workers or crash_count + activity.checks >= CRASHES_UNTIL_HELD
+        if activity.checks and (activity.runs or may_hold):
+            return _wait(Reason.CHECK_IN_PROGRESS, crash_count)
+        if not crash_count or self._has_likelier_cause(fingerprint, crash_count):
             return Verdict(decision=Decision.RUN, consecutive_crashes=crash_count)
         remaining = self._held_until(fingerprint, crash_count, availability.kinds) - now
         if remaining > 0:
@@ -205,17 +204,17 @@
         max_trials = max(1, availability.available // WORKERS_PER_TRIAL)
         is_trial = crash_count >= CRASHES_UNTIL_TRIAL
         if activity.runs or (is_trial and activity.trials >= max_trials):
-            return _wait(Reason.RUN_UNDER_WAY, crash_count)
+            return _wait(Reason.RUN_IN_PROGRESS, crash_count)
         if risks_too_many_workers and now - self._last_crash_at(fingerprint) < PROPAGATION_SECONDS:
-            return _wait(Reason.CHECK_UNDER_WAY, crash_count)
+            return _wait(Reason.CHECK_IN_PROGRESS, crash_count)
         if risks_too_many_workers:
             return _hold(Reason.FEW_WORKERS_LEFT, crash_count, RECOVERY_WAIT_SECONDS)
         return Verdict(decision=Decision.RUN, consecutive_crashes=crash_count)
 
-    def _is_bystander(self, fingerprint: Fingerprint, crash_count: int) -> bool:
-        """Return whether another request is the likely cause of all crashes of this one.
+    def _has_likelier_cause(self, fingerprint: Fingerprint, crash_count: int) -> bool:
+        """Return whether another request probably caused all crashes under this one.
 
-        That request ran on every one of the crashed workers, and has more consecutive crashes.
+        It ran on all of the crashed workers and on others, and has more consecutive crashes.
         """
         own = self._crashes[fingerprint].keys()
         return any(
@@ -238,7 +237,7 @@
 
 
 def _incarnations_cleared_by(incarnation: WorkerIncarnation) -> tuple[WorkerIncarnation, ...]:
-    """Return the incarnations whose crashes a live one withdraws, including the unknown one."""
+    """Return the incarnations whose crashes a live one withdraws: itself and the unknown one."""
     unknown_incarnation = WorkerIncarnation(worker_id=incarnation.worker_id)
     return (
         (incarnation,) if incarnation == unknown_incarnation else (incarnation, unknown_incarnation)
--- a/drumbay/quarantine/records.py
+++ b/drumbay/quarantine/records.py
@@ -42,7 +42,7 @@
 
 
 class CrashReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A crash as reported between nodes, with ages instead of times since clocks differ."""
+    """A crash as reported between nodes; ages replace times, since clocks differ."""
 
     worker_id: BackendId
     kind: WorkerKind
@@ -62,7 +62,7 @@
         )
 
     def to_crash(self, now: float) -> WorkerCrash:
-        """Return the crash at a node that receives the report now."""
+        """Return the crash in the monotonic time of a node that receives the report now."""
         return WorkerCrash(
             worker_id=self.worker_id,
             kind=self.kind,
@@ -106,17 +106,17 @@
 
     RUN = "run"
     WAIT = "wait"
-    """The outcome of another run or check is awaited, for a fraction of a second."""
+    """The request waits a fraction of a second for the outcome of another run or check."""
     HOLD = "hold"
-    """The request is quarantined or too few workers are available."""
+    """The request is quarantined, or too few workers are available to risk another crash."""
 
 
 class Reason(StrEnum):
     """Why a request waits or is held."""
 
     NONE = "none"
-    RUN_UNDER_WAY = "run_under_way"
-    CHECK_UNDER_WAY = "check_under_way"
+    RUN_IN_PROGRESS = "run_under_way"
+    CHECK_IN_PROGRESS = "check_under_way"
     FEW_WORKERS_LEFT = "few_workers_left"
     CRASHES_ITS_WORKERS = "crashes_its_workers"
 
@@ -127,9 +127,9 @@
     Attributes:
         decision: The decision.
         reason: Why the request waits or is held.
-        deaths_in_a_row: Consecutive crashes under the request.
+        consecutive_crashes: Number of consecutive crashes under the request.
         retry_after_seconds: When a held request may be retried.
-        apart_from: Workers to avoid, since they run other requests that may crash them.
+        apart_from: Workers to avoid: they run trials, which may crash them.
     """
 
     decision: Decision
@@ -158,7 +158,7 @@
 
     Attributes:
         runs: Runs of the same request.
-        trials: Runs of any request with at least two consecutive crashes.
+        trials: Runs of all requests with at least ``CRASHES_UNTIL_TRIAL`` consecutive crashes.
         checks: Failed runs of the same request whose workers are being checked.
     """
 
--- a/drumbay/quarantine/service.py
+++ b/drumbay/quarantine/service.py
@@ -5,7 +5,7 @@
 or restarted by the time of the next run. Crashes are broadcast to all nodes and stored for nodes
 that start later.
 
-A crash is withdrawn when its worker turns out to be alive. If workers report their start times, an
+A crash is withdrawn when its worker turns out to be alive. If workers report their start times, a
 response is not sufficient: it may come from a restarted worker, or may have been sent before the
 crash. The worker is then asked for a status report, which identifies its incarnation. Only a report
 requested after this node learned of the crash counts.
@@ -41,7 +41,7 @@
 from drumbay.workers.records import ProbeResult, Worker, WorkerError, WorkerIncarnation
 
 SUSPICION_TIMEOUT_SECONDS = 30.0
-"""Time after a run without a response in which a replaced worker counts as crashed by it."""
+"""A worker replaced within this time after a run without a response counts as crashed by it."""
 
 REPORT_REQUEST_INTERVAL_SECONDS = 1.0
 """Minimum interval between two report requests to the same worker."""
@@ -108,7 +108,7 @@
         directory.add_report_listener(self._on_report)
 
     def add_listener(self, listener: Callable[[Fingerprint, bool], None]) -> None:
-        """Call ``listener`` after each change of a request, with whether it originated here."""
+        """Call ``listener`` with each changed request and whether the change is from this node."""
         self._listeners.append(listener)
 
     @property
@@ -118,7 +118,7 @@
 
     @property
     def suspected_requests(self) -> int:
-        """Return the number of requests with a recent run whose worker may have crashed."""
+        """Return the number of requests with a recent run that may have crashed its worker."""
         return len(self._suspicions)
 
     def is_tracked(self, fingerprint: Fingerprint) -> bool:
@@ -129,7 +129,7 @@
             or fingerprint in self._suspicions
         )
 
-    # Deciding
+    # Decisions
 
     def verdict(self, fingerprint: Fingerprint, service: str, starting: int = 0) -> Verdict:
         """Return whether a request may run now on a worker of a service.
@@ -137,7 +137,7 @@
         Args:
             fingerprint: The request.
             service: The service.
-            starting: Number of other trials that are about to start.
+            starting: Number of other trials that the caller is about to start.
         """
         if not self.is_tracked(fingerprint):
             return Verdict(decision=Decision.RUN)
@@ -161,11 +161,11 @@
 
     def _availability(self, service: str, now: float) -> WorkerAvailability:
         records = self._directory.of_service(service)
-        ended = self.ledger.crashed_workers()
+        crashed = self.ledger.crashed_workers()
         available = [
             record.worker
             for record in records
-            if record.is_available(now) and record.worker.start not in ended
+            if record.is_available(now) and record.worker.start not in crashed
         ]
         return WorkerAvailability(
             ready=len(records),
@@ -189,7 +189,7 @@
     # Runs
 
     def begin_run(self, fingerprint: Fingerprint, worker_id: BackendId) -> None:
-        """Record the beginning of a run on a worker; :meth:`end` must follow."""
+        """Record the beginning of a run on a worker; :meth:`end_run` must follow."""
         self._runs.setdefault(fingerprint, []).append(worker_id)
 
     def end_run(self, fingerprint: Fingerprint, worker_id: BackendId) -> None:
@@ -214,12 +214,12 @@
 
     async def _check(self, fingerprint: Fingerprint, run: _UnansweredRun) -> None:
         try:
-            listening = await self._client.listening(run.worker)
+            probe_result = await self._client.listening(run.worker)
         finally:
             self._checks[fingerprint] -= 1
             if not self._checks[fingerprint]:
                 del self._checks[fingerprint]
-        if listening is ProbeResult.REFUSES:
+        if probe_result is ProbeResult.REFUSES:
             self._record_crash(fingerprint, run, "refused")
         else:
             self._add_suspicion(fingerprint, run)
@@ -240,14 +240,14 @@
         self._suspicions[fingerprint] = [*kept, run][-MAX_RUNS_PER_SUSPICION:]
 
     def _drop_old_suspicions(self, now: float) -> None:
-        """Drop requests whose last unanswered run is too old; the oldest come first."""
+        """Drop requests whose last unanswered run is too old; they are ordered by its time."""
         for fingerprint, runs in list(self._suspicions.items()):
             if now - runs[-1].failed_at <= SUSPICION_TIMEOUT_SECONDS:
                 return
             del self._suspicions[fingerprint]
 
     def _detect_replaced_workers(self, fingerprint: Fingerprint, now: float) -> None:
-        """Record crashes of the workers of unanswered runs that were replaced since."""
+        """Record crashes of workers that were replaced since they left a run unanswered."""
         suspected_runs = self._suspicions.get(fingerprint, [])
         replaced = [run for run in suspected_runs if self._directory.is_replaced(run.worker)]
         kept = [
@@ -282,10 +282,10 @@
         self._broadcast(RequestSuspected(fingerprint=fingerprint, deaths=reports))
         self._notify_listeners(fingerprint, is_local=True)
 
-    # Answers
+    # Responses
 
     def record_response(self, fingerprint: Fingerprint) -> None:
-        """Clear a request that a worker answered, with any response."""
+        """Clear a request to which a worker responded, with any status."""
         self._suspicions.pop(fingerprint, None)
         consecutive_crashes = self.ledger.consecutive_crashes(fingerprint)
         if not self.ledger.clear(fingerprint):
@@ -297,7 +297,7 @@
         self._notify_listeners(fingerprint, is_local=True)
 
     def record_worker_response(self, worker: Worker) -> None:
-        """Record that a worker answered a run.
+        """Record that a worker responded to a run.
 
         If it was recorded as crashed, it may be alive or may have restarted; the response may also
         have been sent before the crash.
@@ -381,7 +381,7 @@
             self._notify_listeners(fingerprint, is_local=False)
 
     def clear(self, fingerprint: Fingerprint) -> None:
-        """Clear a request that another node has seen answered."""
+        """Clear a request for which another node has seen a response."""
         self._suspicions.pop(fingerprint, None)
         if self.ledger.clear(fingerprint):
             self._notify_listeners(fingerprint, is_local=False)
--- a/drumbay/quarantine/stored.py
+++ b/drumbay/quarantine/stored.py
@@ -1,4 +1,4 @@
-"""Copy of the quarantine in the key-value service, for nodes that start later.
+"""Copy of the quarantine in the key-value service, read by nodes that start later.
 
 Each request with at least two consecutive crashes has a key below ``PREFIX``. The node that saw the
 last crash writes it; other nodes write it only if it is still missing after a delay. The key is
@@ -72,7 +72,7 @@
         quarantine: Quarantine,
         generator: random.Random,
     ) -> None:
-        """Create a copy that is not loaded yet; ``generator`` draws delays."""
+        """Create a copy that is not loaded yet; ``generator`` randomizes delays."""
         self._clock = clock
         self._store = store
         self._quarantine = quarantine
@@ -125,7 +125,7 @@
         self._quarantine.add_crashes(fingerprint, tuple(map(self._to_crash, stored)))
 
     def _to_crash(self, stored: StoredCrash) -> WorkerCrash:
-        """Convert to monotonic time; despite clock differences, never to a time in the future."""
+        """Convert to monotonic time; a time in the future (clock difference) becomes now."""
         age_seconds = max(0.0, self._clock.wall() - stored.ended_at)
         now = self._clock.monotonic()
         ended_at = now - age_seconds
@@ -195,8 +195,8 @@
         if ledger.consecutive_crashes(fingerprint) < CRASHES_UNTIL_TRIAL:
             return
         is_stored = {crash.incarnation for crash in crashes} <= self._stored.get(fingerprint, set())
-        has_space = fingerprint in self._stored or len(self._stored) < MAX_REQUESTS
-        if not is_stored and has_space:
+        has_capacity = fingerprint in self._stored or len(self._stored) < MAX_REQUESTS
+        if not is_stored and has_capacity:
             value = _encoder.encode(tuple(map(self._to_stored, crashes)))
             await self._store.transact((), (Put(key=key, value=value),))
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -381,7 +381,7 @@
         play(scenario)
 
 
-class PriorityLevelsTest(unittest.TestCase):
+class RankTest(unittest.TestCase):
     def configuration(self, *priorities: int) -> RoutingConfiguration:
         routes = tuple(
             msgspec.structs.replace(
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,7 +1,6 @@
-"""Regression: a request that crashed its workers was sent to further workers, at every node.
+"""Regression: every node sent a request that crashed its workers to further workers.
 
-Guards against forgetting, or not sharing between nodes, which workers crashed under a request, and
-against more runs of one try than its route allows.
+Guards against nodes that forget or do not share which workers crashed under a request.
 """
 
 import asyncio
@@ -34,18 +33,17 @@
 MAX_LATER_TRIES = 3
 REGISTRATION_SECONDS = 3.0
 FAULT_AT_SECONDS = 15.0
-"""Three workers have crashed under the request by then."""
+"""Three workers have crashed under the request by this time."""
 
 WORKER_RECOVERY_SECONDS = 4.0
 """Crashed workers are available again after this time."""
 
 STEP_SECONDS = 7.5
 GENERATION_SECONDS = 8.0
-"""Generation of 160 events takes 8 s. One interrupted after half a second has this time left once
-its worker is back, which is too short for two consecutive generations."""
+"""Time to generate a text of 160 events; too short for two consecutive generations."""
 
 MAX_SHUTDOWN_SECONDS = 3.5
-"""A shutdown refuses clients for 2.5 s; with unfinished work it takes up to 7 s."""
+"""Longer than a shutdown without unfinished work, shorter than the wait for unfinished work."""
 
 RESTART_INTERVAL_SECONDS = 6.0
 OTHERS_INTERVAL_SECONDS = 0.1
@@ -339,7 +337,7 @@
 class SoundRequestsTest(unittest.TestCase):
     """Requests that crash no worker are served despite failures of their runs."""
 
-    def test_request_with_lost_answers_is_served_after_recovery(self) -> None:
+    def test_request_with_lost_responses_is_served_after_recovery(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             add_lookup_workers(world)
             await start_nodes(world)
@@ -456,9 +454,9 @@
             await asyncio.sleep(STEP_SECONDS)
             page = await node.batches.read(spec.batch_id, 0, 0.0)
             self.assertEqual(len(page.results), len(spec.items) - 1)
-            begun_at = world.clock.monotonic()
+            stop_began_at = world.clock.monotonic()
             await node.node.stop()
-            self.assertLess(world.clock.monotonic() - begun_at, MAX_SHUTDOWN_SECONDS)
+            self.assertLess(world.clock.monotonic() - stop_began_at, MAX_SHUTDOWN_SECONDS)
 
         play(scenario, node_count=2, worker_count=6)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -135,7 +135,7 @@
         self.assertEqual(self.ledger.add_crashes(REQUEST, [crash(1, 3.0, 3.05)]), ())
         self.assertEqual(self.ledger.consecutive_crashes(REQUEST), 1)
 
-    def test_answer_clears_a_request(self) -> None:
+    def test_response_clears_a_request(self) -> None:
         self.add_consecutive_crashes(CRASHES_UNTIL_HELD)
         self.assertTrue(self.ledger.clear(REQUEST))
         self.assertFalse(self.ledger.clear(REQUEST))
@@ -169,16 +169,16 @@
             seen = self.ledger.decide(REQUEST, availability(available, ready), IDLE, 5.0)
             self.assertEqual(seen.decision, decision, (ready, available))
 
-    def test_bystander_runs_on_the_last_worker(self) -> None:
+    def test_request_with_a_likelier_cause_runs_on_the_last_worker(self) -> None:
         self.add_consecutive_crashes(2)
         self.ledger.add_crashes(OTHER, [crash(1, 0.9, 1.05)])
-        bystander = self.ledger.decide(OTHER, availability(available=1), IDLE, 1.06)
-        self.assertEqual(bystander.decision, Decision.RUN)
+        cleared = self.ledger.decide(OTHER, availability(available=1), IDLE, 1.06)
+        self.assertEqual(cleared.decision, Decision.RUN)
         self.ledger.add_crashes(OTHER, [crash(7, 2.0, 2.05)])
-        cause = self.ledger.decide(OTHER, availability(available=1), IDLE, 3.0)
-        self.assertEqual(cause.reason, Reason.FEW_WORKERS_LEFT)
+        suspected = self.ledger.decide(OTHER, availability(available=1), IDLE, 3.0)
+        self.assertEqual(suspected.reason, Reason.FEW_WORKERS_LEFT)
 
-    def test_cause_is_no_bystander_of_a_popular_request(self) -> None:
+    def test_a_popular_request_is_no_likelier_cause(self) -> None:
         """A popular request ran consecutively on both workers that a hedged request crashed."""
         self.ledger.add_crashes(REQUEST, [crash(1, 0.0, 0.2), crash(2, 0.09, 0.29)])
         self.ledger.add_crashes(OTHER, [crash(1, 0.1, 0.2), crash(2, 0.201, 0.29)])
@@ -188,7 +188,7 @@
     def test_no_third_run_begins_beside_a_hedge_while_a_worker_is_looked_at(self) -> None:
         hedged = RequestActivity(runs=1, checks=1)
         verdict = self.ledger.decide(REQUEST, availability(), hedged, 5.0)
-        self.assertEqual(verdict.reason, Reason.CHECK_UNDER_WAY)
+        self.assertEqual(verdict.reason, Reason.CHECK_IN_PROGRESS)
         no_hedge = self.ledger.decide(REQUEST, availability(), RequestActivity(checks=1), 5.0)
         self.assertEqual(no_hedge.decision, Decision.RUN)
 
@@ -202,22 +202,22 @@
     def test_deaths_in_a_row_do_not_seem_side_by_side_however_long_news_take(self) -> None:
         """A notice delayed by 40 ms makes the first crash look later than it was."""
         first, second = crash(1, 0.0, 0.05), crash(2, 0.051, 0.1)
-        told_at = 10.0
-        one = CrashReport.of(first, told_at).to_crash(told_at + 0.04)
+        reported_at = 10.0
+        one = CrashReport.of(first, reported_at).to_crash(reported_at + 0.04)
         self.ledger.add_crashes(REQUEST, [one])
         both = [
-            CrashReport.of(each, told_at + 0.05).to_crash(told_at + 0.052)
+            CrashReport.of(each, reported_at + 0.05).to_crash(reported_at + 0.052)
             for each in (first, second)
         ]
         self.ledger.add_crashes(REQUEST, both)
         self.assertEqual(self.ledger.consecutive_crashes(REQUEST), 2)
 
-    def test_pending_check_is_awaited_where_it_is_decisive(self) -> None:
+    def test_pending_check_is_awaited_only_if_it_may_hold_the_request(self) -> None:
         checking = RequestActivity(checks=1)
         free = self.ledger.decide(REQUEST, availability(), checking, 5.0)
         self.assertEqual(free.decision, Decision.RUN)
         last = self.ledger.decide(REQUEST, availability(available=1), checking, 5.0)
-        self.assertEqual(last.reason, Reason.CHECK_UNDER_WAY)
+        self.assertEqual(last.reason, Reason.CHECK_IN_PROGRESS)
         self.add_consecutive_crashes(CRASHES_UNTIL_HELD - 1)
         third = self.ledger.decide(REQUEST, availability(), checking, 5.0)
         self.assertEqual(third.decision, Decision.WAIT)
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -99,7 +99,7 @@
             is_start_reported=is_start_reported,
         )
         record = msgspec.structs.replace(
-            self.record(), pace=expected.event_intervals, answers=expected.answers
+            self.record(), event_intervals=expected.event_intervals, answers=expected.answers
         )
         self.assertEqual(record, expected)
         self.assertIsNone(self.record().event_intervals.current(1.0))
@@ -266,7 +266,7 @@
 
 
 class CrashesByStartTest(unittest.TestCase):
-    def test_answer_of_an_undiscovered_restart_withdraws_no_crash(self) -> None:
+    def test_response_of_an_undiscovered_restart_withdraws_no_crash(self) -> None:
         async def scenario() -> None:
             fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
@@ -287,7 +287,7 @@
 
         run_simulation(scenario)
 
-    def test_answer_sent_before_the_crash_does_not_withdraw_it(self) -> None:
+    def test_response_sent_before_the_crash_does_not_withdraw_it(self) -> None:
         """A crashed worker refuses report requests, so the crash stays."""
 
         async def scenario() -> None:
@@ -407,25 +407,25 @@
             fixture = QuarantineFixture()
             await asyncio.sleep(1.0)
             fixture.receive_crash()
-            asked = 0
+            request_count = 0
             fixture.first.faults.full = True
-            answer = fixture.pool.status
+            fetch_status = fixture.pool.status
 
             async def count(worker: Worker, *, fresh_connection: bool = False) -> WorkerStatus:
-                nonlocal asked
-                asked += 1
-                return await answer(worker, fresh_connection=fresh_connection)
+                nonlocal request_count
+                request_count += 1
+                return await fetch_status(worker, fresh_connection=fresh_connection)
 
             fixture.pool.status = count  # type: ignore[method-assign]
             for _ in range(21):
                 fixture.quarantine.record_worker_response(fixture.first.worker)
                 await asyncio.sleep(REPORT_REQUEST_INTERVAL_SECONDS / 10)
-            self.assertEqual(asked, 3)
+            self.assertEqual(request_count, 3)
             self.assertEqual(fixture.crash_count, 1)
 
         run_simulation(scenario)
 
-    def test_any_answer_withdraws_a_crash_without_reported_starts(self) -> None:
+    def test_any_response_withdraws_a_crash_without_reported_starts(self) -> None:
         async def scenario() -> None:
             fixture = QuarantineFixture(tells_starts=False)
             await asyncio.sleep(1.0)
@@ -527,14 +527,16 @@
     def test_worker_removed_during_its_status_call_gets_no_order(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             node = world.nodes[0]
-            ask = world.workers.status
+            fetch_status = world.workers.status
 
-            async def leave(worker: Worker, *, fresh_connection: bool = False) -> WorkerStatus:
-                report = await ask(worker, fresh_connection=fresh_connection)
+            async def remove_and_report(
+                worker: Worker, *, fresh_connection: bool = False
+            ) -> WorkerStatus:
+                report = await fetch_status(worker, fresh_connection=fresh_connection)
                 node.directory.remove(worker.worker_id)
                 return report
 
-            world.workers.status = leave  # type: ignore[method-assign]
+            world.workers.status = remove_and_report  # type: ignore[method-assign]
             node.lead()
             await asyncio.sleep(1.0)
             node.named.name(MODEL, WeightVersion(2))
