--- a/drumbay/batches/item_quarantine.py
+++ b/drumbay/batches/item_quarantine.py
@@ -64,7 +64,7 @@
             elif verdict.consecutive_crashes >= CRASHES_UNTIL_TRIAL:
                 starting.add(fingerprint)
                 isolated.add(item.item_id)
-                isolated_workers = verdict.apart_from
+                isolated_workers = verdict.avoided_workers
         self._logged_held_back &= held_back
         return StartLimits(
             held_back=frozenset(held_back),
--- a/drumbay/forwarding/forwarder.py
+++ b/drumbay/forwarding/forwarder.py
@@ -261,7 +261,7 @@
             return True
         verdict = self._quarantine.verdict(self._fingerprint, self._service)
         if verdict.decision is Decision.RUN:
-            self._avoided_workers = verdict.apart_from
+            self._avoided_workers = verdict.avoided_workers
             return True
         if verdict.decision is Decision.HOLD and not self._attempts:
             self._quarantine.log_held(self._request.request_id, self._fingerprint, verdict)
--- a/drumbay/quarantine/records.py
+++ b/drumbay/quarantine/records.py
@@ -129,14 +129,14 @@
         reason: Why the request waits or is held.
         consecutive_crashes: Number of consecutive crashes under the request.
         retry_after_seconds: When a held request may be retried.
-        apart_from: Workers to avoid: they run trials, which may crash them.
+        avoided_workers: Workers to avoid: they run trials, which may crash them.
     """
 
     decision: Decision
     reason: Reason = Reason.NONE
     consecutive_crashes: int = 0
     retry_after_seconds: float = 0.0
-    apart_from: frozenset[BackendId] = frozenset()
+    avoided_workers: frozenset[BackendId] = frozenset()
 
 
 class WorkerAvailability(msgspec.Struct, frozen=True, kw_only=True):
--- a/drumbay/quarantine/service.py
+++ b/drumbay/quarantine/service.py
@@ -81,7 +81,7 @@
         client: WorkerClient,
         task_owner: TaskOwner,
         metrics: ServingMetrics,
-        tell: Callable[[QuarantineNotice], None],
+        broadcast: Callable[[QuarantineNotice], None],
     ) -> None:
         """Create an empty quarantine.
 
@@ -91,7 +91,7 @@
             client: Checks whether a worker accepts connections.
             task_owner: Runs the checks.
             metrics: Counts crashes and held requests.
-            tell: Sends a notice to every other node.
+            broadcast: Sends a notice to every other node.
         """
         self.ledger = QuarantineLedger()
         self._clock = clock
@@ -99,7 +99,7 @@
         self._client = client
         self._task_owner = task_owner
         self._metrics = metrics
-        self._broadcast = tell
+        self._broadcast = broadcast
         self._listeners: list[Callable[[Fingerprint, bool], None]] = []
         self._runs: dict[Fingerprint, list[BackendId]] = {}
         self._checks: Counter[Fingerprint] = Counter()
@@ -157,7 +157,7 @@
         verdict = self.ledger.decide(fingerprint, self._availability(service, now), activity, now)
         if verdict.consecutive_crashes < CRASHES_UNTIL_TRIAL:
             return verdict
-        return msgspec.structs.replace(verdict, apart_from=frozenset(trials))
+        return msgspec.structs.replace(verdict, avoided_workers=frozenset(trials))
 
     def _availability(self, service: str, now: float) -> WorkerAvailability:
         records = self._directory.of_service(service)
@@ -165,7 +165,7 @@
         available = [
             record.worker
             for record in records
-            if record.is_available(now) and record.worker.start not in crashed
+            if record.is_available(now) and record.worker.incarnation not in crashed
         ]
         return WorkerAvailability(
             ready=len(records),
@@ -302,12 +302,12 @@
         If it was recorded as crashed, it may be alive or may have restarted; the response may also
         have been sent before the crash.
         """
-        if self.ledger.last_learned_at(worker.start) is None:
+        if self.ledger.last_learned_at(worker.incarnation) is None:
             return
         if worker.started_at_ms:
             self._request_report(worker)
         else:
-            self._withdraw_and_broadcast(worker.start)
+            self._withdraw_and_broadcast(worker.incarnation)
 
     def _request_report(self, worker: Worker) -> None:
         """Request a report from a worker, unless one was requested recently."""
@@ -317,8 +317,8 @@
             for incarnation, at in self._report_requested_at.items()
             if now - at < REPORT_REQUEST_INTERVAL_SECONDS
         }
-        if worker.start not in self._report_requested_at:
-            self._report_requested_at[worker.start] = now
+        if worker.incarnation not in self._report_requested_at:
+            self._report_requested_at[worker.incarnation] = now
             self._task_owner.spawn(self._fetch_status(worker), "worker-start-question")
 
     async def _fetch_status(self, worker: Worker) -> None:
--- a/drumbay/workers/records.py
+++ b/drumbay/workers/records.py
@@ -47,7 +47,7 @@
     started_at_ms: int = 0
 
     @property
-    def start(self) -> "WorkerIncarnation":
+    def incarnation(self) -> "WorkerIncarnation":
         """Return the worker's incarnation."""
         return WorkerIncarnation(worker_id=self.worker_id, started_at_ms=self.started_at_ms)
 
--- a/drumbay/workers/silence_check.py
+++ b/drumbay/workers/silence_check.py
@@ -77,7 +77,7 @@
         self._task_owner.spawn(self._run_check(record.worker), f"silence-check-{worker_id}")
 
     def _has_stalled_again(self, record: WorkerRecord, now: float) -> bool:
-        responded_at = self._responded_at.pop(record.worker.start, None)
+        responded_at = self._responded_at.pop(record.worker.incarnation, None)
         if responded_at is None or now - responded_at > REPEATED_STALL_SECONDS:
             return False
         return not record.event_intervals.is_active_since(responded_at)
@@ -93,7 +93,7 @@
             silent_runs = self._silent_runs.pop(worker_id)
         now = self._clock.monotonic()
         if has_lost_connections:
-            self._record_response(worker.start, now)
+            self._record_response(worker.incarnation, now)
             self._directory.end_pause(worker_id, now)
             self._on_stalled_connections()
             return
--- a/tests/serving_world.py
+++ b/tests/serving_world.py
@@ -184,7 +184,7 @@
             await node.kill()
 
 
-def play(
+def run_in_world(
     scenario: Callable[[ServingWorld], Awaitable[ResultT]],
     *,
     node_count: int = 2,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -32,7 +32,7 @@
 from drumbay.tenants.records import KeyTable, TenantName
 from drumbay.workers.directory import WorkerDirectory
 from drumbay.workers.records import WorkerLoad
-from tests.serving_world import ServingWorld, play
+from tests.serving_world import ServingWorld, run_in_world
 from tests.test_forwarding import LOOKUPS, forwarder_of, request, route
 
 BUDGET_SECONDS = 1.5
@@ -338,7 +338,7 @@
             self.assertEqual({response.status for response in responses}, {200})
             self.assertLess(world.clock.monotonic(), 0.5)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_burst_beyond_the_worker_slots_is_served_completely(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -348,7 +348,7 @@
             self.assertEqual(len(responses), 90)
             self.assertLess(world.clock.monotonic(), 0.75)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_request_cancelled_while_queued_reaches_no_worker(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -362,7 +362,7 @@
             await asyncio.sleep(1.0)
             self.assertEqual(world.workers.runs, [])
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_rejected_request_has_not_run_and_its_caller_is_told_when_to_come_back(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -378,7 +378,7 @@
             await asyncio.sleep(1.0)
             self.assertEqual(world.workers.runs, [])
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class RankTest(unittest.TestCase):
--- a/tests/test_batch_owners.py
+++ b/tests/test_batch_owners.py
@@ -10,7 +10,7 @@
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.peers.messages import PageReply, ReadResults
 from drumbay.standins.kv_faults import KeyValueFaults
-from tests.serving_world import ServingWorld, WorldNode, batch_spec, play, read_all
+from tests.serving_world import ServingWorld, WorldNode, batch_spec, read_all, run_in_world
 
 
 class StreamOwnerTest(unittest.TestCase):
@@ -39,7 +39,7 @@
             await self.check_all_results(world, world.nodes[1], "second")
             self.assertEqual(len(world.workers.runs), 24)
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
     def test_an_owner_with_an_open_batch_job_is_passed_over(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -55,7 +55,7 @@
             await world.nodes[1].batches.submit(batch_spec("fifth"))
             self.assertEqual(self.owned(world), [1, 0, 1])
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
     def test_a_dead_owner_is_passed_over_within_the_timeout(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -71,7 +71,7 @@
             await world.nodes[1].batches.submit(batch_spec("third"))
             self.assertEqual(self.owned(world)[1:], [0, 1])
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
     def test_a_draining_owner_is_passed_over(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -81,7 +81,7 @@
             self.assertEqual(self.owned(world)[1:], [0, 1])
             await self.check_all_results(world, world.nodes[1], "second")
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
     def test_an_owner_whose_reply_was_lost_stops_once_replaced(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -93,7 +93,7 @@
             await asyncio.sleep(3.0)
             self.assertEqual(self.owned(world), [0, 0, 1])
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
     def test_a_restarted_owner_rejects_a_hand_over_to_its_earlier_process(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -106,7 +106,7 @@
             )
             await self.check_all_results(world, restarted, "second")
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
 
 class TakeoverTest(unittest.TestCase):
@@ -135,7 +135,7 @@
             for item in batch_spec(groups=1).items:
                 self.assertEqual(len(world.workers.runs_of(item.item_id)), 2)
 
-        play(scenario, node_count=6)
+        run_in_world(scenario, node_count=6)
 
     def test_a_node_that_is_taking_over_replies_as_owner(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -155,7 +155,7 @@
             self.assertIsInstance(await world.nodes[1].node.handle_peer(request), PageReply)
             await first
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_an_owner_with_a_congested_link_stays_the_owner(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -167,7 +167,7 @@
             self.assertEqual(world.nodes[0].batches.owned_count, 1)
             self.assertEqual(len(world.workers.runs), 4)
 
-        play(scenario, node_count=6)
+        run_in_world(scenario, node_count=6)
 
 
 if __name__ == "__main__":
--- a/tests/test_batch_store.py
+++ b/tests/test_batch_store.py
@@ -11,7 +11,7 @@
 from drumbay.batches.records import BatchId
 from drumbay.batches.retention import BatchRetention
 from drumbay.standins.kv_faults import KeyValueFaults
-from tests.serving_world import ServingWorld, WorldNode, batch_spec, play, read_all
+from tests.serving_world import ServingWorld, WorldNode, batch_spec, read_all, run_in_world
 
 BATCH = BatchId("batch")
 
@@ -29,7 +29,7 @@
             self.assertEqual(len(results), 12)
             self.assertEqual(len(world.workers.runs), 12)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_lost_store_responses_do_not_change_results(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -42,7 +42,7 @@
             again = await read_all(world.nodes[1].batches, BATCH)
             self.assertEqual(again, results)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_submission_is_refused_during_a_long_store_outage(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -53,7 +53,7 @@
             await asyncio.sleep(10.0)
             self.assertEqual(world.workers.runs, [])
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_submission_that_may_be_stored_has_unknown_outcome(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -61,7 +61,7 @@
             with self.assertRaises(BatchOutcomeUnknownError):
                 await world.nodes[0].batches.submit(batch_spec())
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class RetentionTest(unittest.TestCase):
@@ -88,7 +88,7 @@
             left = (await world.nodes[0].store.range_prefix("drumbay/")).items
             self.assertEqual([item.key for item in left if "ended" in item.key], [])
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class RelayTest(unittest.TestCase):
@@ -109,7 +109,7 @@
             self.assertEqual(len(world.workers.runs), 40)
             self.assertEqual(world.nodes[0].batches.owned_count, 1)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_node_without_store_access_still_accepts_batch_jobs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -118,7 +118,7 @@
             results = await read_all(world.nodes[0].batches, BatchId("other"), 6.0)
             self.assertEqual(len(results), 12)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_leader_without_store_access_keeps_its_lease(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -132,7 +132,7 @@
             await asyncio.sleep(10.0)
             self.assertEqual(leader.leader.fence(world.clock.monotonic()), fence)
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_batch_workers.py
+++ b/tests/test_batch_workers.py
@@ -7,7 +7,7 @@
 from drumbay.identifiers import WeightVersion
 from drumbay.standins.worker_log import WorkerFaults
 from drumbay.standins.worker_pool import full_text
-from tests.serving_world import ServingWorld, batch_spec, play, read_all
+from tests.serving_world import ServingWorld, batch_spec, read_all, run_in_world
 
 BATCH = BatchId("batch")
 
@@ -22,7 +22,7 @@
                 self.assertEqual(result.text, full_text(result.item_id))
             return list(results)
 
-        return play(scenario)
+        return run_in_world(scenario)
 
     def test_a_broken_stream_is_resumed_on_another_worker(self) -> None:
         self.assertEqual(len(self.run_with(WorkerFaults(break_after_events=1))), 12)
@@ -40,7 +40,7 @@
             for result in results:
                 self.assertEqual(result.text, full_text(result.item_id))
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_full_worker_is_passed_over(self) -> None:
         self.assertEqual(len(self.run_with(WorkerFaults(full=True))), 12)
@@ -54,7 +54,7 @@
             self.assertNotEqual(moved, [])
             return world.clock.monotonic()
 
-        self.assertLess(play(scenario), 3.0)
+        self.assertLess(run_in_world(scenario), 3.0)
 
     def test_an_item_that_always_fails_is_given_up_after_its_attempts(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -65,7 +65,7 @@
             self.assertEqual([result.state for result in results], [ResultState.DEAD])
             self.assertEqual(len(world.workers.runs), 3)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_rejected_item_is_given_up_without_retries(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -76,7 +76,7 @@
             self.assertEqual([result.state for result in results], [ResultState.DEAD])
             self.assertEqual(len(world.workers.runs), 1)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_items_are_given_up_at_the_queue_limit_and_not_before(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -90,7 +90,7 @@
             results = await read_all(world.nodes[0].batches, BATCH)
             self.assertEqual({result.state for result in results}, {ResultState.DEAD})
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class VersionTest(unittest.TestCase):
@@ -111,7 +111,7 @@
                 self.assertEqual(result.versions, (WeightVersion(2),))
                 self.assertEqual(result.text, full_text(result.item_id))
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_result_lists_every_version_that_generated_it(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -125,7 +125,7 @@
             named = {result.versions for result in results}
             self.assertIn((WeightVersion(1), WeightVersion(2)), named)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_one_version_only_texts_have_a_single_version(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -140,7 +140,7 @@
                 self.assertEqual(len(result.versions), 1)
                 self.assertEqual(result.text, full_text(result.item_id))
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -13,7 +13,7 @@
 from drumbay.batches.records import BatchId, BatchSpec, ItemId, ItemResult, ResultState
 from drumbay.identifiers import WeightVersion
 from drumbay.standins.worker_pool import full_text
-from tests.serving_world import ServingWorld, WorldNode, batch_spec, play, read_all
+from tests.serving_world import ServingWorld, WorldNode, batch_spec, read_all, run_in_world
 
 BATCH = BatchId("batch")
 
@@ -40,7 +40,7 @@
             self.assertEqual(first, second)
             self.assertEqual(len(world.workers.runs), 12)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_repeated_submission_runs_once(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -49,7 +49,7 @@
             await read_all(world.nodes[1].batches, BATCH)
             self.assertEqual(len(world.workers.runs), 12)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_item_bodies_are_served_until_the_end(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -64,14 +64,14 @@
             with self.assertRaises(BatchEndedError):
                 await world.nodes[0].batches.body(BATCH, ItemId("batch-1-2"))
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_batch_job_that_does_not_exist_is_not_found(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             with self.assertRaises(BatchNotFoundError):
                 await world.nodes[0].batches.read(BatchId("none"), 0, 0.0)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_items_of_a_group_share_a_worker(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -85,7 +85,7 @@
                 }
                 self.assertEqual(len(workers), 1)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_poll_right_after_the_submission_does_not_change_the_owner(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -97,7 +97,7 @@
             self.assertEqual([node.batches.owned_count for node in world.nodes], [1, 0])
             self.assertEqual(len(world.workers.runs), 12)
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class ResubmittedItemsTest(unittest.TestCase):
@@ -136,7 +136,7 @@
                 assert first.ended_at is not None
                 self.assertLess(first.ended_at - second.started_at, 0.4)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_partial_texts_of_older_versions_are_generated_again(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -155,7 +155,7 @@
             for item_id in event_counts:
                 self.assertIsNone(world.workers.runs_of(item_id)[-1].resume_after)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_runs_without_reusable_texts_stop_at_the_end(self) -> None:
         """Workers have version 2; the next batch job accepts versions from 2, or only from 3."""
@@ -181,7 +181,7 @@
                 self.assertEqual(len(still_running), 12 if continues else 0)
 
             with self.subTest(named_at_the_end=named_at_the_end):
-                play(scenario)
+                run_in_world(scenario)
 
     def test_runs_of_an_ended_batch_job_stop_after_lingering(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -191,7 +191,7 @@
             await asyncio.sleep(9.0)
             self.assertTrue(all(run.ended_at is not None for run in world.workers.runs))
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class EndTest(unittest.TestCase):
@@ -211,7 +211,7 @@
             self.assertEqual(after.results[: len(before.results)], before.results)
             self.assertEqual(after.total, 80)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_an_unreachable_owner_notices_the_end(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -227,7 +227,7 @@
             self.assertEqual(late, [])
             self.assertEqual(world.nodes[0].batches.owned_count, 0)
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class OwnerLossTest(unittest.TestCase):
@@ -244,7 +244,7 @@
             self.assertEqual(len({result.item_id for result in after}), 40)
             self.assertEqual(world.nodes[1].batches.owned_count, 1)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_restarted_node_reclaims_its_batch_jobs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -254,7 +254,7 @@
             results = await read_all(restarted.batches, BATCH)
             self.assertEqual(len(results), 12)
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
     def test_a_new_owner_resumes_from_saved_progress(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -268,7 +268,7 @@
             resumed = [run for run in world.workers.runs if (run.resume_after or 0) >= 60]
             self.assertEqual(len(resumed), 4)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_restarted_owner_resumes_without_being_called(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -281,7 +281,7 @@
             page = await restarted.batches.read(BATCH, 0, 0.0)
             self.assertEqual(len(page.results), 40)
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
     def test_a_restarted_owner_does_not_reclaim_taken_over_jobs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -299,7 +299,7 @@
                 await restarted.batches.ledger.open_batches_at(world.nodes[1].address), ()
             )
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_new_owner_waits_before_resuming_runs_of_a_live_one(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -317,7 +317,7 @@
                 assert before.ended_at is not None
                 self.assertLess(before.ended_at, run.started_at + 0.4)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_replaced_owner_lists_no_more_results(self) -> None:
         """The old owner is alive but unreachable; both run items, but only one lists results."""
@@ -333,7 +333,7 @@
             world.peers.cut.clear()
             self.assertEqual(await read_all(world.nodes[0].batches, BATCH), results[0])
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
 
 if __name__ == "__main__":
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -20,7 +20,7 @@
 from drumbay.quarantine.service import MAX_SUSPICIONS, SUSPICION_TIMEOUT_SECONDS
 from drumbay.quarantine.stored import MAX_WRITE_DELAY_SECONDS, PREFIX
 from drumbay.standins.worker_pool import EmulatedWorkerPool
-from tests.serving_world import ServingWorld, WorldNode, batch_spec, play, read_all
+from tests.serving_world import ServingWorld, WorldNode, batch_spec, read_all, run_in_world
 
 LOOKUPS = "lookups"
 CRASHING_BODY = b"crashes its worker"
@@ -288,7 +288,7 @@
             self.assertEqual(world.model.range_prefix(PREFIX).items, ())
             self.assertTrue(all(quarantine.is_idle for quarantine in quarantines))
 
-        play(scenario, node_count=2)
+        run_in_world(scenario, node_count=2)
 
     def test_request_that_crashes_its_workers_stops_reaching_them(self) -> None:
         kinds: dict[str, Callable[[ServingWorld], Awaitable[None]]] = {
@@ -304,7 +304,7 @@
         }
         for name, scenario in kinds.items():
             with self.subTest(kind=name):
-                play(scenario, node_count=3, worker_count=6, scorer_count=3)
+                run_in_world(scenario, node_count=3, worker_count=6, scorer_count=3)
 
     def test_request_that_crashes_restarting_workers_stops_reaching_them(
         self,
@@ -325,7 +325,7 @@
         for name, scenario in kinds.items():
             for worker_count in (2, 6) if name == "item" else (6,):
                 with self.subTest(kind=name, workers=worker_count):
-                    play(
+                    run_in_world(
                         scenario,
                         node_count=3,
                         worker_count=worker_count,
@@ -358,7 +358,7 @@
                     route(RequestKind.IDEMPOTENT), request(f"s{number}", b"sound")
                 )
 
-        play(scenario, node_count=2)
+        run_in_world(scenario, node_count=2)
 
     def test_request_on_a_crashed_worker_is_served_by_another(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -380,7 +380,7 @@
                 await crashing
             self.assertEqual(len(world.workers.crashes), 1)
 
-        play(scenario, node_count=2)
+        run_in_world(scenario, node_count=2)
 
     def test_common_request_survives_simultaneous_crash_of_all_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -405,7 +405,7 @@
                     route(RequestKind.IDEMPOTENT), request(f"t{number}", b"sound")
                 )
 
-        play(scenario, node_count=2)
+        run_in_world(scenario, node_count=2)
 
     def test_identical_items_continue_concurrently_after_a_crash(self) -> None:
         """The items of a group sample the same prompt, so they share a path and a body."""
@@ -423,7 +423,7 @@
             results = await read_all(batches, spec.batch_id, GENERATION_SECONDS)
             self.assertEqual(len(results), 12)
 
-        play(scenario, node_count=2, worker_count=6)
+        run_in_world(scenario, node_count=2, worker_count=6)
 
     def test_items_beside_a_crashing_one_complete_in_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -438,7 +438,7 @@
             page = await batches.read(spec.batch_id, 0, 0.0)
             self.assertEqual(len(page.results), len(spec.items) - 1)
 
-        play(scenario, node_count=2, worker_count=6)
+        run_in_world(scenario, node_count=2, worker_count=6)
 
 
 class PlannedStopTest(unittest.TestCase):
@@ -458,7 +458,7 @@
             await node.node.stop()
             self.assertLess(world.clock.monotonic() - stop_began_at, MAX_SHUTDOWN_SECONDS)
 
-        play(scenario, node_count=2, worker_count=6)
+        run_in_world(scenario, node_count=2, worker_count=6)
 
 
 class ItemQuarantineTest(unittest.TestCase):
@@ -478,7 +478,7 @@
             items.record_silence(item.item_id)
             self.assertEqual(quarantine.suspected_requests, 1)
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
 
 class QuarantineTest(unittest.TestCase):
@@ -496,7 +496,7 @@
             self.assertEqual(quarantine.suspected_requests, 1)
             self.assertTrue(quarantine.is_tracked(Fingerprint("later")))
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
     def test_unreachable_worker_counts_as_crashed_once_replaced(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -516,7 +516,7 @@
                 node.quarantine.verdict(Fingerprint("f"), LOOKUPS).consecutive_crashes, 1
             )
 
-        play(scenario, node_count=2)
+        run_in_world(scenario, node_count=2)
 
     def test_worker_reachable_again_withdraws_its_crash(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -537,4 +537,4 @@
             await asyncio.sleep(0.1)
             self.assertFalse(any(fingerprint in each.ledger for each in quarantines))
 
-        play(scenario, node_count=2)
+        run_in_world(scenario, node_count=2)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -31,7 +31,7 @@
 from drumbay.usage.records import WindowLength
 from drumbay.usage.window_clock import WindowClock
 from drumbay.workers.directory import WorkerDirectory
-from tests.serving_world import ServingWorld, play
+from tests.serving_world import ServingWorld, run_in_world
 
 LOOKUPS = "lookups"
 
@@ -67,7 +67,7 @@
     directory.replace_all(workers.entries())
     metrics = ServingMetrics()
     quarantine = Quarantine(
-        clock, directory, workers, TaskOwner(), metrics, tell=lambda notice: None
+        clock, directory, workers, TaskOwner(), metrics, broadcast=lambda notice: None
     )
     address = NetworkAddress("127.0.0.1", 1)
     usage = UsageCounter(WindowClock(clock), WindowLength(5.0), address, "boot")
@@ -106,7 +106,7 @@
             self.assertEqual([a.body for a in answers], [f"r{n}".encode() for n in range(9)])
             self.assertEqual(len(world.workers.runs), 9)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_slow_worker_is_hedged_and_losing_attempt_cancelled(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -118,7 +118,7 @@
             self.assertEqual([run.events for run in world.workers.runs], [0, 1])
             self.assertTrue(all(run.ended_at is not None for run in world.workers.runs))
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_idle_connection_is_preferred_unless_worker_is_slower(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -132,7 +132,7 @@
                 await forwarder.forward(route(), request(f"s{number}"))
             self.assertNotEqual(world.workers.runs[-1].worker_id, "lookup-3")
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_concurrent_requests_are_spread_over_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -143,7 +143,7 @@
             busiest = Counter(run.worker_id for run in world.workers.runs).most_common(1)
             self.assertLessEqual(busiest[0][1], 4)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_unresponsive_worker_is_hedged(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -152,7 +152,7 @@
             await forwarder.forward(route(), request())
             self.assertLess(world.clock.monotonic(), 0.15)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_attempt_limit_bounds_workers_that_run_a_request(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -164,7 +164,7 @@
             self.assertEqual(raised.exception.execution, Execution.MAY_HAVE_RUN)
             self.assertEqual(len(world.workers.runs), 2)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_at_most_once_request_is_not_resent(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -176,7 +176,7 @@
                 await forwarder.forward(once, request())
             self.assertEqual(len(world.workers.runs), 1)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_at_most_once_request_is_resent_after_refusal(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -186,7 +186,7 @@
             await forwarder.forward(route(RequestKind.AT_MOST_ONCE, 1), request())
             self.assertEqual([run.worker_id for run in world.workers.runs], ["lookup-3"])
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_refusal_by_all_workers_reports_not_run(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -199,7 +199,7 @@
             self.assertIsNotNone(raised.exception.retry_after_seconds)
             self.assertLess(world.clock.monotonic(), 0.4)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_deadline_ends_request_and_runs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -214,7 +214,7 @@
                 self.assertLessEqual(run.started_at + run.budget_seconds, 0.5 + 0.01)
                 self.assertIsNotNone(run.ended_at)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_cancelled_request_ends_its_runs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -229,7 +229,7 @@
             for run in world.workers.runs:
                 self.assertIsNotNone(run.ended_at)
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class RouteTableTest(unittest.TestCase):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -11,7 +11,7 @@
 from drumbay.peers.feeds import MAX_AGE_FRACTION
 from drumbay.peers.freshness import VERIFY_FRACTION, VERIFY_JITTER
 from drumbay.peers.pause_detector import PauseDetector
-from tests.serving_world import ServingWorld, WorldNode, play
+from tests.serving_world import ServingWorld, WorldNode, run_in_world
 from tests.test_shared_feeds import KEY, RecordingFeed
 from tests.test_store_follower import SilentStore
 
@@ -68,7 +68,7 @@
             polls = sum(store.polls for store in self.stores) - before
             self.assertLess(polls, MAX_POLLS)
 
-        play(scenario, node_count=0)
+        run_in_world(scenario, node_count=0)
 
     def test_slow_verification_finishes_before_followers_switch(self) -> None:
         in_force_seconds = 3.0
@@ -90,7 +90,7 @@
                         self.assertEqual(found.values[-1:], [b"%d" % number])
 
             with self.subTest(phase=phase):
-                play(scenario, node_count=0)
+                run_in_world(scenario, node_count=0)
 
     def test_candidate_with_a_silent_watch_takes_over_from_a_dead_leader(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -105,7 +105,7 @@
             await asyncio.sleep(MAX_QUIET_SECONDS + 10.0)
             self.assertIsNotNone(candidate.leader.fence(world.clock.monotonic()))
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
     def test_pause_detector_requires_uninterrupted_running_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -124,7 +124,7 @@
             self.assertTrue(pause_detector.has_run_for(0.3))
             ticks.cancel()
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_node_that_cannot_prove_its_copy_says_how_old_it_is(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -136,7 +136,7 @@
             self.assertGreater(node.node.configuration_age_seconds, 4.0)
             self.assertTrue(node.node.may_have_outdated_configuration)
 
-        play(scenario, node_count=0)
+        run_in_world(scenario, node_count=0)
 
 
 if __name__ == "__main__":
--- a/tests/test_lapsed_workers.py
+++ b/tests/test_lapsed_workers.py
@@ -13,7 +13,7 @@
 from drumbay.workers.directory import WorkerDirectory
 from drumbay.workers.event_intervals import INTERVAL_SAMPLES
 from drumbay.workers.records import Worker, WorkerState
-from tests.serving_world import ServingWorld, play
+from tests.serving_world import ServingWorld, run_in_world
 
 PREFIX = "workers/"
 EXPIRED_WORKER = BackendId("worker-1")
@@ -122,7 +122,7 @@
             await asyncio.sleep(5.0)
             self.assertTrue(self.is_known(world))
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_worker_that_stays_away_after_an_outage_is_removed(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -131,7 +131,7 @@
             await asyncio.sleep(MISSING_WORKER_GRACE_SECONDS + 1.5)
             self.assertFalse(self.is_known(world))
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_missing_worker_is_removed_at_once_without_an_outage(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -140,7 +140,7 @@
             await asyncio.sleep(0.5)
             self.assertFalse(self.is_known(world))
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_leader_turns.py
+++ b/tests/test_leader_turns.py
@@ -17,7 +17,7 @@
 )
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.ownership.leader import LAST_LEADER_KEY, LeaderElection, LeaderRecord, LeadershipPolicy
-from tests.serving_world import ServingWorld, WorldNode, play
+from tests.serving_world import ServingWorld, WorldNode, run_in_world
 
 TURN_SECONDS = 3.0
 
@@ -46,7 +46,7 @@
                 if now - ordered_at < TURN_SECONDS:
                     self.assertIsNone(restarted.leader.fence(now))
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class LostResponseTest(unittest.TestCase):
@@ -82,7 +82,7 @@
             self.assertIsNotNone(second.duty_fence(world.clock.monotonic()))
             election_task.cancel()
 
-        play(scenario, node_count=0)
+        run_in_world(scenario, node_count=0)
 
 
 class ResponseLosingStore(MemoryKeyValueStore):
--- a/tests/test_load_parts.py
+++ b/tests/test_load_parts.py
@@ -16,7 +16,7 @@
 from drumbay.peers.messages import PlacesNotice
 from drumbay.serving.load_features import LoadFeature, parse_disabled_parts
 from drumbay.workers.directory import WorkerDirectory
-from tests.serving_world import SERVICE, ServingWorld, play
+from tests.serving_world import SERVICE, ServingWorld, run_in_world
 from tests.test_platform_adapter import SETTINGS
 from tests.test_shared_places import FIRST, SECOND, W1, ManualClock, job
 
@@ -50,7 +50,7 @@
                 )
                 await gate.new_ticket("service", request).acquire()
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_disabled_sharing_ignores_other_jobs(self) -> None:
         """Two jobs of this node compete with one of another owner."""
--- a/tests/test_lookup_forwarding.py
+++ b/tests/test_lookup_forwarding.py
@@ -15,7 +15,7 @@
 from drumbay.usage.records import WindowLength
 from drumbay.usage.window_clock import WindowClock
 from drumbay.workers.records import WorkerLoad
-from tests.serving_world import ServingWorld, play
+from tests.serving_world import ServingWorld, run_in_world
 from tests.test_forwarding import LOOKUPS, request, route
 
 CALLER = "10.9.0.1"
@@ -64,7 +64,7 @@
             await forwarder.forward(route(), lookup("quiet"))
             self.assertEqual(world.workers.runs[-1].worker_id, "lookup-3")
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_failing_worker_gets_few_runs(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -75,7 +75,7 @@
             counts = Counter(run.worker_id for run in world.workers.runs)
             self.assertLessEqual(counts[BackendId("lookup-1")], 2)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_request_failing_everywhere_does_not_penalize_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -88,7 +88,7 @@
             for record in self.directory.of_service(LOOKUPS):
                 self.assertEqual(record.answers.failure_rate(now), 0.0)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_unresponsive_worker_is_avoided_after_one_request(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -103,7 +103,7 @@
             await forwarder.forward(route(), lookup("third"))
             self.assertLess(world.clock.monotonic() - sent_at, 0.05)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_refusing_worker_is_paused_for_one_request_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -118,7 +118,7 @@
             self.assertGreater(record.paused_until, 0.2)
             self.assertTrue(self.has_metric_line('worker_refusals_total{route="lookups"} 1.0'))
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_nodes_without_data_select_different_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -129,7 +129,7 @@
             self.assertEqual(len(counts), 3)
             self.assertLessEqual(max(counts.values()), 16)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_interactive_request_is_hedged_before_background_one(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -149,7 +149,7 @@
                 send.cancel()
             await asyncio.gather(*sends, return_exceptions=True)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_hedge_budget_limits_hedges_when_all_workers_are_slow(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -161,7 +161,7 @@
             self.assertLessEqual(len(world.workers.runs), 100 + 10)
             self.assertTrue(self.has_metric_line('hedges_total{outcome="no_budget"} 90.0'))
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_stalled_connection_is_replaced_without_hedge_budget(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -180,7 +180,7 @@
             send.cancel()
             await asyncio.gather(send, return_exceptions=True)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_at_most_once_request_is_not_hedged(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -190,7 +190,7 @@
             await forwarder.forward(route(RequestKind.AT_MOST_ONCE, attempts=3), lookup("once"))
             self.assertEqual(len(world.workers.runs), 1)
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -10,7 +10,7 @@
 from drumbay.peers.transport import PeerUnavailableError
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.tasks import TaskOwner
-from tests.serving_world import ServingWorld, play
+from tests.serving_world import ServingWorld, run_in_world
 
 NODES = tuple(NetworkAddress(f"10.0.0.{number}", 7000) for number in range(5))
 SLOW = NODES[0]
@@ -86,7 +86,7 @@
             self.assertTrue(loads[0])
             self.assertEqual(loads, [loads[0]] * len(loads))
 
-        play(scenario, node_count=4, worker_count=6, workers_check_fences=True)
+        run_in_world(scenario, node_count=4, worker_count=6, workers_check_fences=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -10,7 +10,7 @@
 from drumbay.identifiers import BackendId, Revision
 from drumbay.kv.interface import KeyValue, WatchEvent
 from drumbay.serving.node import ENTRY_EXPIRY_GAP_SECONDS
-from tests.serving_world import ServingWorld, play
+from tests.serving_world import ServingWorld, run_in_world
 
 SECRET = "secret-of-a-tenant"
 
@@ -195,7 +195,7 @@
                     driver.write("servers/i-1", encode({**VALID_FIELDS, "seq": 5}))
                     self.assertEqual(driver.known_workers, ["i-1", "i-2"])
 
-        play(scenario, node_count=1, worker_count=0)
+        run_in_world(scenario, node_count=1, worker_count=0)
 
     def test_a_snapshot_skips_invalid_entries_and_logs_each_once(self) -> None:
         """Unlike a missing entry, an invalid one gets no grace period after missed changes."""
@@ -216,7 +216,7 @@
                 self.assertEqual(driver.known_workers, known_workers)
             self.assertEqual(len(driver.invalid_entry_logs()), 1)
 
-        play(scenario, node_count=1, worker_count=0)
+        run_in_world(scenario, node_count=1, worker_count=0)
 
     def test_a_restart_in_discovery_reaches_the_directory(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -228,7 +228,7 @@
                 assert record is not None
                 self.assertEqual(record.worker.started_at_ms, start_ms)
 
-        play(scenario, node_count=1, worker_count=0)
+        run_in_world(scenario, node_count=1, worker_count=0)
 
 
 class UnnamedServicesTest(unittest.TestCase):
@@ -252,7 +252,7 @@
             driver.write("op/config", encode({"ver": 2, "routes": [route]}))
             self.assertEqual(driver.workers_in_use, ["i-2", "i-3"])
 
-        play(scenario, node_count=1, worker_count=0)
+        run_in_world(scenario, node_count=1, worker_count=0)
 
     def test_a_worker_that_changes_to_an_unnamed_service_is_out_of_use(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -269,7 +269,7 @@
             driver.write("servers/i-1", encode(VALID_FIELDS))
             self.assertEqual(driver.workers_in_use, ["i-1", "i-2"])
 
-        play(scenario, node_count=1, worker_count=0)
+        run_in_world(scenario, node_count=1, worker_count=0)
 
     def test_snapshots_and_deletions_apply_to_unnamed_services(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -293,7 +293,7 @@
             driver.write("op/config", encode({"ver": 2, "routes": [route]}))
             self.assertEqual(driver.workers_in_use, ["i-4"])
 
-        play(scenario, node_count=1, worker_count=0)
+        run_in_world(scenario, node_count=1, worker_count=0)
 
 
 class OperatorEntriesTest(unittest.TestCase):
@@ -330,4 +330,4 @@
             assert driver.node.routes.current is not None
             self.assertEqual(driver.node.routes.current.version, 2)
 
-        play(scenario, node_count=1, worker_count=0)
+        run_in_world(scenario, node_count=1, worker_count=0)
--- a/tests/test_rewards.py
+++ b/tests/test_rewards.py
@@ -33,9 +33,9 @@
     SERVICE,
     ServingWorld,
     batch_spec,
-    play,
     read_all,
     reward_id,
+    run_in_world,
 )
 
 BATCH = BatchId("batch")
@@ -184,7 +184,7 @@
             self.check_scored(world, results)
             self.assertEqual(len(world.workers.runs), 24)
 
-        play(scenario, scorer_count=2)
+        run_in_world(scenario, scorer_count=2)
 
     def test_a_failing_score_ends_its_item_without_delaying_others(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -195,7 +195,7 @@
             self.assertEqual(dead, [ITEM])
             self.assertEqual(len(world.workers.runs_of(reward_id(ITEM))), 3)
 
-        play(scenario, scorer_count=3)
+        run_in_world(scenario, scorer_count=3)
 
     def test_items_survive_lost_responses_and_full_scorers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -209,7 +209,7 @@
                 world.workers[f"scorer-{number}"].faults.full = False
             self.check_scored(world, await read_all(world.nodes[0].batches, BATCH))
 
-        play(scenario, scorer_count=3)
+        run_in_world(scenario, scorer_count=3)
 
     def test_scoring_waits_for_a_missing_route(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -222,7 +222,7 @@
             world.nodes[0].node.apply_configuration(again)
             self.check_scored(world, await read_all(world.nodes[0].batches, BATCH))
 
-        play(scenario, scorer_count=2)
+        run_in_world(scenario, scorer_count=2)
 
     def test_concurrent_reward_requests_stay_within_the_slot_share(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -241,7 +241,7 @@
             self.assertGreater(peak_open_calls, 0)
             self.assertLessEqual(peak_open_calls, limit)
 
-        play(scenario, scorer_count=1)
+        run_in_world(scenario, scorer_count=1)
 
     def test_no_reward_request_is_sent_after_the_end(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -256,7 +256,7 @@
             self.assertEqual([c for c in calls if c.started_at > ended_at + 0.1], [])
             self.assertTrue(all((c.ended_at or 99.0) < ended_at + 0.1 for c in calls))
 
-        play(scenario, scorer_count=1)
+        run_in_world(scenario, scorer_count=1)
 
     def test_a_new_owner_scores_complete_texts_without_rerunning_them(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -275,7 +275,7 @@
                 self.assertEqual(requests_before.count(result.item_id), 1)
                 self.assertEqual(len(world.workers.runs_of(result.item_id)), 1)
 
-        play(scenario, scorer_count=1)
+        run_in_world(scenario, scorer_count=1)
 
     def test_after_a_takeover_the_oldest_batch_job_still_goes_first(self) -> None:
         """The order of reward requests survives a takeover: it follows the submission."""
@@ -304,7 +304,7 @@
                 self.assertAlmostEqual(time, submitted_at, delta=0.2)
 
         with patch.object(RewardScorer, "score", recording_score):
-            play(scenario, scorer_count=1)
+            run_in_world(scenario, scorer_count=1)
 
 
 if __name__ == "__main__":
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -15,7 +15,7 @@
     WorkerCountPlanner,
 )
 from drumbay.scaling.records import ServiceScaling, ServiceZone, ZoneWorkers
-from tests.serving_world import SERVICE, ServingWorld, play
+from tests.serving_world import SERVICE, ServingWorld, run_in_world
 
 NEAR, FAR = ServiceZone(SERVICE, "near"), ServiceZone(SERVICE, "far")
 SCALING = ServiceScaling(
@@ -117,7 +117,7 @@
             self.assertEqual(call.count, WorkerCount(service=SERVICE, zone="zone-1", workers=3))
             self.assertNotEqual(call.token.holder, str(leader.address))
 
-        play(scenario, node_count=3, worker_count=3, orders_workers=True)
+        run_in_world(scenario, node_count=3, worker_count=3, orders_workers=True)
 
     def test_nothing_is_ordered_without_the_duty(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -127,7 +127,7 @@
             await asyncio.sleep(20.0)
             self.assertEqual(world.duties.calls, [])
 
-        play(scenario, node_count=3, worker_count=3)
+        run_in_world(scenario, node_count=3, worker_count=3)
 
 
 class ConfigurationTest(unittest.TestCase):
--- a/tests/test_serving_simulation.py
+++ b/tests/test_serving_simulation.py
@@ -20,7 +20,7 @@
 from drumbay.identifiers import WeightVersion
 from drumbay.standins.kv_faults import KeyValueFaults
 from drumbay.standins.worker_log import WorkerFaults
-from tests.serving_world import ServingWorld, WorldNode, batch_spec, play, reward_id
+from tests.serving_world import ServingWorld, WorldNode, batch_spec, reward_id, run_in_world
 
 SEEDS = range(1, 41)
 FAULTY_SECONDS = 40.0
@@ -247,7 +247,7 @@
                 return violations
 
             with self.subTest(seed=seed):
-                self.assertEqual(play(scenario, node_count=NODES, scorer_count=3), [])
+                self.assertEqual(run_in_world(scenario, node_count=NODES, scorer_count=3), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_shared_feeds.py
+++ b/tests/test_shared_feeds.py
@@ -9,7 +9,7 @@
 from drumbay.kv.mirror import MAX_HISTORY_EVENTS, FeedCursor, FeedMirror, PrefixFeed
 from drumbay.peers.watchers import RegisteredNode, WatcherRanking
 from drumbay.standins.kv_faults import KeyValueFaults
-from tests.serving_world import ServingWorld, WorldNode, play
+from tests.serving_world import ServingWorld, WorldNode, run_in_world
 from tests.test_store_follower import SilentStore
 
 NODES = 20
@@ -171,7 +171,7 @@
             # Heartbeats of watchers and followers, the leader's lease, and changes at 3 watchers.
             self.assertLess(world.model.injector.arrived - before, 10 * (9 + 7 + 1 + 3 * 2) + 20)
 
-        play(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODES)
 
     def test_simultaneous_start_takes_few_store_calls(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -181,7 +181,7 @@
             # Each node: lease, entry, node list, 2 renewals. Watchers also: snapshots, watches.
             self.assertLess(world.model.injector.arrived, NODES * 5 + 3 * 20)
 
-        play(scenario, node_count=NODES, settle_seconds=1.0)
+        run_in_world(scenario, node_count=NODES, settle_seconds=1.0)
 
     def test_followers_leave_a_dead_watcher(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -191,7 +191,7 @@
             await asyncio.sleep(IN_FORCE_SECONDS)
             self.assert_in_force(seen[1:], b"1")
 
-        play(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODES)
 
     def test_followers_leave_a_watcher_cut_off_from_the_store(self) -> None:
         """Cut off at several points between two heartbeats."""
@@ -209,7 +209,7 @@
                 self.assert_in_force(seen, b"1")
 
             with self.subTest(phase=phase):
-                play(scenario, node_count=NODES)
+                run_in_world(scenario, node_count=NODES)
 
     def test_followers_watch_when_all_watchers_are_dead(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -226,7 +226,7 @@
             self.assert_in_force(seen[3:], b"2")
             self.assertLess(world.model.injector.arrived - before, 50)
 
-        play(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODES)
 
     def test_followers_watch_when_no_watcher_reaches_the_store(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -237,7 +237,7 @@
             await asyncio.sleep(ALL_WATCHERS_LOST_SECONDS + 1.0)
             self.assert_in_force(seen[3:], b"1")
 
-        play(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODES)
 
     def test_data_survives_an_outage_and_changes_arrive_after_it(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -254,7 +254,7 @@
             for found in seen:
                 self.assertEqual(found.values, sorted(found.values))
 
-        play(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODES)
 
     def test_outage_for_all_nodes_takes_few_calls(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -270,7 +270,7 @@
             # Bounded by the backoff of retries; most calls are retries of three watchers.
             self.assertLess(calls, 540)
 
-        play(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODES)
 
     def test_nodes_that_restart_in_an_outage_recover_after_it(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -290,7 +290,7 @@
             now = world.clock.monotonic()
             self.assertTrue(any(node.leader.fence(now) for node in world.nodes))
 
-        play(scenario, node_count=NODES, workers_check_fences=True)
+        run_in_world(scenario, node_count=NODES, workers_check_fences=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -25,7 +25,7 @@
 from drumbay.usage.window_clock import WindowClock
 from drumbay.workers.directory import WorkerDirectory
 from drumbay.workers.records import Worker, WorkerRequest
-from tests.serving_world import ServingWorld, batch_spec, play
+from tests.serving_world import ServingWorld, batch_spec, run_in_world
 
 SERVICE = "lookups"
 WORKERS = 3
@@ -77,7 +77,7 @@
                 self.client,
                 TaskOwner(),
                 ServingMetrics(),
-                tell=lambda notice: None,
+                broadcast=lambda notice: None,
             ),
             "",
         )
@@ -170,7 +170,7 @@
                 self.assertGreater(run.resume_after or 0, 0)
                 self.assertGreater(run.started_at - silent_since, WORKER_SILENCE_SECONDS)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_worker_unreachable_over_new_connection_is_paused(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -184,7 +184,7 @@
             self.assertGreater(len(later), 0)
             self.assertNotIn("worker-1", {run.worker_id for run in later})
 
-        play(scenario, worker_count=4)
+        run_in_world(scenario, worker_count=4)
 
     def test_worker_that_responds_but_sends_no_events_is_paused(self) -> None:
         """It stalls twice in a row, the second time over new connections."""
@@ -200,7 +200,7 @@
             later = world.workers.runs[before:]
             self.assertNotIn("worker-1", {run.worker_id for run in later})
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -21,7 +21,7 @@
 from drumbay.simulation.outside_clock import OutsideClock
 from drumbay.standins.kv_faults import KeyValueFaults
 from drumbay.standins.kv_model import KeyValueModel
-from tests.serving_world import ServingWorld, WorldNode, play
+from tests.serving_world import ServingWorld, WorldNode, run_in_world
 
 IN_FORCE_SECONDS = 2.0
 
@@ -105,7 +105,7 @@
                 await asyncio.sleep(0.2)
                 self.assertEqual(seen.values, {"config/a": str(number).encode()})
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_watch_that_fell_silent_is_replaced_in_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -119,7 +119,7 @@
             await asyncio.sleep(IN_FORCE_SECONDS)
             self.assertEqual(seen.values, {"config/a": b"new"})
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_watch_that_alone_fell_silent_is_replaced_in_time(self) -> None:
         """Silenced at several points of a watch, while the heartbeat and new watches work.
@@ -138,7 +138,7 @@
                 self.assertEqual(seen.values, {"config/a": b"new"})
 
             with self.subTest(phase=phase):
-                play(scenario)
+                run_in_world(scenario)
 
     def test_disconnected_node_gets_changes_through_others(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -150,7 +150,7 @@
             await asyncio.sleep(IN_FORCE_SECONDS)
             self.assertEqual(seen.values, {"config/a": b"new"})
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_a_node_that_alone_is_cut_off_says_so_once(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -171,7 +171,7 @@
             self.assertEqual(events["store_lost", "config/"], 1)
             self.assertEqual(events["store_regained", "config/"], 1)
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_changes_arrive_after_their_history_was_compacted(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -184,7 +184,7 @@
             await asyncio.sleep(IN_FORCE_SECONDS)
             self.assertEqual(seen.values, {"config/a": b"2"})
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_data_is_kept_during_an_outage(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -199,7 +199,7 @@
             await asyncio.sleep(IN_FORCE_SECONDS)
             self.assertEqual(seen.values, {"config/a": b"2"})
 
-        play(scenario)
+        run_in_world(scenario)
 
     def test_idle_followers_make_few_store_calls(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -210,7 +210,7 @@
             # one age-relevant mirror, at least 0.56 s apart.
             self.assertLess(world.model.injector.arrived - before, 2 * 60 + 60 + 107 + 20)
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class DirectClockTest(unittest.TestCase):
@@ -229,7 +229,7 @@
             self.assertEqual(seen.values, {"config/a": b"1"})
             task.cancel()
 
-        play(scenario)
+        run_in_world(scenario)
 
 
 class RenewalTest(unittest.TestCase):
@@ -278,7 +278,7 @@
             for task in tasks:
                 task.cancel()
 
-        play(scenario, node_count=0)
+        run_in_world(scenario, node_count=0)
 
 
 if __name__ == "__main__":
--- a/tests/test_stored_results.py
+++ b/tests/test_stored_results.py
@@ -19,7 +19,7 @@
 from drumbay.identifiers import Revision, WeightVersion
 from drumbay.kv.interface import RangeResult
 from drumbay.kv.memory import MemoryKeyValueStore
-from tests.serving_world import ServingWorld, batch_spec, play
+from tests.serving_world import ServingWorld, batch_spec, run_in_world
 
 BATCH = BatchId("batch")
 TOTAL = 200
@@ -69,7 +69,7 @@
             page = await ledger.read_results(BATCH, position, TOTAL, PAGE_BYTES)
             return page, store.read_bytes
 
-        return play(scenario)
+        return run_in_world(scenario)
 
     async def list_results(self, ledger: BatchLedger) -> Revision | None:
         spec = msgspec.structs.replace(batch_spec(), batch_id=BATCH)
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -30,7 +30,7 @@
 from drumbay.standins.kv_model import KeyValueModel
 from drumbay.standins.worker_pool import EmulatedWorkerPool
 from drumbay.usage.window_clock import WindowClock
-from tests.serving_world import LoopbackPeers, ServingWorld, WorldNode, play
+from tests.serving_world import LoopbackPeers, ServingWorld, WorldNode, run_in_world
 from tests.test_crashing_requests import LOOKUPS, request, route
 from tests.test_forwarding import forwarder_of
 from tests.test_shared_feeds import RecordingFeed
@@ -229,4 +229,4 @@
             self.assertTrue(peers.is_suspended)
             self.assertGreaterEqual(follower.node.configuration_age_seconds, SUSPENDED_SECONDS)
 
-        play(scenario, node_count=16)
+        run_in_world(scenario, node_count=16)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -19,7 +19,7 @@
 from drumbay.usage.schedule import ReportSchedule
 from drumbay.usage.service import UsageSettings
 from drumbay.usage.window_clock import JUMP_HOLD_SECONDS, WindowClock
-from tests.serving_world import ServingWorld, WorldNode, play
+from tests.serving_world import ServingWorld, WorldNode, run_in_world
 
 LENGTH = WindowLength(5.0)
 NORTH, SOUTH = TenantName("north"), TenantName("south")
@@ -237,7 +237,7 @@
                 end = LENGTH.end_of(WindowNumber(call.report.window))
                 self.assertLess(call.at + offset, end + 10.0)
 
-        play(scenario, node_count=3, usage=UsageSettings())
+        run_in_world(scenario, node_count=3, usage=UsageSettings())
 
     def test_nodes_that_follow_watchers_are_counted(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -246,7 +246,7 @@
             await asyncio.sleep(12.0)
             self.check_reports(world)
 
-        play(scenario, node_count=20, settle_seconds=1.0, usage=UsageSettings())
+        run_in_world(scenario, node_count=20, settle_seconds=1.0, usage=UsageSettings())
 
     def test_new_leader_does_not_repeat_reports_or_alternate(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -259,7 +259,7 @@
             self.check_reports(world, lost_windows=1)
             self.assertEqual(len({call.token.holder for call in world.duties.calls}), 2)
 
-        play(scenario, node_count=3, usage=UsageSettings())
+        run_in_world(scenario, node_count=3, usage=UsageSettings())
 
     def test_platform_outage_delays_reports_without_loss(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -274,7 +274,7 @@
             await asyncio.sleep(16.0)
             self.check_reports(world)
 
-        play(scenario, node_count=3, usage=UsageSettings())
+        run_in_world(scenario, node_count=3, usage=UsageSettings())
 
     def test_reports_survive_store_outage_with_all_processes_killed(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -294,7 +294,7 @@
             # The requests of the last seconds before the kill were known to no other process.
             self.check_reports(world, lost_windows=1)
 
-        play(scenario, node_count=3, usage=UsageSettings())
+        run_in_world(scenario, node_count=3, usage=UsageSettings())
 
     def test_new_leader_delivers_final_reports(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -308,7 +308,7 @@
             await asyncio.sleep(14.0)
             self.check_reports(world, lost_windows=1)
 
-        play(scenario, node_count=3, usage=UsageSettings())
+        run_in_world(scenario, node_count=3, usage=UsageSettings())
 
     def test_new_leader_waits_for_a_turn_even_with_fencing(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -328,7 +328,7 @@
             assert led_since is not None
             self.assertAlmostEqual(now - led_since, TURN_SECONDS, delta=0.1)
 
-        play(scenario, node_count=3, usage=UsageSettings(), workers_check_fences=True)
+        run_in_world(scenario, node_count=3, usage=UsageSettings(), workers_check_fences=True)
 
     def test_higher_fence_at_platform_ends_leadership(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -342,7 +342,7 @@
             self.assertNotEqual(leader.leader.fence(world.clock.monotonic()), before)
             self.assertEqual(len(world.duties.refused), 1)
 
-        play(scenario, node_count=3, usage=UsageSettings())
+        run_in_world(scenario, node_count=3, usage=UsageSettings())
 
 
 class ForwarderUsageTest(unittest.TestCase):
@@ -357,7 +357,7 @@
                 await node.node.forwarder.forward(ROUTE, lookup("r", NORTH))
             self.assertEqual(counter.report().windows, ())
 
-        play(scenario, usage=UsageSettings())
+        run_in_world(scenario, usage=UsageSettings())
 
 
 if __name__ == "__main__":
--- a/tests/test_version_loading.py
+++ b/tests/test_version_loading.py
@@ -10,7 +10,7 @@
 from drumbay.weights.version_planner import LoadPolicy, VersionPlanner
 from drumbay.workers.directory import WorkerDirectory
 from drumbay.workers.records import OrderOutcome
-from tests.serving_world import ServingWorld, WorldNode, play
+from tests.serving_world import ServingWorld, WorldNode, run_in_world
 
 LEASE_SECONDS = 3.0
 
@@ -88,7 +88,7 @@
                 self.assertEqual(entry.versions["m"], 4)
             self.assertEqual(len({logged.order.holder for logged in world.workers.orders}), 1)
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
     def test_successor_waits_for_the_lease_to_expire(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -119,7 +119,7 @@
             for entry in world.workers.entries():
                 self.assertEqual(entry.versions["m"], 3)
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
     def test_with_fence_checks_successor_waits_only_for_recently_ordered_workers(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -150,7 +150,7 @@
             ]
             self.assertLess(min(first_at_other_workers) - now, 2.8)
 
-        play(scenario, node_count=3, worker_count=6, workers_check_fences=True)
+        run_in_world(scenario, node_count=3, worker_count=6, workers_check_fences=True)
 
     def test_successor_of_a_resigned_leader_waits_for_the_lease(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -174,7 +174,7 @@
                 orders[first_by_successor].at - orders[first_by_successor - 1].at, LEASE_SECONDS
             )
 
-        play(scenario, node_count=3)
+        run_in_world(scenario, node_count=3)
 
     def test_restarted_leader_resumes_immediately_with_a_newer_fence(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -189,7 +189,7 @@
             assert before is not None and after is not None
             self.assertGreater(after, before)
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
     def test_leader_gives_no_orders_after_its_lease_expired_in_an_outage(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -204,7 +204,7 @@
             await asyncio.sleep(25.0)
             self.assertEqual(len(world.workers.orders), 3)
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
 
 class LateOrderTest(unittest.TestCase):
@@ -224,7 +224,7 @@
             outcomes = [o.outcome for o in world.workers.orders if o.worker_id == "worker-1"]
             self.assertIn(OrderOutcome.CONFLICT, outcomes)
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_bodies.py
+++ b/tests/test_worker_bodies.py
@@ -14,7 +14,7 @@
     may_send_body,
 )
 from drumbay.workers.records import WorkerResponse
-from tests.serving_world import ServingWorld, play
+from tests.serving_world import ServingWorld, run_in_world
 from tests.test_forwarding import LOOKUPS, forwarder_of, request, route
 
 
@@ -59,7 +59,7 @@
             mock.patch.object(worker_bodies, "MAX_BODY_BYTES_PER_WORKER", 10),
             mock.patch.object(worker_bodies, "SMALL_BODY_BYTES", 0),
         ):
-            play(scenario)
+            run_in_world(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_demand.py
+++ b/tests/test_worker_demand.py
@@ -33,7 +33,7 @@
 )
 from drumbay.scaling.records import ServiceScaling, ServiceZone, ZoneWorkers
 from drumbay.scaling.spread import ZoneBounds, add_workers, remove_worker
-from tests.serving_world import MODEL, SERVICE, ServingWorld, batch_spec, play
+from tests.serving_world import MODEL, SERVICE, ServingWorld, batch_spec, run_in_world
 
 SLOTS_PER_WORKER = 6
 CHEAP, MID_PRICE, EXPENSIVE = (ServiceZone(SERVICE, zone) for zone in ("a", "b", "c"))
@@ -306,7 +306,7 @@
             await asyncio.sleep(REPLY_LIFETIME_SECONDS)
             self.assertEqual(await collected_jobs(), ["near", "own"])
 
-        play(scenario, node_count=1)
+        run_in_world(scenario, node_count=1)
 
 
 def start_with_scaling(world: ServingWorld) -> None:
@@ -331,7 +331,7 @@
             (call,) = world.duties.calls
             self.assertEqual(call.count, WorkerCount(service=SERVICE, zone="zone-1", workers=5))
 
-        play(scenario, worker_count=3, orders_workers=True)
+        run_in_world(scenario, worker_count=3, orders_workers=True)
 
     def test_leader_collects_demand_and_successor_keeps_the_count(self) -> None:
         """A batch job of another node exceeds the capacity; then the leader is killed."""
@@ -354,7 +354,7 @@
             self.assertTrue(all(count >= call.count.workers for count in later))
             self.assertTrue(later)
 
-        play(scenario, node_count=3, worker_count=3, orders_workers=True)
+        run_in_world(scenario, node_count=3, worker_count=3, orders_workers=True)
 
     def test_node_with_a_stale_fence_orders_nothing(self) -> None:
         """Its lease is still valid by its own clock, but the store has another leader."""
@@ -369,7 +369,7 @@
             await asyncio.sleep(3.0)
             self.assertEqual(world.duties.calls, [])
 
-        play(scenario, node_count=1, orders_workers=True)
+        run_in_world(scenario, node_count=1, orders_workers=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -36,7 +36,7 @@
 from drumbay.workers.records import Worker, WorkerLoad, WorkerState, WorkerStatus
 from drumbay.workers.silence_check import CHECK_SECONDS, MIN_SILENT_RUNS, SilenceCheck
 from drumbay.workers.worker_record import WorkerRecord
-from tests.serving_world import MODEL, SERVICE, ServingWorld, play
+from tests.serving_world import MODEL, SERVICE, ServingWorld, run_in_world
 
 WORKER = BackendId("w")
 REQUEST = Fingerprint("request")
@@ -368,7 +368,7 @@
             await asyncio.sleep(0.1)
             self.assertEqual(fixture.crash_count, 0)
             fixture.receive_crash(started_at_ms=0)
-            incarnation = fixture.first.worker.start
+            incarnation = fixture.first.worker.incarnation
             fixture.quarantine.handle_notice(
                 WorkerProvedAlive(worker_id=WORKER, started_at_ms=incarnation.started_at_ms)
             )
@@ -479,7 +479,7 @@
             worker_id=WORKER, kind=WorkerKind(service="s", release="r"), began_at=1.0, ended_at=2.0
         )
         (found,) = msgspec.msgpack.decode(msgspec.msgpack.encode((old,)), type=tuple[StoredCrash])
-        self.assertEqual(found.incarnation, worker(0).start)
+        self.assertEqual(found.incarnation, worker(0).incarnation)
 
 
 class LoadsTest(unittest.TestCase):
@@ -504,7 +504,7 @@
             await asyncio.sleep(1.0)
             self.assertEqual(world.workers["worker-1"].versions[MODEL], 2)
 
-        play(scenario, node_count=2, worker_count=1, workers_keep_ids=True)
+        run_in_world(scenario, node_count=2, worker_count=1, workers_keep_ids=True)
 
     def test_load_ends_when_its_worker_is_dropped(self) -> None:
         """The returning worker is new to the directory, so no restart is reported."""
@@ -522,7 +522,7 @@
             await asyncio.sleep(8.0)
             self.assertEqual(world.workers["worker-1"].versions[MODEL], 2)
 
-        play(scenario, node_count=1, worker_count=1, workers_keep_ids=True)
+        run_in_world(scenario, node_count=1, worker_count=1, workers_keep_ids=True)
 
     def test_worker_removed_during_its_status_call_gets_no_order(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -543,7 +543,7 @@
             await asyncio.sleep(1.0)
             self.assertEqual(world.workers.orders, [])
 
-        play(scenario, node_count=1, worker_count=1)
+        run_in_world(scenario, node_count=1, worker_count=1)
 
     def test_end_of_a_load_does_not_end_a_later_one(self) -> None:
         planner = VersionPlanner(LoadPolicy())
@@ -585,7 +585,7 @@
                 node._take_notices((changed,))
                 self.assertEqual(len(record.loads), loads)
 
-        play(scenario, node_count=1, worker_count=1, workers_keep_ids=True)
+        run_in_world(scenario, node_count=1, worker_count=1, workers_keep_ids=True)
 
 
 class SilenceCheckTest(unittest.TestCase):
