--- a/drumbay/forwarding/forwarder.py
+++ b/drumbay/forwarding/forwarder.py
@@ -1,8 +1,8 @@
 """Forwards a client request to workers, with retries, hedging and a deadline.
 
 Idempotent requests are sent to at most ``route.attempts`` workers; the first complete response wins
-and the other attempts are cancelled. At-most-once requests are resent only after a worker has
-proven that it did not run the request.
+and the other attempts are cancelled. At-most-once requests are resent only if the previous
+worker certainly did not run the request.
 """
 
 import asyncio
@@ -67,10 +67,10 @@
 """Polling interval while no attempt is in flight and no worker is free."""
 
 MISDIRECTED_PAUSE_SECONDS = 5.0
-"""Pause for an address that now serves another worker, until discovery catches up."""
+"""Pause for a worker whose address now serves another one, until discovery is updated."""
 
 QUARANTINE_POLL_SECONDS = 0.02
-"""Polling interval while the quarantine checks whether a worker died running the request."""
+"""Polling interval while the quarantine checks whether a request crashed its worker."""
 
 
 class Forwarder:
@@ -130,7 +130,7 @@
             forwarding.log_failure(error)
             raise
         finally:
-            forwarding.close(is_answered=outcome == "answered")
+            forwarding.close(has_succeeded=outcome == "answered")
             if ticket is not None and request.tenant is not None:
                 self._usage.close(ticket, request.tenant, forwarding.first_run_at)
             self.metrics.count_request(route.name, outcome, self.clock.monotonic() - started_at)
@@ -186,8 +186,8 @@
 
         self._attempts: dict[asyncio.Task[WorkerResponse], _Attempt] = {}
         self.first_run_at: float | None = None
-        """Monotonic time of the earliest send that may have run; final once the request is
-        answered."""
+        """Monotonic time of the earliest send that may have run; final once the request
+        has finished."""
 
         self._send_count = 0
         self._refusal_count = 0
@@ -229,7 +229,7 @@
                 raise self._forwarding_error(timed_out=False)
 
     def _needs_readmission(self, now: float) -> bool:
-        """Return whether workers refused the request and it should wait for admission again."""
+        """Return whether the request should queue for admission again after refusals by workers."""
         if not self._is_service_full or self._attempts or not self._has_not_run():
             return False
         if not self._admission.is_limited:
@@ -299,16 +299,16 @@
             worker_failures=self._worker_failures,
         )
 
-    def close(self, *, is_answered: bool) -> None:
+    def close(self, *, has_succeeded: bool) -> None:
         """Cancel attempts in flight; their workers stop processing.
 
-        If no worker has answered, the quarantine is told about the workers that were still running
-        it.
+        Unless the request has succeeded, the workers that were still running it are reported to
+        the quarantine.
         """
         for task, attempt in self._attempts.items():
             self._record_run_start(attempt)
             task.cancel()
-            if not is_answered:
+            if not has_succeeded:
                 self._quarantine.record_unanswered_run(
                     self._fingerprint,
                     self._request.request_id,
@@ -322,7 +322,7 @@
             self.first_run_at = attempt.sent_at
 
     def log_success(self, response: WorkerResponse) -> None:
-        """Log the response and why its worker was selected."""
+        """Log the response, the attempts made and the expected latency of the selected worker."""
         choice = self._successful_attempt.choice if self._successful_attempt is not None else None
         log_served(self._trace(), response.status, choice)
 
@@ -534,8 +534,8 @@
                     self._request.request_id, RETRY_AFTER_SECONDS, remaining_seconds
                 ),
             )
-        kind = RequestTimedOutError if timed_out else ResponseLostError
-        return kind(
+        error_class = RequestTimedOutError if timed_out else ResponseLostError
+        return error_class(
             "no whole answer came",
             execution=Execution.MAY_HAVE_RUN,
             worker_failures=self._worker_failures,
--- a/drumbay/forwarding/hedge_timing.py
+++ b/drumbay/forwarding/hedge_timing.py
@@ -1,6 +1,6 @@
 """Decides when a hedge (a second copy of a request) is sent.
 
-A hedge goes out once the request has waited longer than nearly all requests of its route take, as
+A hedge is sent once the request has waited longer than nearly all requests of its route take, as
 in Dean and Barroso, "The Tail at Scale" (CACM 56(2), 2013). A budget limits hedges to a share of
 the node's requests, since they only add load when all workers are slow.
 """
@@ -22,7 +22,7 @@
 
 STALLED_CONNECTION_TARGET_SHARE = 1.0
 """Share of the target after which a reused connection without a response counts as stalled. The
-request is then resent over a new connection even if the hedge budget is spent."""
+request is then resent over a new connection even if the hedge budget is used up."""
 
 BUDGET_POLICY = RetryBudgetPolicy(retry_ratio=0.1, min_retries_per_second=0.5, max_balance=10.0)
 """Hedge budget. Interactive and background requests have separate budgets, so that a burst of
@@ -52,7 +52,7 @@
         self._budget_of(is_interactive).record_request(now)
 
     def try_withdraw(self, now: float, *, is_interactive: bool) -> bool:
-        """Withdraw one hedge from the budget; return false if it is spent."""
+        """Take one hedge from the budget; return false if the budget is used up."""
         return self._budget_of(is_interactive).try_withdraw(now)
 
     def _budget_of(self, is_interactive: bool) -> RetryBudget:
--- a/drumbay/forwarding/records.py
+++ b/drumbay/forwarding/records.py
@@ -55,7 +55,7 @@
 
 
 class RewardOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Order of reward requests: oldest batch job first, then the lowest priority value."""
+    """Queueing order of reward requests: oldest batch job first, then the lowest priority value."""
 
     batch_started_at: float
     batch_priority: int
--- a/drumbay/forwarding/request_log.py
+++ b/drumbay/forwarding/request_log.py
@@ -27,7 +27,7 @@
 
 
 def log_served(trace: RequestTrace, status: int, choice: ChosenWorker | None) -> None:
-    """Log a response, the attempts made and why its worker was selected."""
+    """Log a response, the attempts made and the expected latency of the selected worker."""
     log_event(
         "request_served",
         request=trace.request_id,
--- a/drumbay/forwarding/routes.py
+++ b/drumbay/forwarding/routes.py
@@ -28,7 +28,7 @@
     """Settings for requests to one host below one path prefix.
 
     Public routes need no API key. ``priority`` 0 is the most urgent. ``due_seconds`` is the time
-    after the submission of a batch job within which all results are due, or ``None``.
+    from the submission of a batch job until all its results are due, ``None`` without a due time.
     """
 
     name: str
@@ -58,9 +58,9 @@
 class RoutingConfiguration(msgspec.Struct, frozen=True, kw_only=True):
     """One version of the routing configuration.
 
-    ``keys`` is ``None`` if no tenants are configured; no request needs an API key then. ``scaling``
-    lists the services whose worker count is managed, ``services`` those declared in addition to the
-    ones that routes refer to.
+    ``keys`` is ``None`` if no tenants are configured, so that no request needs an API key.
+    ``scaling`` lists the services whose worker count is managed, ``services`` those declared in
+    addition to the ones that routes refer to.
     """
 
     version: int
@@ -101,7 +101,10 @@
         return frozenset(priority_levels)
 
     def batches_need_key(self, host: str) -> bool:
-        """Return whether batch requests need a key: not if all rollout routes are public."""
+        """Return whether batch requests need a key.
+
+        They need none if all rollout routes of the host are public.
+        """
         routes = [r for r in self._routes_of_host(host) if r.kind is RequestKind.ROLLOUT]
         return not routes or not all(route.is_public for route in routes)
 
--- a/drumbay/forwarding/worker_call.py
+++ b/drumbay/forwarding/worker_call.py
@@ -1,4 +1,4 @@
-"""Sends a request to a worker and records what the outcome says about the worker."""
+"""Sends a request to a worker and records its latency and load."""
 
 import asyncio
 
--- a/drumbay/forwarding/worker_choice.py
+++ b/drumbay/forwarding/worker_choice.py
@@ -24,7 +24,8 @@
 from drumbay.workers.response_stats import decay_weight
 
 NEW_CONNECTION_FACTOR = 1.25
-"""Factor on the expected latency of workers without an idle connection; limits reconnects."""
+"""Factor on the expected latency of workers without an idle connection; limits the
+number of new connections."""
 
 CONNECT_SECONDS = 0.002
 """Time to open a connection."""
@@ -33,7 +34,7 @@
 """Round trip to another zone."""
 
 COST_RESOLUTION_SECONDS = 0.001
-"""Costs are rounded to this; among equals, the least recently used worker is selected."""
+"""Costs are rounded to this; of workers with equal cost the least recently used is selected."""
 
 CONTENTION_THRESHOLD = 0.5
 CONTENTION_SLOWDOWN = 0.5
@@ -52,7 +53,7 @@
 
 
 class WorkerSnapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """What a node knows about one worker.
+    """A node's current data about one worker.
 
     ``own_requests`` counts the node's requests in flight there; ``other_requests`` and ``slowdown``
     come from the last load report, received at ``reported_at``. ``relative_latency`` is the
@@ -122,7 +123,7 @@
 def refusal_backoff_seconds(snapshot: WorkerSnapshot, typical_seconds: float, now: float) -> float:
     """Return for how long a worker that has refused a request counts as full.
 
-    Its slots and queue were full. After one request's time each slot has become free once.
+    The backoff is the duration of one request, after which each slot has been freed once.
     """
     service_seconds = (
         typical_seconds * snapshot.relative_latency * _estimated_slowdown(snapshot, now)
--- a/drumbay/forwarding/worker_picker.py
+++ b/drumbay/forwarding/worker_picker.py
@@ -20,7 +20,7 @@
 
 
 class SendCriteria(msgspec.Struct, frozen=True, kw_only=True):
-    """What a worker is selected for.
+    """Constraints on the worker for the next attempt.
 
     ``tried`` workers have already received the request; ``avoided_workers`` must not receive it.
     """
@@ -39,7 +39,7 @@
         self,
         directory: WorkerDirectory,
         client: WorkerClient,
-        timing: HedgeTiming,
+        hedge_timing: HedgeTiming,
         zone: str,
         machine: str,
     ) -> None:
@@ -49,7 +49,7 @@
         """
         self._directory = directory
         self._client = client
-        self._timing = timing
+        self._hedge_timing = hedge_timing
         self._zone = zone
         self._machine = machine
 
@@ -85,7 +85,7 @@
 
     def typical_seconds(self, route: Route) -> float:
         """Return the typical latency of a route."""
-        return self._timing.typical_seconds(route.name, route.target_seconds)
+        return self._hedge_timing.typical_seconds(route.name, route.target_seconds)
 
     def _snapshot_of(self, record: WorkerRecord, now: float) -> WorkerSnapshot:
         return WorkerSnapshot(
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -100,10 +100,12 @@
     def test_each_response_belongs_to_its_request(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(forwarder.forward(route(), request(f"r{number}")) for number in range(9))
             )
-            self.assertEqual([a.body for a in answers], [f"r{n}".encode() for n in range(9)])
+            self.assertEqual(
+                [response.body for response in responses], [f"r{n}".encode() for n in range(9)]
+            )
             self.assertEqual(len(world.workers.runs), 9)
 
         play(scenario)
@@ -171,9 +173,9 @@
             forwarder = self.forwarder(world)
             for number in (1, 2, 3):
                 world.workers[f"lookup-{number}"].faults.lose_answers = True
-            once = route(RequestKind.AT_MOST_ONCE, attempts=3)
+            at_most_once_route = route(RequestKind.AT_MOST_ONCE, attempts=3)
             with self.assertRaises(ResponseLostError):
-                await forwarder.forward(once, request())
+                await forwarder.forward(at_most_once_route, request())
             self.assertEqual(len(world.workers.runs), 1)
 
         play(scenario)
@@ -236,13 +238,13 @@
     def configuration(self, version: int, *prefixes: str) -> RoutingConfiguration:
         routes = []
         for prefix in prefixes:
-            fields = route()
+            template = route()
             routes.append(
                 Route(
                     name=prefix,
                     host="Host.example",
                     path_prefix=prefix,
-                    kind=fields.kind,
+                    kind=template.kind,
                     shares=(
                         ServiceShare(service="a", weight=90.0),
                         ServiceShare(service="b", weight=10.0),
@@ -271,8 +273,8 @@
 
     def test_traffic_split_follows_weights(self) -> None:
         table = RouteTable()
-        one = self.configuration(1, "/a/").routes[0]
-        chosen = [table.choose_service(one) for _ in range(100)]
+        split_route = self.configuration(1, "/a/").routes[0]
+        chosen = [table.choose_service(split_route) for _ in range(100)]
         self.assertEqual(chosen.count("a"), 90)
         self.assertEqual(chosen.count("b"), 10)
 
--- a/tests/test_lookup_forwarding.py
+++ b/tests/test_lookup_forwarding.py
@@ -94,9 +94,9 @@
         async def scenario(world: ServingWorld) -> None:
             forwarder = self.forwarder(world)
             await forwarder.forward(route(), lookup("first"))
-            dark = world.workers.runs[0].worker_id
-            world.workers.kept_connections.add(dark)
-            world.workers[dark].faults.dark = True
+            unresponsive = world.workers.runs[0].worker_id
+            world.workers.kept_connections.add(unresponsive)
+            world.workers[unresponsive].faults.dark = True
             await forwarder.forward(route(), lookup("second"))
             await asyncio.sleep(0.01)
             sent_at = world.clock.monotonic()
