--- a/drumbay/scaling/controller.py
+++ b/drumbay/scaling/controller.py
@@ -87,7 +87,7 @@
             await self._clock.sleep(RECONCILE_INTERVAL_SECONDS)
             fence = self._leader.duty_fence(self._clock.monotonic())
             current = self._routes.current
-            if fence is None or current is None or not self._directory.loaded:
+            if fence is None or current is None or not self._directory.is_loaded:
                 self._fence = None
                 self._demand.clear()
                 continue
--- a/drumbay/serving/node.py
+++ b/drumbay/serving/node.py
@@ -272,7 +272,7 @@
     @property
     def is_initialized(self) -> bool:
         """Return whether the configuration and the workers are known."""
-        return self.routes.current is not None and self.directory.loaded
+        return self.routes.current is not None and self.directory.is_loaded
 
     @property
     def is_leaving(self) -> bool:
@@ -346,7 +346,7 @@
 
     async def _reclaim_own_batches(self) -> None:
         """Resume the batch jobs of the previous process once the workers are known."""
-        while not self.directory.loaded:
+        while not self.directory.is_loaded:
             await self._environment.clock.sleep(WORKERS_POLL_SECONDS)
         await self.batches.reclaim_own()
 
--- a/drumbay/workers/directory.py
+++ b/drumbay/workers/directory.py
@@ -31,8 +31,8 @@
 class WorkerDirectory:
     """The workers of all services; listeners are called after changes.
 
-    Methods that record an outcome take the ``started_at_ms`` of the incarnation that it concerns;
-    without it the current one is meant.
+    Methods that record an outcome accept the ``started_at_ms`` of the incarnation that it belongs
+    to, by default the current one. Outcomes of other incarnations are ignored.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self._restart_listeners: list[Callable[[BackendId], None]] = []
         self._report_listeners: list[Callable[[WorkerIncarnation, float], None]] = []
         self._pause_callback: Callable[[], None] = lambda: None
-        self.loaded = False
+        self.is_loaded = False
 
     def add_listener(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` after each change of the set of workers."""
@@ -69,8 +69,8 @@
         """Apply a snapshot of the discovery entries.
 
         Workers missing from it are removed. With ``missing_until``, ready workers are kept until
-        :meth:`drop_missing` is called at that monotonic time, except ``unusable`` ones, whose
-        entries exist but are invalid.
+        :meth:`drop_missing` is called at or after that monotonic time, except ``unusable`` ones,
+        whose entries exist but are invalid.
 
         Returns:
             The workers that are kept although they are missing.
@@ -87,7 +87,7 @@
             retained.append(worker_id)
         for worker in by_id.values():
             self._apply_entry(worker)
-        self.loaded = True
+        self.is_loaded = True
         self._notify_listeners()
         return tuple(retained)
 
@@ -122,13 +122,13 @@
             _log_ignored_incarnation(worker.worker_id, worker.started_at_ms, known_ms)
             return
         if worker.started_at_ms not in (0, known_ms):
-            # Entries arrive in order, so the newer one is valid even if its start time is earlier:
-            # clocks may be set back.
+            # Entries arrive in order, so the newer one is valid even if its start time is earlier,
+            # as after a clock was set back.
             self._replace_record(worker, known_ms)
             return
         if worker.started_at_ms:
             record.is_start_reported = False
-        # An entry without a start time says nothing about the incarnation: keep the known one.
+        # An entry without a start time does not identify the incarnation: keep the known one.
         record.worker = msgspec.structs.replace(worker, started_at_ms=known_ms)
         record.missing_until = None
         # Versions in stream headers are newer than those from discovery, and versions only
@@ -164,8 +164,8 @@
         Args:
             worker_id: The worker.
             status: The report.
-            now: Monotonic time.
-            asked_at: Time of the query; the worker may have ended since.
+            now: Current monotonic time.
+            asked_at: Monotonic time of the query; the worker may have ended since then.
         """
         record = self._records.get(worker_id)
         if record is None:
@@ -190,15 +190,15 @@
         for listener in self._report_listeners:
             listener(incarnation, asked_at)
 
-    def _apply_reported_restart(self, before: WorkerRecord, status: WorkerStatus) -> None:
+    def _apply_reported_restart(self, previous: WorkerRecord, status: WorkerStatus) -> None:
         """Replace the record of a restarted worker; a missing discovery entry stays missing."""
         restarted = msgspec.structs.replace(
-            before.worker,
+            previous.worker,
             versions=dict(status.versions),
             started_at_ms=status.started_at_ms,
         )
-        record = self._replace_record(restarted, before.worker.started_at_ms)
-        record.missing_until = before.missing_until
+        record = self._replace_record(restarted, previous.worker.started_at_ms)
+        record.missing_until = previous.missing_until
         record.is_start_reported = True
         self._notify_listeners()
 
@@ -221,7 +221,7 @@
         return record.worker.started_at_ms not in (0, worker.started_at_ms)
 
     def is_replaced(self, worker: Worker) -> bool:
-        """Return whether a newer incarnation, or another worker, has taken the worker's place."""
+        """Return whether a newer incarnation, or another worker, has replaced the worker."""
         record = self._records.get(worker.worker_id)
         if record is not None and 0 < worker.started_at_ms < record.worker.started_at_ms:
             return True
@@ -252,7 +252,7 @@
         now: float,
         started_at_ms: int | None = None,
     ) -> None:
-        """Record the weight version named by a response."""
+        """Record the weight version reported by a response."""
         record = self.get(worker_id, started_at_ms)
         if record is None:
             return
@@ -327,27 +327,27 @@
     def observe_answer(
         self,
         worker_id: BackendId,
-        relative_time: float | None,
+        relative_latency: float | None,
         now: float,
         started_at_ms: int | None = None,
     ) -> None:
         """Record a complete response; the relative latency is ``None`` if unknown."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
-            record.answers.observe_answer(relative_time, now)
+            record.answers.observe_response(relative_latency, now)
             record.failures = 0
 
     def observe_unanswered(
         self,
         worker_id: BackendId,
-        relative_time: float,
+        relative_latency: float,
         now: float,
         started_at_ms: int | None = None,
     ) -> None:
         """Record a run that was cancelled after a multiple of the typical latency."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
-            record.answers.observe_unanswered(relative_time, now)
+            record.answers.observe_cancelled_run(relative_latency, now)
 
     def observe_failed_run(
         self, worker_id: BackendId, now: float, started_at_ms: int | None = None
--- a/drumbay/workers/event_intervals.py
+++ b/drumbay/workers/event_intervals.py
@@ -12,7 +12,7 @@
 """Number of intervals that a median is computed from."""
 
 SAMPLE_LIFETIME_SECONDS = 4.0
-"""Age after which the samples are discarded; the worker may have recovered."""
+"""Age after which samples are discarded, since the worker's rate may have changed."""
 
 ACTIVITY_SECONDS = 1.0
 """A worker that sent an event within this time counts as alive."""
@@ -20,7 +20,7 @@
 FALLBACK_MEDIANS = 9
 MEDIAN_SPACING_SECONDS = 0.5
 """Number and spacing of the medians used when recent samples are missing. They span more than the
-start of a batch job, during which event times are distorted."""
+start of a batch job, during which event times are not representative."""
 
 MIN_FALLBACK_MEDIANS = 3
 """Fewer could all stem from the start of one batch job."""
@@ -32,7 +32,7 @@
 """With fewer, a temporary slowdown would be taken for the baseline."""
 
 SUSTAINED_SECONDS = 0.8
-"""Slowdowns shorter than this are ignored; shared machines have them regularly."""
+"""Slowdowns shorter than this are ignored; they are common on shared machines."""
 
 
 class EventIntervalEstimate:
--- a/drumbay/workers/records.py
+++ b/drumbay/workers/records.py
@@ -25,7 +25,7 @@
     REFUSES = "refuses"
     """The connection is refused: the worker process has ended."""
     SILENT = "silent"
-    """No reply: a network partition, a machine that is down, or high latency."""
+    """No reply: a network partition, a failed machine or high latency."""
 
 
 class Worker(msgspec.Struct, frozen=True, kw_only=True):
@@ -33,7 +33,7 @@
 
     ``versions`` maps models to weight versions; ``release`` is the software version. A worker that
     restarts under the same id has lost its state; ``started_at_ms`` (Unix milliseconds, 0 if
-    unknown) tells incarnations apart.
+    unknown) identifies the incarnation.
     """
 
     worker_id: BackendId
@@ -112,7 +112,7 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """One event of a stream, with the weight version that generated it."""
+    """One event of a stream, with the weight version that it was generated with."""
 
     number: int
     data: str
--- a/drumbay/workers/response_stats.py
+++ b/drumbay/workers/response_stats.py
@@ -1,7 +1,7 @@
 """Latency and failure rate of a worker's responses.
 
 Latencies are relative to the typical latency of the route, because routes differ. Observations
-decay, so that a worker which was slow or failing is tried again.
+decay, so that a worker that was slow or failing is used again.
 """
 
 import math
@@ -40,24 +40,24 @@
         """Return the expected share of failed runs; 0 without recent data."""
         return self._failure_rate * decay_weight(now - self._last_run_at, OBSERVATION_DECAY_SECONDS)
 
-    def observe_answer(self, relative_time: float | None, now: float) -> None:
+    def observe_response(self, relative_latency: float | None, now: float) -> None:
         """Record a response; its latency is ``None`` if the route's typical latency is unknown."""
         self._update_failure_rate(0.0, now)
-        if relative_time is not None:
-            self._update_latency(relative_time, now)
+        if relative_latency is not None:
+            self._update_latency(relative_latency, now)
 
-    def observe_unanswered(self, relative_time: float, now: float) -> None:
-        """Record a cancelled run; its latency would have been at least this long."""
-        if relative_time > self.relative_latency(now):
-            self._update_latency(relative_time, now)
+    def observe_cancelled_run(self, relative_latency: float, now: float) -> None:
+        """Record a cancelled run; the given latency is a lower bound."""
+        if relative_latency > self.relative_latency(now):
+            self._update_latency(relative_latency, now)
 
     def observe_failure(self, now: float) -> None:
         """Record a failed run."""
         self._update_failure_rate(1.0, now)
 
-    def _update_latency(self, relative_time: float, now: float) -> None:
+    def _update_latency(self, relative_latency: float, now: float) -> None:
         expected = self.relative_latency(now)
-        self._relative_latency = expected + LATENCY_SMOOTHING * (relative_time - expected)
+        self._relative_latency = expected + LATENCY_SMOOTHING * (relative_latency - expected)
         self._last_response_at = now
 
     def _update_failure_rate(self, failed: float, now: float) -> None:
@@ -67,5 +67,5 @@
 
 
 def decay_weight(age_seconds: float, time_constant_seconds: float) -> float:
-    """Return the weight of an observation of this age; the default has the rest."""
+    """Return the weight of an observation of this age, from 1 down to 0."""
     return math.exp(-max(0.0, age_seconds) / time_constant_seconds)
--- a/drumbay/workers/service_filter.py
+++ b/drumbay/workers/service_filter.py
@@ -1,8 +1,8 @@
 """Excludes discovery entries whose service is not configured.
 
 Discovery entries may be written by other programs. An entry of an unknown service receives no
-requests or orders and is not compared with other workers at its address. It is kept in case a later
-configuration adds its service.
+requests or load orders and is not compared with other workers at its address. It is kept in case a
+later configuration adds its service.
 """
 
 from collections.abc import Callable, Iterable
--- a/drumbay/workers/silence_check.py
+++ b/drumbay/workers/silence_check.py
@@ -1,7 +1,7 @@
-"""Tells a dead worker from stalled connections to a live one.
+"""Distinguishes a failed worker from stalled connections to a running one.
 
-Streams stop in both cases. A status request over a new connection tells them apart: if the worker
-answers, its existing connections are stalled.
+Streams stop in both cases. A status request over a new connection shows which one it is: if the
+worker responds, its existing connections have stalled.
 """
 
 from collections.abc import Callable
@@ -42,11 +42,11 @@
         """Create a check.
 
         Args:
-            clock: Time.
-            directory: The workers to pause.
-            client: Calls to workers.
+            clock: Clock.
+            directory: Directory in which workers are paused.
+            client: Client for status requests.
             task_owner: Runs the checks.
-            on_stalled_connections: Called when a live worker's connections have all stalled.
+            on_stalled_connections: Called when all connections to a running worker have stalled.
         """
         self._clock = clock
         self._directory = directory
@@ -57,7 +57,7 @@
         self._responded_at: dict[WorkerIncarnation, float] = {}
 
     def report_silent_run(self, worker_id: BackendId) -> None:
-        """Report a run that has gone silent, as have all others on its worker.
+        """Report a run without events on a worker whose other runs are silent too.
 
         The worker is paused until the check is done. If it is already paused, or has sent nothing
         since a recent successful check, a failure is recorded instead.
@@ -84,15 +84,15 @@
 
     async def _run_check(self, worker: Worker) -> None:
         worker_id = worker.worker_id
-        has_lost_connections = False
+        has_stalled_connections = False
         try:
-            has_lost_connections = await self._has_lost_connections(worker)
+            has_stalled_connections = await self._has_stalled_connections(worker)
         except WorkerError as error:
             log_event("silent_worker_gone", level="WARNING", worker=worker_id, detail=str(error))
         finally:
             silent_runs = self._silent_runs.pop(worker_id)
         now = self._clock.monotonic()
-        if has_lost_connections:
+        if has_stalled_connections:
             self._record_response(worker.start, now)
             self._directory.end_pause(worker_id, now)
             self._on_stalled_connections()
@@ -100,11 +100,11 @@
         for _ in range(silent_runs):
             self._directory.observe_failure(worker_id, now, worker.started_at_ms)
 
-    async def _has_lost_connections(self, worker: Worker) -> bool:
-        """Return whether the worker answers over a new connection and should have sent events.
+    async def _has_stalled_connections(self, worker: Worker) -> bool:
+        """Return whether the worker responds over a new connection and should have sent events.
 
         Raises:
-            WorkerError: It does not answer.
+            WorkerError: The worker does not respond.
         """
         asked_at = self._clock.monotonic()
         status = await self._client.status(worker, fresh_connection=True)
@@ -125,8 +125,10 @@
         # A worker that is loading weights sends no events on healthy connections.
         return silent_runs >= MIN_SILENT_RUNS and not status.busy
 
-    def _record_response(self, start: WorkerIncarnation, now: float) -> None:
+    def _record_response(self, responded: WorkerIncarnation, now: float) -> None:
         recent = {
-            s: at for s, at in self._responded_at.items() if now - at < REPEATED_STALL_SECONDS
+            incarnation: at
+            for incarnation, at in self._responded_at.items()
+            if now - at < REPEATED_STALL_SECONDS
         }
-        self._responded_at = recent | {start: now}
+        self._responded_at = recent | {responded: now}
--- a/drumbay/workers/worker_record.py
+++ b/drumbay/workers/worker_record.py
@@ -28,11 +28,12 @@
 class WorkerRecord(msgspec.Struct, kw_only=True):
     """A worker and this node's observations of it.
 
-    ``in_flight`` counts this node's requests there, ``body_bytes`` is the size of their bodies, and
-    ``expected_tokens`` the total expected output of batch items, which occupies the worker's
-    memory. ``pace`` describes streams, ``answers`` complete responses. ``others``, ``slowdown`` and
-    ``is_shared`` come from the last load report. ``is_start_reported`` is set if a status report
-    revealed the incarnation before discovery did.
+    ``in_flight`` counts this node's requests on the worker, ``body_bytes`` is the size of their
+    bodies, and ``expected_tokens`` the total expected output of batch items, which occupies the
+    worker's memory. ``event_intervals`` describes streams, ``answers`` complete responses.
+    ``other_requests``, ``slowdown`` and ``is_shared`` come from the last load report, received at
+    ``reported_at``. ``is_start_reported`` is set if a status report revealed the incarnation before
+    discovery did.
     """
 
     worker: Worker
@@ -54,7 +55,7 @@
     is_start_reported: bool = False
 
     def estimated_requests(self, now: float) -> int:
-        """Return the known number of requests on the worker."""
+        """Return the number of requests on the worker, as far as it is known."""
         return self.in_flight + self.reported_other_requests(now)
 
     def reported_other_requests(self, now: float) -> int:
@@ -87,7 +88,7 @@
         Args:
             model: The model.
             now: Monotonic time.
-            others: Requests of other nodes there; ``None`` to use the last load report.
+            others: Requests of other nodes on the worker; ``None`` to use the last load report.
         """
         if not self.accepts_model(model, now):
             return 0
@@ -98,10 +99,11 @@
         return min(1, free) if model in self.refusals else free
 
     def version_of(self, model: str, now: float) -> WeightVersion | None:
-        """Return the version of a model, observed or expected by now; ``None`` if it is not loaded.
+        """Return the version of a model, ``None`` if it is not loaded.
 
-        Discovery reports a completed load up to a second late. If the load is late the worker
-        refuses requests, and response headers reveal a load that was not carried out.
+        A load that should be complete counts as complete, since discovery reports it up to a second
+        late. If it is still running, the worker refuses requests; if it was not carried out,
+        response headers show the old version.
         """
         observed = self.versions.get(model)
         load = self.loads.get(model)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,7 +1,7 @@
 """Requests and streams recover when open connections stall without a reset.
 
 Guards against lookups that use up their attempts on stalled idle connections, and against workers
-that are paused because all their streams stalled although they answer over new connections.
+that are paused because all their streams stalled although they respond over new connections.
 """
 
 import asyncio
@@ -178,9 +178,9 @@
             await world.nodes[0].batches.submit(batch_spec())
             await asyncio.sleep(2.0)
             world.workers["worker-1"].faults.dark = True
-            dark_since = world.clock.monotonic()
+            unreachable_since = world.clock.monotonic()
             await asyncio.sleep(PAUSE_DETECTION_SECONDS)
-            later = [run for run in world.workers.runs if run.started_at > dark_since]
+            later = [run for run in world.workers.runs if run.started_at > unreachable_since]
             self.assertGreater(len(later), 0)
             self.assertNotIn("worker-1", {run.worker_id for run in later})
 
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -28,9 +28,9 @@
 NODES = 77
 
 
-def snapshot(name: str, **known: object) -> WorkerSnapshot:
+def snapshot(name: str, **fields: object) -> WorkerSnapshot:
     worker = WorkerSnapshot(worker_id=BackendId(name), slots=SLOTS)
-    return msgspec.structs.replace(worker, **known)
+    return msgspec.structs.replace(worker, **fields)
 
 
 def selected(workers: list[WorkerSnapshot], node: str = "node-1") -> ChosenWorker:
@@ -84,14 +84,14 @@
         self.assertLess(selection_counts(workers)["untold"], NODES / 2)
 
     def test_idle_connection_is_abandoned_only_for_clearly_faster_worker(self) -> None:
-        kept = snapshot("kept", relative_latency=1.2, has_idle_connection=True)
-        self.assertEqual(selection_counts([kept, snapshot("w")])["kept"], NODES)
-        slower = msgspec.structs.replace(kept, relative_latency=1.5)
+        connected = snapshot("kept", relative_latency=1.2, has_idle_connection=True)
+        self.assertEqual(selection_counts([connected, snapshot("w")])["kept"], NODES)
+        slower = msgspec.structs.replace(connected, relative_latency=1.5)
         self.assertEqual(selection_counts([slower, snapshot("w")])["kept"], 0)
 
     def test_partially_failing_worker_is_avoided(self) -> None:
-        grey = snapshot("grey", failure_rate=0.3, has_idle_connection=True)
-        self.assertEqual(selection_counts([grey, snapshot("sound")])["grey"], 0)
+        failing = snapshot("grey", failure_rate=0.3, has_idle_connection=True)
+        self.assertEqual(selection_counts([failing, snapshot("sound")])["grey"], 0)
 
     def test_shortest_pause_is_selected_if_all_are_paused(self) -> None:
         workers = [
@@ -120,7 +120,7 @@
     def test_observations_decay_to_default(self) -> None:
         stats = ResponseStats()
         for _ in range(5):
-            stats.observe_answer(6.0, NOW)
+            stats.observe_response(6.0, NOW)
             stats.observe_failure(NOW)
         self.assertGreater(stats.relative_latency(NOW), 4.0)
         self.assertGreater(stats.failure_rate(NOW), 0.4)
@@ -129,17 +129,17 @@
 
     def test_early_cancelled_run_is_ignored(self) -> None:
         stats = ResponseStats()
-        stats.observe_unanswered(0.5, NOW)
+        stats.observe_cancelled_run(0.5, NOW)
         self.assertEqual(stats.relative_latency(NOW), 1.0)
-        stats.observe_unanswered(3.0, NOW)
+        stats.observe_cancelled_run(3.0, NOW)
         self.assertGreater(stats.relative_latency(NOW), 1.0)
 
 
 class HedgeTimingTest(unittest.TestCase):
     def timing(self, *seconds: float) -> HedgeTiming:
         timing = HedgeTiming(NOW)
-        for each in seconds:
-            timing.observe("route", each)
+        for latency_seconds in seconds:
+            timing.observe("route", latency_seconds)
         return timing
 
     def delay(self, timing: HedgeTiming, *, is_interactive: bool = True) -> float:
@@ -233,7 +233,7 @@
 
     def __init__(self) -> None:
         self._generator = random.Random(3)
-        self.known: dict[tuple[str, str], WorkerSnapshot] = {}
+        self.snapshots: dict[tuple[str, str], WorkerSnapshot] = {}
         self.response_stats: dict[tuple[str, str], ResponseStats] = {}
         self.ends: dict[str, list[float]] = {name: [] for name in LATENCY_FACTORS}
         self.connected_until: dict[tuple[str, str], float] = {}
@@ -250,9 +250,9 @@
     def _snapshot(self, arrival: Arrival, name: str) -> WorkerSnapshot:
         key = (arrival.node, name)
         stats = self.response_stats.setdefault(key, ResponseStats())
-        known = self.known.get(key, snapshot(name))
+        last_snapshot = self.snapshots.get(key, snapshot(name))
         return msgspec.structs.replace(
-            known,
+            last_snapshot,
             relative_latency=stats.relative_latency(arrival.at),
             last_run_at=stats.last_run_at,
             has_idle_connection=self.connected_until.get(key, -math.inf) > arrival.at,
@@ -272,10 +272,10 @@
         self.connections += self.connected_until.get(key, -math.inf) <= arrival.at
         self.connected_until[key] = end + 10.0
         load = WorkerLoad(running=len(busy), waiting=0, slots=SLOTS, slowdown=slowdown)
-        self.response_stats[key].observe_answer(
+        self.response_stats[key].observe_response(
             relative_latency_of(seconds, TYPICAL_SECONDS, load), end
         )
-        self.known[key] = snapshot(
+        self.snapshots[key] = snapshot(
             name, other_requests=len(busy), slowdown=slowdown, reported_at=end
         )
 
@@ -297,8 +297,8 @@
 
     def test_many_idle_nodes_do_not_herd(self) -> None:
         replay = self.play(nodes=NODES, per_second=60.0)
-        sound = [replay.counts[name] for name, factor in LATENCY_FACTORS.items() if factor == 1.0]
-        self.assertLess(max(sound), 1.3 * sum(sound) / len(sound))
+        counts = [replay.counts[name] for name, factor in LATENCY_FACTORS.items() if factor == 1.0]
+        self.assertLess(max(counts), 1.3 * sum(counts) / len(counts))
 
     def test_node_reuses_few_connections(self) -> None:
         replay = self.play(nodes=NODES, per_second=60.0)
