--- a/drumbay/serving/store_calls.py
+++ b/drumbay/serving/store_calls.py
@@ -1,6 +1,6 @@
 """Counts calls to the key-value store by purpose.
 
-Calls are billed and rate limited across all nodes, so operators need to see what they are made for.
+Calls are billed and rate limited across all nodes, so operators need to see what causes them.
 The purpose is derived from the operation and the key.
 """
 
@@ -61,7 +61,7 @@
     USAGE = "usage"
     LEASE = "lease"
     ENTRIES = "entries"
-    """Entries of operators and workers, outside of the system's own keys."""
+    """Keys that other programs write, such as configuration and workers."""
 
 
 _BATCH_PARTS = {
@@ -76,7 +76,7 @@
     leader.PREFIX: StoreSubject.LEADER,
     stored.PREFIX: StoreSubject.QUARANTINE,
     controller.STORED_COUNTS_KEY: StoreSubject.SCALING,
-    usage_ledger.PREFIX: StoreSubject.USAGE,
+    usage_ledger.USAGE_PREFIX: StoreSubject.USAGE,
 }
 
 
@@ -143,7 +143,7 @@
     async def transact(
         self, compares: tuple[ModRevisionIs, ...], operations: tuple[Put | Delete, ...]
     ) -> TransactionResult:
-        """Carry out ``operations`` atomically if all ``compares`` hold."""
+        """Execute ``operations`` atomically if all ``compares`` hold."""
         self._count(StoreOperation.WRITE, subject_of_write(compares, operations))
         return await self._store.transact(compares, operations)
 
--- a/drumbay/usage/counter.py
+++ b/drumbay/usage/counter.py
@@ -18,8 +18,8 @@
 class UsageCounter:
     """Counts each request once, in the window in which its first run started.
 
-    Requests that all workers refused are not counted. The time of sending stands for the start of
-    the run.
+    Requests that all workers refused are not counted. The time of sending is used as the start
+    of the run.
     """
 
     def __init__(
--- a/drumbay/usage/ledger.py
+++ b/drumbay/usage/ledger.py
@@ -11,11 +11,11 @@
 from drumbay.kv.interface import Delete, KeyValueStore, ModRevisionIs, Put
 from drumbay.usage.records import NodeUsage, WindowCounts, WindowNumber
 
-PREFIX = "drumbay/usage/"
-COLLECTED_KEY = f"{PREFIX}collected"
-REPORT_PREFIX = f"{PREFIX}reports/"
+USAGE_PREFIX = "drumbay/usage/"
+COLLECTED_KEY = f"{USAGE_PREFIX}collected"
+REPORT_PREFIX = f"{USAGE_PREFIX}reports/"
 RETAINED_REPORTS = 12
-"""Reports that stay stored; a new leader resends those that may not have been delivered."""
+"""Number of stored reports; a new leader resends those that may not have been delivered."""
 
 ABSENT = Revision(0)
 
@@ -30,7 +30,7 @@
 
 
 class StoredUsage(msgspec.Struct, frozen=True, kw_only=True):
-    """Contents of the store."""
+    """All usage data in the store."""
 
     collected: CollectedUsage | None
     reports: tuple[WindowCounts, ...]
@@ -51,7 +51,7 @@
         """Return the stored data, reports ordered by window."""
         collected: CollectedUsage | None = None
         reports: list[WindowCounts] = []
-        result = await self._store.range_prefix(PREFIX)
+        result = await self._store.range_prefix(USAGE_PREFIX)
         for item in result.items:
             if item.key == COLLECTED_KEY:
                 collected = _collected_decoder.decode(item.value)
@@ -65,24 +65,24 @@
 
         Args:
             report: The window's counts.
-            guard: Holds while the writer is the leader.
+            guard: Condition that holds while the writer is the leader.
         """
         key = _report_key(report.window)
-        outcome = await self._store.transact(
+        result = await self._store.transact(
             (guard, ModRevisionIs(key=key, mod_revision=ABSENT)),
             (
                 Put(key=key, value=_encoder.encode(report)),
                 Delete(key=_report_key(WindowNumber(report.window - RETAINED_REPORTS))),
             ),
         )
-        return outcome.succeeded
+        return result.succeeded
 
     async def save_collected(self, collected: CollectedUsage, guard: ModRevisionIs) -> bool:
         """Save the collected counts; return whether they were written."""
-        outcome = await self._store.transact(
+        result = await self._store.transact(
             (guard,), (Put(key=COLLECTED_KEY, value=_encoder.encode(collected)),)
         )
-        return outcome.succeeded
+        return result.succeeded
 
 
 def _report_key(window: WindowNumber) -> str:
--- a/drumbay/usage/reporter.py
+++ b/drumbay/usage/reporter.py
@@ -27,7 +27,7 @@
 """Interval at which counts are fetched; limits what is lost if a node is killed."""
 
 QUERY_NODES_AFTER_SECONDS = 2.0
-"""Time after the end of a window when nodes with incomplete counts are queried directly."""
+"""Time after the end of a window from which nodes with incomplete counts are queried directly."""
 
 SAVE_INTERVAL_SECONDS = 2.0
 """Interval at which collected counts are saved; limits what is lost if all processes are killed.
@@ -74,7 +74,7 @@
         """Create an inactive reporter.
 
         Args:
-            clock: Time.
+            clock: Clock.
             window_clock: Wall clock time for windows.
             schedule: When reports are finalized.
             collector: Counts received from the nodes.
@@ -82,7 +82,7 @@
             leader: Tells whether this node is the leader.
             duties: Client of the platform.
             peers: Calls to other nodes.
-            directory: The nodes.
+            directory: Directory of the nodes.
             holder: Name of this machine at the platform.
             metrics: Counts reports.
             merge_own: Merges this node's own counts into the collector.
@@ -112,7 +112,7 @@
             try:
                 await self._run_cycle(fence)
             except KeyValueError as error:
-                # The write may have succeeded: start again from the store.
+                # The write may have succeeded: read the state from the store again.
                 log_event("usage_not_stored", level="WARNING", error=error.code, fence=fence)
                 self._term = None
 
--- a/drumbay/usage/schedule.py
+++ b/drumbay/usage/schedule.py
@@ -7,7 +7,7 @@
 
 INCOMPLETE_FINALIZE_SHARE = 0.6
 """A report with incomplete counts is finalized after this share of the time until it is due. The
-rest allows for a change of the leader and for retries."""
+rest is for a leader change and retries."""
 
 CLOCK_SKEW_SECONDS = 0.3
 """Tolerance for clock skew between machines."""
--- a/drumbay/usage/service.py
+++ b/drumbay/usage/service.py
@@ -74,7 +74,7 @@
         self.merge(self.own_report())
 
     async def send_to(self, peers: PeerClient, addresses: Iterable[NetworkAddress]) -> None:
-        """Send this node's counts to other nodes, before its process ends."""
+        """Send this node's counts to other nodes before it shuts down."""
         usage = self.own_report()
         if usage is None:
             return
--- a/drumbay/usage/window_clock.py
+++ b/drumbay/usage/window_clock.py
@@ -1,11 +1,11 @@
-"""Wall clock time for usage windows that ignores temporary clock jumps."""
+"""Wall clock time for usage windows, unaffected by temporary clock jumps."""
 
 from drumbay.clock import Clock
 
 MAX_DRIFT_SECONDS = 0.2
 """A larger change between two readings is treated as a jump."""
 
-JUMP_HOLD_SECONDS = 30.0
+JUMP_CONFIRMATION_SECONDS = 30.0
 """A jump that lasts this long is accepted as the correct time."""
 
 
@@ -35,7 +35,7 @@
         elif self._jumped_at is None:
             self._jumped_at = monotonic
             return
-        elif monotonic - self._jumped_at < JUMP_HOLD_SECONDS:
+        elif monotonic - self._jumped_at < JUMP_CONFIRMATION_SECONDS:
             return
         self._jumped_at = None
         self._offset = offset
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -18,7 +18,7 @@
 from drumbay.usage.records import NodeUsage, WindowCounts, WindowLength, WindowNumber
 from drumbay.usage.schedule import ReportSchedule
 from drumbay.usage.service import UsageSettings
-from drumbay.usage.window_clock import JUMP_HOLD_SECONDS, WindowClock
+from drumbay.usage.window_clock import JUMP_CONFIRMATION_SECONDS, WindowClock
 from tests.serving_world import ServingWorld, WorldNode, play
 
 LENGTH = WindowLength(5.0)
@@ -79,7 +79,7 @@
     def test_lasting_jump_is_accepted(self) -> None:
         self.clock.wall_offset = 2.0
         self.window_clock.now()
-        self.clock.monotonic_seconds += JUMP_HOLD_SECONDS + 1
+        self.clock.monotonic_seconds += JUMP_CONFIRMATION_SECONDS + 1
         self.assertAlmostEqual(self.window_clock.now(), self.clock.wall())
 
     def test_drift_is_followed(self) -> None:
@@ -98,9 +98,9 @@
 
     def test_request_counts_in_window_of_first_run(self) -> None:
         ticket = self.counter.open()
-        began_at = self.clock.monotonic_seconds + 4.9
+        started_at = self.clock.monotonic_seconds + 4.9
         self.clock.monotonic_seconds += 6.0
-        self.counter.close(ticket, NORTH, began_at)
+        self.counter.close(ticket, NORTH, started_at)
         refused = self.counter.open()
         self.counter.close(refused, NORTH, None)
         (counted,) = self.counter.report().windows
@@ -195,21 +195,21 @@
         until = world.clock.monotonic() + seconds
         number = 0
         while world.clock.monotonic() < until:
-            up = [node for node in world.nodes if node.address in world.peers.nodes]
-            node = world.peers.nodes[up[number % len(up)].address]
+            running_nodes = [node for node in world.nodes if node.address in world.peers.nodes]
+            node = world.peers.nodes[running_nodes[number % len(running_nodes)].address]
             await self.send_lookup(world, node, f"r{world.clock.monotonic():.2f}-{number}")
             number += 1
             await asyncio.sleep(0.5)
 
     def actual_counts(self, world: ServingWorld) -> dict[int, dict[TenantName, int]]:
         offset = world.clock.wall() - world.clock.monotonic()
-        found: dict[int, dict[TenantName, int]] = {}
+        counts_by_window: dict[int, dict[TenantName, int]] = {}
         for run in world.workers.runs:
             window = LENGTH.number_at(run.started_at + offset)
             assert run.tenant is not None
-            counts = found.setdefault(window, {})
+            counts = counts_by_window.setdefault(window, {})
             counts[run.tenant] = counts.get(run.tenant, 0) + 1
-        return found
+        return counts_by_window
 
     def check_reports(self, world: ServingWorld, *, lost_windows: int = 0) -> None:
         duties = world.duties
@@ -291,7 +291,7 @@
             world.model.set_faults(KeyValueFaults())
             await self.generate_load(world, 12.0)
             await asyncio.sleep(16.0)
-            # The requests of the last seconds before the kill were known to no other process.
+            # Requests of the last seconds before the kill were not collected by another process.
             self.check_reports(world, lost_windows=1)
 
         play(scenario, node_count=3, usage=UsageSettings())
@@ -335,11 +335,11 @@
             await self.start(world)
             await self.generate_load(world, 6.0)
             leader = next(n for n in world.nodes if n.leader.fence(world.clock.monotonic()))
-            before = leader.leader.fence(world.clock.monotonic())
-            assert before is not None
-            world.duties._highest_fence = Fence(before + 1)
+            fence = leader.leader.fence(world.clock.monotonic())
+            assert fence is not None
+            world.duties._highest_fence = Fence(fence + 1)
             await self.generate_load(world, 8.0)
-            self.assertNotEqual(leader.leader.fence(world.clock.monotonic()), before)
+            self.assertNotEqual(leader.leader.fence(world.clock.monotonic()), fence)
             self.assertEqual(len(world.duties.refused), 1)
 
         play(scenario, node_count=3, usage=UsageSettings())
