--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -22,10 +22,10 @@
         common = {"host": HOST, "timeoutMs": 20_000, "targetMs": 5_000, "attempts": 2}
         lookups = {**common, "name": "l", "pathPrefix": "/l/", "kind": "idempotent"}
         rollouts = {**common, "name": "r", "pathPrefix": "/p/", "kind": "rollout"}
-        opened = {**lookups, "name": "o", "pathPrefix": "/o/", "public": True}
+        public_lookups = {**lookups, "name": "o", "pathPrefix": "/o/", "public": True}
         routes = [
             {**lookups, "svc": "lookups"},
-            {**opened, "svc": "lookups"},
+            {**public_lookups, "svc": "lookups"},
             {**rollouts, "svc": "engines"},
         ]
         tenants = [{"name": name, "apiKeys": [key]} for name, key in keys.items()]
@@ -44,8 +44,10 @@
         headers: tuple[tuple[str, str], ...] = (("X-Drumbay-Tenant", "forged"),)
         if key is not None:
             headers += (("Authorization", f"Bearer {key}"),)
-        asked = process or self.processes[0]
-        return await asked.ask(method, target, body, request_id=request_id, headers=headers)
+        target_process = process or self.processes[0]
+        return await target_process.ask(
+            method, target, body, request_id=request_id, headers=headers
+        )
 
     async def test_only_known_keys_are_served_and_workers_get_the_tenant(self) -> None:
         self.configure_tenants(1, north=NORTH, south=SOUTH)
@@ -63,9 +65,7 @@
             for private in (SOUTH, "authorization", "forged"):
                 self.assertNotIn(private, sent)
 
-    async def test_removed_key_is_rejected_and_added_key_accepted(
-        self,
-    ) -> None:
+    async def test_removed_key_is_rejected_and_added_key_accepted(self) -> None:
         self.configure_tenants(1, north=NORTH)
         await self.start()
         async with asyncio.timeout(TIMEOUT_SECONDS):
@@ -98,8 +98,8 @@
             for key in (None, "other"):
                 refused = await self.ask("POST", "/p/1", key, self.batch(), request_id="b1")
                 self.assertEqual(refused.status, 401)
-            taken = await self.ask("POST", "/p/1", NORTH, self.batch(), request_id="b1")
-            self.assertEqual(taken.status, 202)
+            accepted = await self.ask("POST", "/p/1", NORTH, self.batch(), request_id="b1")
+            self.assertEqual(accepted.status, 202)
             for process in (first, second):
                 for method, target in (
                     ("GET", "/lots/b1?sinceRev=0"),
@@ -112,8 +112,8 @@
                     self.assertEqual((method, unknown.status), (method, 401))
 
             async def is_listed() -> bool:
-                answer = await self.ask("GET", "/lots/b1?sinceRev=0", NORTH, process=second)
-                return answer.status == 200 and bool(json.loads(answer.body)["results"])
+                response = await self.ask("GET", "/lots/b1?sinceRev=0", NORTH, process=second)
+                return response.status == 200 and bool(json.loads(response.body)["results"])
 
             await eventually(is_listed)
             self.assertEqual((await self.ask("DELETE", "/lots/b1", NORTH)).status, 200)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -80,9 +80,9 @@
 
     def test_configuration_without_tenants_needs_no_keys(self) -> None:
         self.assertIsNone(self.configuration().keys)
-        without_any = self.configuration(tenants=[])
+        empty = self.configuration(tenants=[])
         with self.assertRaises(UnknownKeyError):
-            tenant_for("k1", keys=without_any.keys)
+            tenant_for("k1", keys=empty.keys)
 
     def test_batch_calls_need_key_unless_all_routes_are_public(self) -> None:
         public = self.configuration()
