--- a/drumbay/duties/interface.py
+++ b/drumbay/duties/interface.py
@@ -51,7 +51,7 @@
     """Calls to the platform. They do not raise; the outcome says what is known."""
 
     async def report_usage(self, token: DutyToken, report: UsageReport) -> DutyOutcome:
-        """Report a window. The platform ignores exact repeats."""
+        """Report a window. The platform ignores exact duplicates."""
         ...
 
     async def set_worker_count(self, token: DutyToken, count: WorkerCount) -> DutyOutcome:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -410,8 +410,8 @@
         self.assertEqual(self.scripted.connections, 2)
 
     async def test_status_report_may_include_start_time(self) -> None:
-        for told, started_at_ms in ((b"", 0), (b',"born":1700000000000', 1_700_000_000_000)):
-            report = b'{"models":[],"busy":false,"seq":1%s}' % told
+        for start_field, started_at_ms in ((b"", 0), (b',"born":1700000000000', 1_700_000_000_000)):
+            report = b'{"models":[],"busy":false,"seq":1%s}' % start_field
             head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(report)}\r\n\r\n"
             worker = await self.server(head + report.decode())
             self.assertEqual((await self.client.status(worker)).started_at_ms, started_at_ms)
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -18,8 +18,8 @@
 
 
 class PlatformApiTest(unittest.IsolatedAsyncioTestCase):
-    async def api(self, answer: str) -> PlatformApi:
-        self.server = ScriptedServer(lambda _: answer.encode())
+    async def api(self, response: str) -> PlatformApi:
+        self.server = ScriptedServer(lambda _: response.encode())
         await self.server.start()
         self.addAsyncCleanup(self.server.close)
         return PlatformApi(SystemClock(), self.server.address)
