--- a/drumbay/scaling/controller.py
+++ b/drumbay/scaling/controller.py
@@ -53,15 +53,15 @@
         holder: str,
         metrics: ServingMetrics,
     ) -> None:
-        """Create a keeper that is not leading.
+        """Create an inactive controller.
 
         Args:
             clock: Clock.
-            store: The key-value service.
-            routes: The current configuration, which bounds the counts.
+            store: The key-value store.
+            routes: Current configuration, with the bounds of the counts.
             directory: The workers.
-            leader: Leader election of the duty.
-            duties: Platform API that takes the orders.
+            leader: Tells whether this node is the leader.
+            duties: Client of the platform, to which the orders are sent.
             collector: Collects demand; ``None`` to keep the baseline counts only.
             holder: Name of this machine at the platform.
             metrics: Metrics of orders and workers.
@@ -141,15 +141,15 @@
             ordered=self._planner.total_target(scaling),
             waiting_items=estimate.waiting_items,
         )
-        # Stored first, so that a successor does not take ordered workers for the baseline.
+        # Stored first, so that the next leader does not count ordered workers as baseline.
         if orders and not await self._store_counts(fence):
             return False
         for order in orders:
-            if not await self._order(order, estimate, fence):
+            if not await self._send_order(order, estimate, fence):
                 return False
         return True
 
-    async def _order(self, order: WorkerCount, estimate: WorkerEstimate, fence: Fence) -> bool:
+    async def _send_order(self, order: WorkerCount, estimate: WorkerEstimate, fence: Fence) -> bool:
         """Send one order; return whether this node may send more."""
         if self._leader.duty_fence(self._clock.monotonic()) != fence:
             return False
@@ -190,17 +190,19 @@
 
     async def _load_counts(self) -> None:
         """Restore the counts stored by the previous leader."""
-        found = await self._store.range_prefix(STORED_COUNTS_KEY)
-        records = [_decoder.decode(item.value) for item in found.items]
+        result = await self._store.range_prefix(STORED_COUNTS_KEY)
+        records = [_decoder.decode(item.value) for item in result.items]
         self._stored = records[0] if records else _StoredCounts(places=())
         self._planner = WorkerCountPlanner()
-        self._planner.restore(_counts(self._stored.places), _counts(self._stored.raised))
+        self._planner.restore(
+            _counts_by_zone(self._stored.places), _counts_by_zone(self._stored.raised)
+        )
 
     async def _store_counts(self, fence: Fence) -> bool:
         """Store the baselines and demand targets if they have changed.
 
         Returns:
-            Whether the store is up to date; False if another node is the leader.
+            Whether the store is up to date; false if another node is the leader.
         """
         counts = _StoredCounts(
             places=_zone_workers(self._planner.baselines),
@@ -225,5 +227,5 @@
     )
 
 
-def _counts(zones: Iterable[ZoneWorkers]) -> dict[ServiceZone, int]:
+def _counts_by_zone(zones: Iterable[ZoneWorkers]) -> dict[ServiceZone, int]:
     return {zone.place: zone.ready for zone in zones}
--- a/drumbay/scaling/demand.py
+++ b/drumbay/scaling/demand.py
@@ -19,10 +19,10 @@
 """Acceptable wait of the last item of a peak."""
 
 TARGET_UTILIZATION = 0.85
-"""Fraction of the slots that are usable; others load weights or belong to paused workers."""
+"""Usable fraction of the slots; the others load weights or belong to paused workers."""
 
 MIN_WAITING_FRACTION = 0.1
-"""Up to this fraction of the slots, waiting items get a slot almost immediately."""
+"""Up to this fraction of the slots, waiting items soon get a slot and are no shortage."""
 
 MIN_BUSY_FRACTION = 0.5
 """If a smaller fraction of the slots is busy, items wait for other reasons, such as weights."""
@@ -191,14 +191,14 @@
 
 
 def _completed_runs(
-    previous: Mapping[BatchId, JobSlotUsage], now: Mapping[BatchId, JobSlotUsage]
+    previous: Mapping[BatchId, JobSlotUsage], current: Mapping[BatchId, JobSlotUsage]
 ) -> int:
     """Estimate how many runs completed between two samples."""
-    return sum(_completed_runs_of(job, now.get(job.batch_id)) for job in previous.values())
+    return sum(_completed_runs_of(job, current.get(job.batch_id)) for job in previous.values())
 
 
-def _completed_runs_of(previous: JobSlotUsage, now: JobSlotUsage | None) -> int:
-    if now is None:
+def _completed_runs_of(previous: JobSlotUsage, current: JobSlotUsage | None) -> int:
+    if current is None:
         # Waiting items of a batch job that ended are dropped without a run.
         return sum(previous.running.values())
-    return max(0, previous.wanted - now.wanted)
+    return max(0, previous.wanted - current.wanted)
--- a/drumbay/scaling/planner.py
+++ b/drumbay/scaling/planner.py
@@ -2,7 +2,7 @@
 
 Scales up in one large step, since new workers take seconds to boot, and down by one worker at a
 time after a long time of low demand. Orders are repeated when workers stay missing, as after the
-loss of a zone, but not for workers that restart by themselves.
+outage of a zone, but not for workers that restart by themselves.
 """
 
 from collections.abc import Iterable, Mapping
@@ -32,7 +32,7 @@
 """Scale down if more than this fraction is in excess, since draining a worker interrupts runs."""
 
 SCALE_DOWN_INTERVAL_SECONDS = 10.0
-"""Interval between removals, so that a shortage shows before the next one."""
+"""Interval between removals, so that a shortage is detected before the next removal."""
 
 
 class _ReadySample(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
 class WorkerCountPlanner:
     """Plans orders by demand, and repeats orders when workers stay missing.
 
-    Counts never fall below the baseline, and rise above it only if slots are short.
+    Counts never fall below the baseline, and exceed it only if there is a shortage of slots.
     """
 
     def __init__(self) -> None:
@@ -117,7 +117,7 @@
     def total_target(self, scaling: ServiceScaling) -> int:
         """Return the target number of workers of a service in all zones."""
         return sum(
-            _target(scaling, state)
+            _target_count(scaling, state)
             for service_zone, state in self._zones.items()
             if service_zone.service == scaling.service and state.baseline is not None
         )
@@ -146,7 +146,7 @@
         if estimate is not None:
             self._adjust_targets(scaling, zones, estimate, now)
         return tuple(
-            _create_order(service_zone, state, _target(scaling, state), now)
+            _create_order(service_zone, state, _target_count(scaling, state), now)
             for service_zone, state in zones.items()
             if _is_order_due(scaling, state, now)
         )
@@ -207,7 +207,7 @@
         state.not_before = now + RETRY_DELAY_SECONDS
 
 
-def _target(scaling: ServiceScaling, state: _ZoneState) -> int:
+def _target_count(scaling: ServiceScaling, state: _ZoneState) -> int:
     if state.unconfirmed is not None:
         return state.unconfirmed
     return min(scaling.maximum, max(state.baseline or 0, state.demand_target))
@@ -217,7 +217,7 @@
     scaling: ServiceScaling, service_zone: ServiceZone, state: _ZoneState, now: float
 ) -> ZoneBounds:
     """Return the bounds of a zone; a zone with missing workers is fixed at its ready ones."""
-    target = _target(scaling, state)
+    target = _target_count(scaling, state)
     is_missing = (
         state.missing_since is not None
         and now - state.missing_since >= _replacement_timeout(scaling)
@@ -245,7 +245,7 @@
     """Record the number of ready workers; update the baseline with the lowest recent number.
 
     The first number is too low while workers register one by one, and the largest is too high
-    while old and new workers overlap. Workers ordered by demand do not count.
+    while old and new workers overlap. Workers ordered because of demand do not count.
     """
     state.ready = ready
     if not state.samples or state.samples[-1].ready != ready:
@@ -267,7 +267,7 @@
         and not state.is_scaling_down
     ):
         state.unconfirmed = None
-    target = _target(scaling, state)
+    target = _target_count(scaling, state)
     _update_shortage(state, target, now)
     if now < state.not_before:
         return False
@@ -275,10 +275,10 @@
         return True
     if state.below_target_since is None:
         return False
-    is_new = target > (state.ordered or state.baseline or 0)
-    return is_new or now - max(state.below_target_since, state.ordered_at) >= _replacement_timeout(
-        scaling
-    )
+    exceeds_ordered = target > (state.ordered or state.baseline or 0)
+    return exceeds_ordered or now - max(
+        state.below_target_since, state.ordered_at
+    ) >= _replacement_timeout(scaling)
 
 
 def _update_shortage(state: _ZoneState, target: int, now: float) -> None:
--- a/drumbay/scaling/spread.py
+++ b/drumbay/scaling/spread.py
@@ -1,7 +1,7 @@
 """Spreads workers over zones by price.
 
 Workers are added where the total cost of the zone stays lowest. Cheap zones thus get more workers,
-but no zone gets all of them, since any zone may be lost.
+but no zone gets all of them, since any zone may fail.
 """
 
 from collections.abc import Mapping
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -90,7 +90,7 @@
         self.assertEqual(self.plan(now), [("near", 5)])
 
 
-class KeeperTest(unittest.TestCase):
+class WorkerCountControllerTest(unittest.TestCase):
     def test_successor_orders_the_baseline(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             limits = ServiceScaling(
--- a/tests/test_worker_demand.py
+++ b/tests/test_worker_demand.py
@@ -84,33 +84,35 @@
         """Return the orders for rows of waiting and running items."""
         orders: list[tuple[float, str, int]] = []
         for waiting, running in rows:
-            for _, place, count in [boot for boot in self.boots if boot[0] <= self.now]:
-                self.ready[place] = count
+            for _, service_zone, count in [boot for boot in self.boots if boot[0] <= self.now]:
+                self.ready[service_zone] = count
             self.boots = [boot for boot in self.boots if boot[0] > self.now]
-            for place in self.lost:
-                self.ready[place] = 0
+            for service_zone in self.lost:
+                self.ready[service_zone] = 0
             workers = sum(self.ready.values())
             jobs = (job(waiting, running),) if waiting or running else ()
             sample = DemandSample(
                 at=self.now, workers=workers, slots=SLOTS_PER_WORKER * workers, jobs=jobs
             )
             self.history.observe(sample)
-            zone_workers = [ZoneWorkers(place=p, ready=n) for p, n in sorted(self.ready.items())]
+            zone_workers = [
+                ZoneWorkers(place=zone, ready=count) for zone, count in sorted(self.ready.items())
+            ]
             for order in self.planner.plan(
                 SCALING, zone_workers, self.now, self.history.estimate()
             ):
                 orders.append((self.now, order.zone, order.workers))
-                self._answer(order)
+                self._record_outcome(order)
             self.now += 1.0
         return orders
 
-    def _answer(self, order: WorkerCount) -> None:
+    def _record_outcome(self, order: WorkerCount) -> None:
         outcome = self.outcomes.pop(0) if self.outcomes else DutyOutcome.ACCEPTED
         self.planner.record_outcome(order, outcome, self.now)
         if outcome is DutyOutcome.ACCEPTED:
-            place = ServiceZone(order.service, order.zone)
-            delay = SCALING.boot_seconds if order.workers > self.ready[place] else 0.0
-            self.boots.append((self.now + delay, place, order.workers))
+            service_zone = ServiceZone(order.service, order.zone)
+            delay = SCALING.boot_seconds if order.workers > self.ready[service_zone] else 0.0
+            self.boots.append((self.now + delay, service_zone, order.workers))
 
     def total(self) -> int:
         return sum(self.ready.values())
@@ -151,7 +153,7 @@
         self.replay.play([(1000, 36)] * 20)
         self.assertEqual(self.replay.ready, dict.fromkeys(BASELINES, SCALING.maximum))
 
-    def test_workers_are_given_back_one_at_a_time_long_after_demand_has_ended(self) -> None:
+    def test_workers_are_removed_one_at_a_time_long_after_demand_has_ended(self) -> None:
         self.replay.play(STEP_BEYOND_CAPACITY)
         peak_target = self.replay.planner.total_target(SCALING)
         idle_rows = int(SCALE_DOWN_WINDOW_SECONDS)
@@ -246,13 +248,13 @@
 class SpreadTest(unittest.TestCase):
     def bounds(self, *counts: int, max_workers: int = 9) -> dict[ServiceZone, ZoneBounds]:
         return {
-            place: ZoneBounds(
+            service_zone: ZoneBounds(
                 workers=count,
                 min_workers=2,
                 max_workers=max_workers,
-                price=SCALING.zone_prices[place.zone],
+                price=SCALING.zone_prices[service_zone.zone],
             )
-            for place, count in zip(BASELINES, counts, strict=True)
+            for service_zone, count in zip(BASELINES, counts, strict=True)
         }
 
     def test_cheap_zones_get_more_but_not_all_workers(self) -> None:
@@ -270,7 +272,7 @@
 
 
 class FakeOwners:
-    """Answers the calls of a collector, except for silent owners."""
+    """Replies to the calls of a collector, except for silent owners."""
 
     def __init__(self) -> None:
         self.jobs: dict[NetworkAddress, tuple[JobSlotUsage, ...]] = {}
@@ -320,7 +322,7 @@
         node.lead()
 
 
-class KeeperTest(unittest.TestCase):
+class WorkerCountControllerTest(unittest.TestCase):
     def test_stored_counts_of_an_earlier_release_are_restored(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             place = {"service": SERVICE, "zone": "zone-1"}
