--- a/drumbay/serving/request_intake.py
+++ b/drumbay/serving/request_intake.py
@@ -86,8 +86,8 @@
         content_length = headers.get("Content-Length", "")
         self._has_content_length = content_length.isascii() and content_length.isdigit()
         self._reservation = self._reserve(self._request)
-        # NOTE: tornado rejects a body over its limit after this method returns, when no response has
-        # been written yet.
+        # NOTE: tornado checks the limit for bodies after this method returns. No response has been
+        # written by then.
         body_bytes = int(content_length) if self._has_content_length else 0
         self._is_admitted = self._reservation.try_reserve_request(body_bytes)
         if self._is_admitted and body_bytes > MONITORED_BODY_BYTES:
