--- a/drumbay/forwarding/routes.py
+++ b/drumbay/forwarding/routes.py
@@ -71,7 +71,7 @@
     services: frozenset[str] = frozenset()
 
     @property
-    def named_services(self) -> frozenset[str]:
+    def configured_services(self) -> frozenset[str]:
         """Return all services that are declared or referred to by a route."""
         routed_services = {share.service for route in self.routes for share in route.shares}
         return self.services | routed_services
--- a/drumbay/forwarding/worker_call.py
+++ b/drumbay/forwarding/worker_call.py
@@ -59,7 +59,7 @@
         typical_seconds = self._typical_seconds(route)
         relative_latency = relative_latency_of(elapsed_seconds, typical_seconds, response.load)
         is_known = self._hedge_timing.has_typical_latency(route.name)
-        self._directory.observe_answer(
+        self._directory.observe_response(
             worker.worker_id, relative_latency if is_known else None, now, worker.started_at_ms
         )
         self._hedge_timing.observe(route.name, elapsed_seconds)
@@ -72,7 +72,7 @@
         elapsed_seconds = now - started_at
         typical_seconds = self._typical_seconds(route)
         if elapsed_seconds > typical_seconds:
-            self._directory.observe_unanswered(
+            self._directory.observe_cancelled_run(
                 worker.worker_id, elapsed_seconds / typical_seconds, now, worker.started_at_ms
             )
             self._hedge_timing.observe(route.name, elapsed_seconds)
--- a/drumbay/quarantine/service.py
+++ b/drumbay/quarantine/service.py
@@ -214,7 +214,7 @@
 
     async def _check(self, fingerprint: Fingerprint, run: _UnansweredRun) -> None:
         try:
-            probe_result = await self._client.listening(run.worker)
+            probe_result = await self._client.probe(run.worker)
         finally:
             self._checks[fingerprint] -= 1
             if not self._checks[fingerprint]:
@@ -328,7 +328,7 @@
         except WorkerError as error:
             log_event("worker_start_unknown", worker=worker.worker_id, error=error.code)
             return
-        self._directory.take_status(
+        self._directory.apply_status(
             worker.worker_id, status, self._clock.monotonic(), asked_at=asked_at
         )
 
--- a/drumbay/serving/node.py
+++ b/drumbay/serving/node.py
@@ -89,7 +89,7 @@
         self._notice_queues = NoticeQueues(environment.peers, self._tasks)
         self.metrics = ServingMetrics()
         held_bytes = settings.held_bytes if settings.is_enabled(LoadFeature.HELD_BYTES) else None
-        self.held = MemoryAccounting(held_bytes, self.metrics)
+        self.memory = MemoryAccounting(held_bytes, self.metrics)
         self._direct_store = CountedStore(clock, environment.store, self.metrics)
         address = settings.identity.address
         self._usage = UsageService(clock, settings.usage, settings.identity)
@@ -123,7 +123,7 @@
         if environment.connections is not None:
             environment.connections.set_silence_callback(self.metrics.count_silent_connection)
         self.routes = RouteTable()
-        self.named_versions = AnnouncedVersions()
+        self.announced_versions = AnnouncedVersions()
         self.quarantine = Quarantine(
             clock,
             self.directory,
@@ -165,7 +165,7 @@
             self._tasks,
             settings.identity,
             self._peer_directory.responsive,
-            self.named_versions.newest_of,
+            self.announced_versions.newest_of,
             self._broadcast,
             self._notice_queues.send,
             self.routes,
@@ -189,7 +189,7 @@
             self.directory,
             environment.workers,
             self.leader,
-            self.named_versions,
+            self.announced_versions,
             self._tasks,
             settings.machine,
             self._broadcast_weight_load,
--- a/drumbay/standins/worker_pool.py
+++ b/drumbay/standins/worker_pool.py
@@ -184,7 +184,7 @@
         """Return whether the caller has an idle connection to a worker."""
         return worker.worker_id in self.idle_connections
 
-    async def listening(self, worker: Worker) -> ProbeResult:
+    async def probe(self, worker: Worker) -> ProbeResult:
         """Probe whether a process listens at the address of a worker."""
         emulated = self._workers.get(worker.worker_id)
         if worker.worker_id in self._replaced:
--- a/drumbay/weights/version_coordinator.py
+++ b/drumbay/weights/version_coordinator.py
@@ -192,7 +192,7 @@
         """
         asked_at = self._clock.monotonic()
         status = await self._client.status(record.worker)
-        self._directory.take_status(
+        self._directory.apply_status(
             record.worker.worker_id, status, self._clock.monotonic(), asked_at=asked_at
         )
         return status
--- a/drumbay/workers/directory.py
+++ b/drumbay/workers/directory.py
@@ -136,7 +136,7 @@
         for model, version in worker.versions.items():
             if version > record.versions.get(model, WeightVersion(-1)):
                 record.versions[model] = version
-                record.loads.pop(model, None)
+                record.pending_loads.pop(model, None)
 
     def _add_record(self, worker: Worker) -> WorkerRecord:
         record = WorkerRecord(worker=worker, versions=dict(worker.versions))
@@ -156,7 +156,7 @@
             listener(worker.worker_id)
         return record
 
-    def take_status(
+    def apply_status(
         self, worker_id: BackendId, status: WorkerStatus, now: float, *, asked_at: float
     ) -> None:
         """Apply a worker's status report, which may reveal a restart before discovery does.
@@ -256,9 +256,9 @@
         record = self.get(worker_id, started_at_ms)
         if record is None:
             return
-        load = record.loads.get(model)
+        load = record.pending_loads.get(model)
         if load is not None and (version >= load.version or now >= load.until):
-            del record.loads[model]
+            del record.pending_loads[model]
         record.versions[model] = version
 
     def observe_load(
@@ -299,7 +299,7 @@
         """Stop sending requests for a model while the worker loads new weights for it."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
-            record.loads[model] = PendingWeightLoad(version=version, until=until)
+            record.pending_loads[model] = PendingWeightLoad(version=version, until=until)
 
     def observe_refusal(
         self, worker_id: BackendId, model: str, now: float, started_at_ms: int | None = None
@@ -324,7 +324,7 @@
             record.refusals.pop(model, None)
             record.failures = 0
 
-    def observe_answer(
+    def observe_response(
         self,
         worker_id: BackendId,
         relative_latency: float | None,
@@ -334,10 +334,10 @@
         """Record a complete response; the relative latency is ``None`` if unknown."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
-            record.answers.observe_response(relative_latency, now)
+            record.response_stats.observe_response(relative_latency, now)
             record.failures = 0
 
-    def observe_unanswered(
+    def observe_cancelled_run(
         self,
         worker_id: BackendId,
         relative_latency: float,
@@ -347,7 +347,7 @@
         """Record a run that was cancelled after a multiple of the typical latency."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
-            record.answers.observe_cancelled_run(relative_latency, now)
+            record.response_stats.observe_cancelled_run(relative_latency, now)
 
     def observe_failed_run(
         self, worker_id: BackendId, now: float, started_at_ms: int | None = None
@@ -355,7 +355,7 @@
         """Record a failed run without pausing the worker."""
         record = self.get(worker_id, started_at_ms)
         if record is not None:
-            record.answers.observe_failure(now)
+            record.response_stats.observe_failure(now)
 
     def observe_failure(
         self, worker_id: BackendId, now: float, started_at_ms: int | None = None
--- a/drumbay/workers/interface.py
+++ b/drumbay/workers/interface.py
@@ -50,7 +50,7 @@
         """Return whether a repeatable request could reuse an idle connection."""
         ...
 
-    async def listening(self, worker: Worker) -> ProbeResult:
+    async def probe(self, worker: Worker) -> ProbeResult:
         """Probe the worker's address with a new connection."""
         ...
 
--- a/drumbay/workers/service_filter.py
+++ b/drumbay/workers/service_filter.py
@@ -48,7 +48,7 @@
         self._forget(worker_id)
         self._directory.remove(worker_id)
 
-    def take_snapshot(self, workers: Iterable[Worker]) -> tuple[list[Worker], set[BackendId]]:
+    def filter_snapshot(self, workers: Iterable[Worker]) -> tuple[list[Worker], set[BackendId]]:
         """Return the accepted workers of a snapshot and the ids of the excluded ones."""
         configured = self._configured_services()
         usable: list[Worker] = []
--- a/drumbay/workers/silence_check.py
+++ b/drumbay/workers/silence_check.py
@@ -108,7 +108,7 @@
         """
         asked_at = self._clock.monotonic()
         status = await self._client.status(worker, fresh_connection=True)
-        self._directory.take_status(
+        self._directory.apply_status(
             worker.worker_id, status, self._clock.monotonic(), asked_at=asked_at
         )
         silent_runs = self._silent_runs[worker.worker_id]
--- a/drumbay/workers/worker_record.py
+++ b/drumbay/workers/worker_record.py
@@ -30,7 +30,7 @@
 
     ``in_flight`` counts this node's requests on the worker, ``body_bytes`` is the size of their
     bodies, and ``expected_tokens`` the total expected output of batch items, which occupies the
-    worker's memory. ``event_intervals`` describes streams, ``answers`` complete responses.
+    worker's memory. ``event_intervals`` describes streams, ``response_stats`` complete responses.
     ``other_requests``, ``slowdown`` and ``is_shared`` come from the last load report, received at
     ``reported_at``. ``is_start_reported`` is set if a status report revealed the incarnation before
     discovery did.
@@ -48,8 +48,8 @@
     paused_until: float = float("-inf")
     failures: int = 0
     event_intervals: EventIntervalEstimate = msgspec.field(default_factory=EventIntervalEstimate)
-    answers: ResponseStats = msgspec.field(default_factory=ResponseStats)
-    loads: dict[str, PendingWeightLoad] = msgspec.field(default_factory=dict)
+    response_stats: ResponseStats = msgspec.field(default_factory=ResponseStats)
+    pending_loads: dict[str, PendingWeightLoad] = msgspec.field(default_factory=dict)
     refusals: dict[str, ModelRefusals] = msgspec.field(default_factory=dict)
     missing_until: float | None = None
     is_start_reported: bool = False
@@ -74,7 +74,7 @@
 
     def accepts_model(self, model: str, now: float) -> bool:
         """Return whether the worker accepts requests for a model if it has a free slot."""
-        load = self.loads.get(model)
+        load = self.pending_loads.get(model)
         return self.is_available(now) and (load is None or now >= load.until)
 
     def is_refusing(self, model: str, now: float) -> bool:
@@ -106,7 +106,7 @@
         response headers show the old version.
         """
         observed = self.versions.get(model)
-        load = self.loads.get(model)
+        load = self.pending_loads.get(model)
         if load is None or observed is None or now < load.until:
             return observed
         return max(observed, load.version)
--- a/tests/test_lookup_forwarding.py
+++ b/tests/test_lookup_forwarding.py
@@ -86,7 +86,7 @@
                     await forwarder.forward(route(), lookup("bad"))
             now = world.clock.monotonic()
             for record in self.directory.of_service(LOOKUPS):
-                self.assertEqual(record.answers.failure_rate(now), 0.0)
+                self.assertEqual(record.response_stats.failure_rate(now), 0.0)
 
         run_in_world(scenario)
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -80,7 +80,11 @@
                 node.named.name("m", WeightVersion(2))
             await asyncio.sleep(0.5)
             loads = [
-                sorted(r.worker.worker_id for r in n.directory.all_records().values() if r.loads)
+                sorted(
+                    r.worker.worker_id
+                    for r in n.directory.all_records().values()
+                    if r.pending_loads
+                )
                 for n in world.nodes
             ]
             self.assertTrue(loads[0])
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -372,11 +372,11 @@
         )
         self.scripted.keep = True
         await self.client.call(worker, self.repeatable())
-        self.assertEqual(await self.client.listening(worker), ProbeResult.ACCEPTS)
+        self.assertEqual(await self.client.probe(worker), ProbeResult.ACCEPTS)
         with self.assertRaises(WorkerBrokenError):
             await self.client.call(worker, self.repeatable())
         self.assertEqual(len(self.scripted.requests), 2)
-        self.assertEqual(await self.client.listening(worker), ProbeResult.REFUSES)
+        self.assertEqual(await self.client.probe(worker), ProbeResult.REFUSES)
         with self.assertRaises(WorkerUnreachableError):
             await self.client.call(worker, self.repeatable())
 
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -320,9 +320,9 @@
                     assert current is not None
                     self.assertEqual(current.version, 1)
                     self.assertEqual([route.name for route in current.routes], ["r"])
-                    self.assertEqual(driver.node.named_versions.newest_of("m"), 2)
+                    self.assertEqual(driver.node.announced_versions.newest_of("m"), 2)
                     self.assertEqual(
-                        driver.node.named_versions.newest_of("n"), other.mod_revision - 1
+                        driver.node.announced_versions.newest_of("n"), other.mod_revision - 1
                     )
                     self.assertEqual(len(driver.invalid_entry_logs()), 2)
                     self.assertNotIn(SECRET, "".join(driver.invalid_entry_logs()))
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -262,7 +262,7 @@
                 self.assertFalse(stopping.done() and remaining > LARGE_BYTES // 2)
                 remaining -= len(await client.reader.readexactly(min(remaining, READ_BYTES)))
             await stopping
-        self.assertEqual(node.held.bytes.usage.held_bytes, 0)
+        self.assertEqual(node.memory.bytes.usage.held_bytes, 0)
 
     async def test_graceful_shutdown_does_not_wait_for_a_stalled_reader(self) -> None:
         node = self.processes[0].node
@@ -270,9 +270,9 @@
         with mock.patch.dict(STALL_TIMEOUT_UNDER_PRESSURE_SECONDS, {HeldKind.LOOKUP: 0.5}):
             async with asyncio.timeout(TIMEOUT_SECONDS):
                 await self.start_large_lookup()
-                self.assertGreater(node.held.bytes.held(HeldKind.LOOKUP), LARGE_BYTES)
+                self.assertGreater(node.memory.bytes.held(HeldKind.LOOKUP), LARGE_BYTES)
                 await node.stop()
-        self.assertEqual(node.held.bytes.usage.held_bytes, 0)
+        self.assertEqual(node.memory.bytes.usage.held_bytes, 0)
         self.assertIn(shed, node.metrics.render())
 
     async def test_result_pages_are_shed_before_lookups(self) -> None:
@@ -281,14 +281,14 @@
         self.configure(1, "/l/")
         await self.start()
         limit_bytes = 10 * MEGABYTE
-        node.held.bytes = type(node.held.bytes)(limit_bytes)
-        node.held.bytes.reserve(HeldKind.LOOKUP, int(0.6 * limit_bytes))
+        node.memory.bytes = type(node.memory.bytes)(limit_bytes)
+        node.memory.bytes.reserve(HeldKind.LOOKUP, int(0.6 * limit_bytes))
         async with asyncio.timeout(TIMEOUT_SECONDS):
             page = await process.ask("GET", "/lots/b1")
             self.assertEqual((page.status, page.headers["Retry-After"]), (503, "0.5"))
             self.assertEqual((await process.ask("POST", "/l/1", b"question")).status, 200)
             self.assertEqual((await process.ask("DELETE", "/lots/b1")).status, 404)
-            node.held.bytes.reserve(HeldKind.LOOKUP, int(0.2 * limit_bytes))
+            node.memory.bytes.reserve(HeldKind.LOOKUP, int(0.2 * limit_bytes))
             submission = await process.ask("POST", "/p/x", b"{}")
             self.assertEqual((submission.status, submission.headers["Retry-After"]), (503, "0.5"))
             self.assertEqual((await process.ask("POST", "/l/1", b"question")).status, 200)
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -85,7 +85,7 @@
         record.expected_tokens = 100
         self.directory.observe_load(WORKER, WorkerLoad(running=4, waiting=2, slots=4), 1.0)
         self.directory.observe_event_interval(WORKER, 0.5, 1.0)
-        self.directory.observe_answer(WORKER, 2.0, 1.0)
+        self.directory.observe_response(WORKER, 2.0, 1.0)
         self.directory.observe_failed_run(WORKER, 1.0)
         self.directory.record_weight_load(WORKER, MODEL, WeightVersion(9), 50.0)
         self.directory.observe_refusal(WORKER, MODEL, 1.0)
@@ -99,12 +99,14 @@
             is_start_reported=is_start_reported,
         )
         record = msgspec.structs.replace(
-            self.record(), event_intervals=expected.event_intervals, answers=expected.answers
+            self.record(),
+            event_intervals=expected.event_intervals,
+            response_stats=expected.response_stats,
         )
         self.assertEqual(record, expected)
         self.assertIsNone(self.record().event_intervals.current(1.0))
-        self.assertEqual(self.record().answers.relative_latency(1.0), 1.0)
-        self.assertEqual(self.record().answers.failure_rate(1.0), 0.0)
+        self.assertEqual(self.record().response_stats.relative_latency(1.0), 1.0)
+        self.assertEqual(self.record().response_stats.failure_rate(1.0), 0.0)
         self.assertTrue(self.record().is_available(1.0))
         self.assertEqual(self.restarted, [WORKER])
 
@@ -120,7 +122,7 @@
 
     def test_later_start_in_a_report_replaces_the_record(self) -> None:
         self.record_with_full_state()
-        self.directory.take_status(WORKER, status(SECOND_MS, version=2), 1.0, asked_at=0.9)
+        self.directory.apply_status(WORKER, status(SECOND_MS, version=2), 1.0, asked_at=0.9)
         self.assert_reset(version=2, is_start_reported=True)
         self.directory.put(worker(FIRST_MS, version=3))
         self.assert_reset(version=2, is_start_reported=True)
@@ -128,9 +130,9 @@
         self.assert_reset(version=2)
 
     def test_start_earlier_than_the_reported_one_is_ignored(self) -> None:
-        self.directory.take_status(WORKER, status(SECOND_MS, version=2), 1.0, asked_at=0.9)
+        self.directory.apply_status(WORKER, status(SECOND_MS, version=2), 1.0, asked_at=0.9)
         self.directory.put(msgspec.structs.replace(worker(), state=WorkerState.DRAINING))
-        self.directory.take_status(WORKER, status(FIRST_MS, version=8), 1.0, asked_at=0.9)
+        self.directory.apply_status(WORKER, status(FIRST_MS, version=8), 1.0, asked_at=0.9)
         self.assert_reset(version=2, is_start_reported=True)
 
     def test_newer_entry_wins_regardless_of_its_start_time(self) -> None:
@@ -141,22 +143,22 @@
                 self.directory.put(worker(SECOND_MS, version=9))
                 if reports:
                     reported = status(SECOND_MS, version=9)
-                    self.directory.take_status(WORKER, reported, 1.0, asked_at=0.9)
+                    self.directory.apply_status(WORKER, reported, 1.0, asked_at=0.9)
                 self.directory.put(draining)
                 self.assertEqual(self.record().worker, draining)
                 self.assertEqual(self.record().versions[MODEL], 2)
-        self.directory.take_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
+        self.directory.apply_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
         self.directory.put(worker(SECOND_MS))
         self.directory.put(draining)
         self.assertEqual(self.record().worker, draining)
 
     def test_reported_restart_does_not_restore_a_lapsed_entry(self) -> None:
         self.directory.replace_all([], missing_until=5.0)
-        self.directory.take_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
+        self.directory.apply_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
         self.assertEqual(self.directory.drop_missing(5.0), (WORKER,))
         self.directory.put(worker(SECOND_MS))
         self.directory.replace_all([], missing_until=5.0)
-        self.directory.take_status(WORKER, status(SECOND_MS + 1), 1.0, asked_at=0.9)
+        self.directory.apply_status(WORKER, status(SECOND_MS + 1), 1.0, asked_at=0.9)
         self.directory.put(worker(SECOND_MS + 1))
         self.assertEqual(self.directory.drop_missing(5.0), ())
 
@@ -164,7 +166,7 @@
         self.directory.remove(WORKER)
         self.directory.put(worker(0, version=3))
         record = self.record_with_full_state()
-        self.directory.take_status(WORKER, status(FIRST_MS, version=4), 1.0, asked_at=0.9)
+        self.directory.apply_status(WORKER, status(FIRST_MS, version=4), 1.0, asked_at=0.9)
         self.assertIs(self.record(), record)
         self.assertEqual(record.worker, worker(FIRST_MS, version=3))
         self.assertEqual(record.versions[MODEL], 4)
@@ -173,7 +175,7 @@
         # Runs that began without a known incarnation belong to this record.
         self.assertIs(self.directory.get(WORKER, 0), record)
         self.assertFalse(self.directory.has_restarted(worker(0)))
-        self.directory.take_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
+        self.directory.apply_status(WORKER, status(SECOND_MS), 1.0, asked_at=0.9)
         self.assertEqual(self.restarted, [WORKER])
 
     def test_only_a_different_known_start_is_a_restart(self) -> None:
@@ -203,8 +205,8 @@
         self.directory.observe_refusal(WORKER, MODEL, 1.0, FIRST_MS)
         self.directory.observe_version(WORKER, MODEL, WeightVersion(9), 1.0, FIRST_MS)
         self.directory.observe_event_interval(WORKER, 0.5, 1.0, FIRST_MS)
-        self.directory.observe_answer(WORKER, 2.0, 1.0, FIRST_MS)
-        self.directory.observe_unanswered(WORKER, 2.0, 1.0, FIRST_MS)
+        self.directory.observe_response(WORKER, 2.0, 1.0, FIRST_MS)
+        self.directory.observe_cancelled_run(WORKER, 2.0, 1.0, FIRST_MS)
         self.directory.observe_failed_run(WORKER, 1.0, FIRST_MS)
         self.directory.record_weight_load(WORKER, MODEL, WeightVersion(9), 50.0, FIRST_MS)
         load = WorkerLoad(running=4, waiting=2, slots=4)
@@ -315,11 +317,11 @@
             fixture.receive_crash()
             await asyncio.sleep(0.1)
             now = fixture.clock.monotonic()
-            fixture.directory.take_status(WORKER, report, now, asked_at=asked_at)
+            fixture.directory.apply_status(WORKER, report, now, asked_at=asked_at)
             self.assertEqual(fixture.crash_count, 1)
             # The crash is reported again, with an earlier time.
             fixture.receive_crash(ended_seconds_ago=0.4)
-            fixture.directory.take_status(WORKER, report, now, asked_at=now - 0.05)
+            fixture.directory.apply_status(WORKER, report, now, asked_at=now - 0.05)
             self.assertEqual(fixture.crash_count, 0)
 
         run_simulation(scenario)
@@ -350,7 +352,7 @@
                 version=1,
             )
             stored.feed.on_snapshot((item,), 0.0)
-            fixture.directory.take_status(
+            fixture.directory.apply_status(
                 WORKER, report, fixture.clock.monotonic(), asked_at=asked_at
             )
             self.assertEqual(fixture.crash_count, 1)
@@ -583,7 +585,7 @@
             for started_at_ms, loads in ((entry.started_at_ms - 1, 0), (entry.started_at_ms, 1)):
                 changed = msgspec.structs.replace(notice, started_at_ms=started_at_ms)
                 node._take_notices((changed,))
-                self.assertEqual(len(record.loads), loads)
+                self.assertEqual(len(record.pending_loads), loads)
 
         run_in_world(scenario, node_count=1, worker_count=1, workers_keep_ids=True)
 
