--- a/drumbay/requests/dispatcher.py
+++ b/drumbay/requests/dispatcher.py
@@ -95,7 +95,7 @@
         request = ChoiceRequest(
             now=now,
             zone=self._zone,
-            selects=requirements.compiled.matches,
+            matches_selector=requirements.compiled.matches,
             model=route.model,
             required_version=requirements.required_version,
             oldest_version=requirements.oldest_version,
--- a/drumbay/routing/backend_choice.py
+++ b/drumbay/routing/backend_choice.py
@@ -25,7 +25,7 @@
 
 
 class BackendView(msgspec.Struct, frozen=True, kw_only=True):
-    """Snapshot of what this node knows about one backend.
+    """Snapshot of one backend as seen by this node.
 
     Attributes:
         backend_id: The backend.
@@ -35,7 +35,8 @@
         waiting: Requests in its queue, from its last report.
         reported_at: Monotonic time at which the report was taken; ``None`` without a report.
         own_outstanding: Unfinished attempts of this node.
-        own_started_since_report: Those of them that started after the report was taken.
+        own_started_since_report: Unfinished attempts of this node that started after the report
+            was taken.
         own_finished_since_report: Attempts of this node that finished after the report was
             taken.
         mean_service_seconds: Mean duration of this node's attempts on it; ``None`` if unknown.
@@ -66,7 +67,7 @@
     Attributes:
         now: Monotonic time in seconds.
         zone: Zone of this node.
-        selects: Compiled label selector of the route.
+        matches_selector: Compiled label selector of the route.
         model: Model that must be loaded; ``None`` for applications.
         required_version: The only version accepted.
         oldest_version: Oldest version accepted.
@@ -79,7 +80,7 @@
 
     now: float
     zone: str
-    selects: LabelPredicate
+    matches_selector: LabelPredicate
     model: str | None = None
     required_version: WeightVersion | None = None
     oldest_version: WeightVersion | None = None
@@ -126,7 +127,7 @@
     Attributes:
         chosen: The selected backend; ``None`` if no candidate is eligible.
         candidates: All candidates.
-        rejections: Why each candidate was rejected; ``None`` for the selected one.
+        rejections: Why each candidate was not selected; ``None`` for the selected one.
         costs: Costs of the compared candidates, by index.
     """
 
@@ -192,12 +193,12 @@
 
     Args:
         request: Requirements of the attempt.
-        candidates: Backends that this node knows, in any fixed order.
+        candidates: Backends known to this node, in any fixed order.
         policy: Cost weights and load limits.
         random: Random number generator.
 
     Returns:
-        The selected backend, and why each other candidate was rejected.
+        The selected backend, and why each other candidate was not selected.
     """
     load_limit = policy.max_load
     if request.priority < policy.reserved_priority:
@@ -226,7 +227,7 @@
     request: ChoiceRequest, view: BackendView, load_limit: int
 ) -> RejectionReason | None:
     labels = view.labels
-    if not request.selects(labels):
+    if not request.matches_selector(labels):
         return RejectionReason.SELECTOR
     if request.model is not None and labels.get(MODEL_LABEL) != request.model:
         return RejectionReason.MODEL
--- a/drumbay/routing/directory.py
+++ b/drumbay/routing/directory.py
@@ -1,4 +1,4 @@
-"""Directory of the backends that one node knows, from configuration, status reports and attempts.
+"""Directory of the backends known to one node: configuration, status reports and attempts.
 
 Does no I/O and reads no clock: the caller passes in events and the current time, and gets
 changes of availability back as records for the decision log.
@@ -21,7 +21,7 @@
 from drumbay.routing.selectors import MODEL_LABEL, LabelPredicate, compile_selector, labels_of
 
 MAX_REPORT_FAILURES = 3
-"""Failed status requests in a row after which a backend is unreachable."""
+"""Consecutive failed status requests after which a backend counts as unreachable."""
 
 
 class AvailabilityChange(msgspec.Struct, frozen=True, kw_only=True):
@@ -29,8 +29,8 @@
 
     Attributes:
         backend_id: The backend.
-        reason: The reason that began or ceased to apply.
-        available: Whether the reason ceased to apply.
+        reason: Why the backend became, or had been, unavailable.
+        available: Whether the reason no longer applies.
         detail: Human-readable explanation.
     """
 
@@ -41,7 +41,7 @@
 
 
 class AttemptOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of an attempt for the circuit breaker; ``None`` counts as neither result."""
+    """Outcome of an attempt for the circuit breaker; ``None``: neither success nor failure."""
 
     succeeded: bool | None
 
@@ -62,7 +62,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Return whether too few status requests failed in a row to give the backend up."""
+        """Return whether fewer than ``MAX_REPORT_FAILURES`` status requests failed in a row."""
         return self.consecutive_report_failures < MAX_REPORT_FAILURES
 
 
@@ -133,7 +133,9 @@
         ]
         changes: list[AvailabilityChange] = []
         for backend_id, entry in self._entries.items():
-            matching_drains = [name for name, selects in drains if selects(entry.labels)]
+            matching_drains = [
+                name for name, matches_selector in drains if matches_selector(entry.labels)
+            ]
             active_drain = matching_drains[0] if matching_drains else None
             if (active_drain is None) != (entry.active_drain is None):
                 changes.append(
@@ -288,12 +290,12 @@
                 views.append(view)
         return views
 
-    def select(self, selects: LabelPredicate, model: str) -> tuple[BackendAddress, ...]:
+    def select(self, matches_selector: LabelPredicate, model: str) -> tuple[BackendAddress, ...]:
         """Return the addresses of a model's backends that match a selector, watched or not."""
         return tuple(
             entry.address
             for entry in self._entries.values()
-            if entry.labels.get(MODEL_LABEL) == model and selects(entry.labels)
+            if entry.labels.get(MODEL_LABEL) == model and matches_selector(entry.labels)
         )
 
     def reported_version(self, backend_id: BackendId) -> WeightVersion | None:
--- a/drumbay/routing/load_tracker.py
+++ b/drumbay/routing/load_tracker.py
@@ -104,7 +104,7 @@
 
 
 class LoadTracker:
-    """Tracks the load of the backends that this node knows."""
+    """Tracks the load of the backends known to this node."""
 
     def __init__(self) -> None:
         """Create a tracker without backends."""
--- a/drumbay/routing/policy_engines.py
+++ b/drumbay/routing/policy_engines.py
@@ -20,7 +20,7 @@
     """Evaluates the selectors of weight policies, and caches the result until an input changes.
 
     Args:
-        directory: The backends that this node knows.
+        directory: The backends known to this node.
     """
 
     def __init__(self, directory: BackendDirectory) -> None:
@@ -35,8 +35,8 @@
         # Unchanged resources are the same objects in successive configuration views.
         if cached is not None and cached.policy is policy and cached.revision == revision:
             return cached.engines
-        selects = compile_selector(policy.selector)
-        engines = self._directory.select(selects, policy.model)
+        matches_selector = compile_selector(policy.selector)
+        engines = self._directory.select(matches_selector, policy.model)
         self._cache[policy.name] = _CachedSelection(
             policy=policy, revision=revision, engines=engines
         )
--- a/drumbay/routing/prefix_index.py
+++ b/drumbay/routing/prefix_index.py
@@ -15,7 +15,6 @@
 
 MAX_AFFINITY_BLOCKS = 64
 DEFAULT_MAX_ENTRIES_PER_BACKEND = 512
-"""Bounds the memory per engine."""
 _NO_EVENT = -1
 
 
@@ -40,7 +39,7 @@
 
 
 class PrefixIndex:
-    """Estimated prefix caches of the engines that this node watches."""
+    """Estimated prefix caches of the engines, by cached prefix."""
 
     def __init__(self, max_entries_per_backend: int = DEFAULT_MAX_ENTRIES_PER_BACKEND) -> None:
         """Create an empty index that keeps at most this many prefixes per engine."""
@@ -78,7 +77,7 @@
     def record_dispatch(
         self, backend_id: BackendId, hashes: tuple[str, ...], weight_version: WeightVersion
     ) -> None:
-        """Assume that an engine caches a prompt sent to it, before its events arrive."""
+        """Record the prefixes of a prompt sent to an engine, before its cache events arrive."""
         cache = self._caches.setdefault(backend_id, _EngineCacheEstimate())
         for prefix_hash in hashes:
             self._store(backend_id, cache, prefix_hash, weight_version)
@@ -102,11 +101,11 @@
             Shares above 0 and up to 1 by engine; engines without a cached block are absent.
         """
         shares: dict[BackendId, float] = {}
-        for position in range(len(hashes), 0, -1):
-            holders = self._holders.get(hashes[position - 1])
+        for block_count in range(len(hashes), 0, -1):
+            holders = self._holders.get(hashes[block_count - 1])
             if holders is None:
                 continue
-            share = position / len(hashes)
+            share = block_count / len(hashes)
             for backend_id, version in holders.items():
                 if weight_version is None or version == weight_version:
                     shares.setdefault(backend_id, share)
--- a/drumbay/routing/selectors.py
+++ b/drumbay/routing/selectors.py
@@ -28,7 +28,7 @@
 
 
 class InvalidSelectorError(ConfigurationError):
-    """A set-based requirement lacks values, or has values that its operator does not take."""
+    """A set-based requirement lacks values, or its operator does not accept values."""
 
     code = "invalid_selector"
 
--- a/drumbay/routing/subsets.py
+++ b/drumbay/routing/subsets.py
@@ -4,7 +4,7 @@
 it computes locally from the shared membership lists without exchanging messages. There are
 four designs (compared by ``drumbay.bench.subsets``):
 
-* all: every node is connected to every worker;
+* all: every node watches every worker;
 * zone-modular and random modular: disjoint clusters of nodes and workers (Tsitsiklis and
   Xu, "Flexible Queueing Architectures", Operations Research 65(5), 2017, section 3.3). By
   their Theorem 3.5, some demands with small fluctuations cannot be served;
@@ -15,9 +15,10 @@
 
 The random regular graph is built by rendezvous hashing (Thaler and Ravishankar, IEEE/ACM
 Transactions on Networking 6(1), 1998), which gives every pair of node and worker a score. A node
-watches a worker if the worker is among the node's ``degree`` best, or the node among the
-worker's best. The first rule bounds the load of a node, the second guarantees that every
-worker is watched. A membership change affects only the pairs of the member and a few others.
+watches a worker if the worker is among the ``degree`` highest-scoring workers of the node, or the
+node is among the highest-scoring nodes of the worker (see :func:`nodes_per_worker`). The first rule
+bounds the load of a node, the second guarantees that every worker is watched. A membership change
+affects only the pairs of the member and a few others.
 """
 
 import math
--- a/tests/test_routing_choice.py
+++ b/tests/test_routing_choice.py
@@ -50,7 +50,7 @@
 
 
 def choice_request(**changes: object) -> ChoiceRequest:
-    default = ChoiceRequest(now=1.0, zone="z1", selects=is_selected, model="m")
+    default = ChoiceRequest(now=1.0, zone="z1", matches_selector=is_selected, model="m")
     return msgspec.structs.replace(default, **changes)
 
 
