--- a/drumbay/weights/capacity.py
+++ b/drumbay/weights/capacity.py
@@ -11,8 +11,8 @@
 def min_serving_engines(total: int, min_serving_share: float) -> int:
     """Return how many of ``total`` engines must keep serving.
 
-    In a small group the share may round up to all engines, which would block every rollout.
-    Unless the policy requires all engines, one at a time may then be taken out of service.
+    In a small group the share may round up to all engines, which would block every rollout. In that
+    case, one engine at a time may be taken out of service unless the policy requires all of them.
     """
     minimum = math.ceil(min_serving_share * total)
     if minimum == total and min_serving_share < 1.0:
--- a/drumbay/weights/engines.py
+++ b/drumbay/weights/engines.py
@@ -7,7 +7,7 @@
 """An engine whose last report is older than this does not count as serving."""
 
 MAX_RESTART_BACKOFF_SECONDS = 5.0
-"""Longest backoff that is kept across a restart. Not zero, so that an engine that crashes while
+"""Maximum remaining backoff after a restart. Above zero, so that an engine that crashes while
 loading is not ordered again immediately."""
 
 TOKEN_VERSION_GRACE_SECONDS = 2.0
@@ -30,9 +30,9 @@
     Attributes:
         engine: The engine.
         version: Version that it serves, by its report or by the version of its tokens.
-        load: Requests running and waiting.
+        load: Number of running and queued requests.
         highest_fence: Highest fencing token that the engine has seen.
-        pending_order: Order in progress.
+        pending_order: Order whose outcome is not known yet.
         failures: Consecutive failed orders.
         retry_at: Earliest time of the next order.
         set_aside: Whether repeated failures exclude it from the rollout until ``retry_at``.
--- a/drumbay/weights/events.py
+++ b/drumbay/weights/events.py
@@ -13,7 +13,7 @@
 
     Attributes:
         min_serving_share: Minimum share of the engines that keeps serving.
-        max_staleness_versions: How many versions behind the target a running sample may use.
+        max_staleness_versions: How many versions behind the target a running sample may be.
         max_concurrent_loads: Maximum number of engines that read from the weight store at once.
     """
 
@@ -30,7 +30,7 @@
 
 
 class Withdrawal(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator's rollback: withdraws the versions above ``keep`` up to ``through``."""
+    """Operator's rollback: withdraws the versions after ``keep`` through ``through``."""
 
     keep: WeightVersion
     through: WeightVersion
@@ -142,8 +142,8 @@
     SUPERSEDES = "supersedes"
 
 
-class LoadEngine(msgspec.Struct, frozen=True, kw_only=True):
-    """Order an engine to load a version."""
+class IssueLoadOrder(msgspec.Struct, frozen=True, kw_only=True):
+    """Send an engine the order to load a version."""
 
     engine: BackendId
     version: WeightVersion
@@ -175,4 +175,4 @@
     detail: str
 
 
-WeightRolloutDecision = LoadEngine | SetAside | RolloutStarted | RolloutDone
+WeightRolloutDecision = IssueLoadOrder | SetAside | RolloutStarted | RolloutDone
--- a/drumbay/weights/fences.py
+++ b/drumbay/weights/fences.py
@@ -10,8 +10,6 @@
 from drumbay.identifiers import Fence
 
 SEQUENCE_BITS = 24
-"""Allows 16 million orders per lease."""
-
 _SEQUENCE_LIMIT = 1 << SEQUENCE_BITS
 
 
@@ -24,8 +22,8 @@
 def order_fence(lease_fence: Fence, sequence: int) -> Fence:
     """Return the fence of an order.
 
-    Every fenced order to an engine must use such a fence; the bare fence of a lease is lower
-    than those of all orders.
+    Every fenced order to an engine must use such a fence; the fence of a lease alone
+    is lower than those of all orders.
 
     Raises:
         OrderSequenceExhaustedError: ``sequence`` does not fit.
--- a/drumbay/weights/planner.py
+++ b/drumbay/weights/planner.py
@@ -12,7 +12,7 @@
 from drumbay.weights.engines import EngineRecord, PendingOrder
 from drumbay.weights.events import (
     EnginesChanged,
-    LoadEngine,
+    IssueLoadOrder,
     NeedsChanged,
     OrderFailed,
     OrderReason,
@@ -58,7 +58,7 @@
     """Brings engines to the target version within the limits of the policy.
 
     Only the owner of the rollout makes decisions. A new owner does not know the orders of its
-    predecessor: it plans from the engines' reports, and its orders have newer fences.
+    predecessor: it plans from the engines' reports, and its orders have higher fences.
     """
 
     def __init__(self, policy: WeightRolloutPolicy) -> None:
@@ -326,13 +326,13 @@
         ]
         return surplus_by_version(self._engines.values(), relevant_needs, now)
 
-    def _issue_order(self, record: EngineRecord, reason: OrderReason, now: float) -> LoadEngine:
+    def _issue_order(self, record: EngineRecord, reason: OrderReason, now: float) -> IssueLoadOrder:
         assert self._target is not None
         assert self._lease_fence is not None
         fence = self._next_fence(self._lease_fence)
         record.pending_order = PendingOrder(self._target, fence, now)
         failure_note = f"; last failure: {record.last_failure}" if record.failures else ""
-        return LoadEngine(
+        return IssueLoadOrder(
             engine=record.engine,
             version=self._target,
             fence=fence,
--- a/drumbay/weights/service.py
+++ b/drumbay/weights/service.py
@@ -24,7 +24,7 @@
 from drumbay.tasks import TaskOwner
 from drumbay.weights.events import (
     EnginesChanged,
-    LoadEngine,
+    IssueLoadOrder,
     NeedsChanged,
     OrderFailed,
     OrderSucceeded,
@@ -51,8 +51,7 @@
 STATUS_TIMEOUT_SECONDS = 2.0
 MAX_CONCURRENT_STATUS_CALLS = 64
 ORDER_TIMEOUT_SECONDS = 90.0
-DEFAULT_CONCURRENT_LOADS = 256
-"""Enough to keep the weight store busy."""
+DEFAULT_MAX_CONCURRENT_LOADS = 256
 
 
 def withdrawals_of(view: ConfigurationView, model: str) -> tuple[Withdrawal, ...]:
@@ -68,7 +67,7 @@
 
 
 class EngineStamp(Message, frozen=True, kw_only=True):
-    """Datagram to the owner of a rollout: an engine's tokens contradict its reported version."""
+    """Datagram to the owner of a rollout: an engine's tokens are not of its reported version."""
 
     model: str
     engine: BackendId
@@ -103,7 +102,7 @@
         needs: Callable[[str], tuple[VersionNeed, ...]],
         record: Callable[[DecisionRecord], None],
         task_owner: TaskOwner,
-        max_concurrent_loads: int = DEFAULT_CONCURRENT_LOADS,
+        max_concurrent_loads: int = DEFAULT_MAX_CONCURRENT_LOADS,
     ) -> None:
         """Create the service.
 
@@ -113,7 +112,7 @@
             transport: Messages between nodes.
             node_id: This node, for the decision records.
             view: Returns the current configuration.
-            engines_of: Returns the engines that a policy selects.
+            engines_of: Returns the addresses of the engines that a policy selects.
             lease_fence: Returns the fence of the lease on a model's rollout while this
                 node owns it, else ``None``.
             owner_address: Returns the address of the owner of a model's rollout.
@@ -226,7 +225,7 @@
         policy_changed = PolicyChanged(
             policy=self._rollout_policy(policy), withdrawals=withdrawals_of(view, model)
         )
-        # Ownership comes last, so that the first plan has all other inputs.
+        # Ownership comes last: a new owner plans at once and needs all other inputs.
         self._handle(model, policy_changed)
         self._handle(
             model, EnginesChanged(engines=tuple(backend.backend_id for backend in engines))
@@ -269,10 +268,10 @@
             return
         for decision in planner.handle(event, self._clock.monotonic()):
             self._record_decision(model, decision)
-            if isinstance(decision, LoadEngine):
+            if isinstance(decision, IssueLoadOrder):
                 self._task_owner.spawn(self._send_order(model, decision), "weight order")
 
-    async def _send_order(self, model: str, decision: LoadEngine) -> None:
+    async def _send_order(self, model: str, decision: IssueLoadOrder) -> None:
         order = FencedOrder(
             fence=decision.fence,
             kind=OrderKind.LOAD_VERSION,
@@ -297,7 +296,7 @@
 
     def _record_decision(self, model: str, decision: WeightRolloutDecision) -> None:
         match decision:
-            case LoadEngine(engine=engine, detail=detail):
+            case IssueLoadOrder(engine=engine, detail=detail):
                 event, subject_id = "weights_load_ordered", str(engine)
             case SetAside(engine=engine, detail=detail):
                 event, subject_id = "weights_engine_set_aside", str(engine)
@@ -305,7 +304,7 @@
                 event, subject_id = "weights_rollout_started", model
             case RolloutDone(detail=detail):
                 event, subject_id = "weights_rollout_done", model
-        level = "DEBUG" if isinstance(decision, LoadEngine) else "INFO"
+        level = "DEBUG" if isinstance(decision, IssueLoadOrder) else "INFO"
         log_event(event, level=level, model=model, subject=subject_id, detail=detail)
         self._record(
             DecisionRecord(
--- a/drumbay/weights/version_coordinator.py
+++ b/drumbay/weights/version_coordinator.py
@@ -33,7 +33,7 @@
 TICK_SECONDS = 0.25
 CALL_TIMEOUT_SECONDS = 0.6
 STATUS_INTERVAL_SECONDS = 0.1
-"""Poll interval during a load; short, since a worker runs only one load at a time."""
+"""Interval between status requests during a load."""
 
 NOTICE_MARGIN_SECONDS = 0.03
 """Added to the expected load time, since the notice is sent before the order."""
@@ -102,7 +102,7 @@
             announced_versions: The versions to load.
             task_owner: Owner of the load tasks.
             holder: Name of this machine in orders to workers.
-            broadcast_notice: Broadcasts a notice to all nodes, including this one, before a load.
+            broadcast_notice: Sends a notice to all nodes, including this one, before a load order.
             metrics: Counts the loads by outcome.
             handover_seconds: Minimum time between orders of different machines to a worker.
             policy: Limits on concurrent loads and time limits.
--- a/drumbay/weights/version_planner.py
+++ b/drumbay/weights/version_planner.py
@@ -1,9 +1,10 @@
 """Plans which worker loads which version next; does no I/O.
 
 A training step accepts the newest announced version and the one before it. Workers that lag
-further behind are loaded first; of the others, only as many as keep half of the workers at the
-newest version. When versions are published in quick succession, each worker thus skips every
-second one. A version that stays the newest for longer is loaded on all workers.
+further behind are loaded first. Of the others, only as many are loaded as are needed for half of
+the workers to serve the newest version: when versions are published in quick succession, each
+worker thus skips every second one. A version that stays the newest for longer is loaded on all
+workers.
 """
 
 from collections.abc import Iterable, Mapping
@@ -26,12 +27,12 @@
     """Limits of version loads.
 
     Attributes:
-        minimum_at_once: Number of workers that may always load concurrently.
+        min_concurrent_loads: Number of workers that may always load concurrently.
         max_loading_share: Share of the workers that may load concurrently.
         expected_load_seconds: Expected duration of a load.
         load_timeout_seconds: Time after which a load counts as failed.
         retry_delay_seconds: Delay before a retry on a worker whose load failed.
-        everywhere_after_seconds: Time after which the newest version is loaded on all workers.
+        full_rollout_after_seconds: Time after which the newest version is loaded on all workers.
     """
 
     min_concurrent_loads: int = 2
@@ -139,7 +140,7 @@
         return tuple(loads)
 
     def _desired_worker_count(self, key: ModelVersion, model_worker_count: int, now: float) -> int:
-        """Return how many workers should serve the newest version by now."""
+        """Return how many workers should serve the newest version at ``now``."""
         announced_at = self._announced_at.get(key)
         if announced_at is None:
             self._announced_at = {
--- a/tests/test_weight_planner.py
+++ b/tests/test_weight_planner.py
@@ -8,7 +8,7 @@
 from drumbay.identifiers import BackendId, BootId, Fence, WeightVersion
 from drumbay.weights.events import (
     EnginesChanged,
-    LoadEngine,
+    IssueLoadOrder,
     OrderFailed,
     OrderSucceeded,
     OwnershipChanged,
@@ -57,8 +57,8 @@
             WeightRolloutPolicy(min_serving_share=MIN_SERVING_SHARE)
         )
         self.versions = dict.fromkeys(ENGINES, 1)
-        self.pending: dict[BackendId, LoadEngine] = {}
-        self.orders: list[LoadEngine] = []
+        self.pending: dict[BackendId, IssueLoadOrder] = {}
+        self.orders: list[IssueLoadOrder] = []
         self.now = 0.0
         self.published = 1
         self.withdrawals: tuple[Withdrawal, ...] = ()
@@ -71,7 +71,7 @@
     def send(self, event: WeightRolloutEvent) -> tuple[WeightRolloutDecision, ...]:
         decisions = self.planner.handle(event, self.now)
         for decision in decisions:
-            if isinstance(decision, LoadEngine):
+            if isinstance(decision, IssueLoadOrder):
                 self.pending[decision.engine] = decision
                 self.orders.append(decision)
         return decisions
@@ -112,7 +112,7 @@
         policy = WeightRolloutPolicy(min_serving_share=MIN_SERVING_SHARE)
         return PolicyChanged(policy=policy, withdrawals=self.withdrawals)
 
-    def finish_order(self, order: LoadEngine) -> None:
+    def finish_order(self, order: IssueLoadOrder) -> None:
         if self.generator.random() < 0.3:
             failed = OrderFailed(engine=order.engine, fence=order.fence, reason="backend")
             self.send(failed)
--- a/tests/test_weight_rollout.py
+++ b/tests/test_weight_rollout.py
@@ -273,7 +273,7 @@
         faulty = self.run_rollout(scenario, ConstantFencePlanner, order_delays)
         self.assertNotEqual(faulty.steps_back(), [])
 
-    def test_successor_of_a_dead_owner_continues_from_the_reports(self) -> None:
+    def test_successor_of_a_crashed_owner_continues_from_the_reports(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await cluster.wait_until(lambda: cluster.true_versions().count(2) >= 2, 60)
