--- a/drumbay/rollout/engine_allotments.py
+++ b/drumbay/rollout/engine_allotments.py
@@ -1,6 +1,6 @@
-"""Allots the capacity of engines to the sample streams of a node.
+"""Allots the slots of engines to the sample streams of a node.
 
-A status report lags behind, and does not tell rollouts from live requests. The number of
+A status report lags behind, and does not distinguish rollouts from live requests. The number of
 rollouts of this node on each engine is therefore recorded over time, and compared with a report
 as of the time the report was taken.
 """
@@ -75,12 +75,12 @@
         rollouts: dict[StreamName, int],
         now: float,
     ) -> EngineAllotment:
-        """Return the capacity of an engine that one stream may use.
+        """Return the slots of an engine that one stream may use.
 
         Args:
             stream: The stream.
             sharing: Configured weights of live requests and rollouts.
-            view: What this node knows of the engine.
+            view: Snapshot of the engine.
             rollouts: Number of rollouts on the engine now, by stream of this node.
             now: Monotonic time in seconds.
         """
--- a/drumbay/rollout/events.py
+++ b/drumbay/rollout/events.py
@@ -87,8 +87,8 @@
     BROKEN = "broken"
 
 
-class SampleFailed(msgspec.Struct, frozen=True, kw_only=True):
-    """An attempt ended before the sample was complete; the tokens so far are kept."""
+class AttemptFailed(msgspec.Struct, frozen=True, kw_only=True):
+    """An attempt ended before its sample was complete; the tokens so far are kept."""
 
     key: SampleKey
     attempt: int
@@ -107,7 +107,7 @@
     | StalenessForecastChanged
     | ChunkReceived
     | SampleFinished
-    | SampleFailed
+    | AttemptFailed
     | Tick
 )
 
--- a/drumbay/rollout/lengths.py
+++ b/drumbay/rollout/lengths.py
@@ -39,7 +39,7 @@
             del self._groups[next(iter(self._groups))]
 
     def expected_tokens(self, group: str, generated: int = 0) -> float:
-        """Return the expected total length, given that ``generated`` tokens exist."""
+        """Return the expected total length of a sample that has ``generated`` tokens."""
         group_lengths = self._groups.get(group)
         if group_lengths is not None:
             longer_in_group = [length for length in group_lengths if length > generated]
--- a/drumbay/rollout/placement.py
+++ b/drumbay/rollout/placement.py
@@ -12,7 +12,7 @@
 from drumbay.rollout.staleness import DispatchVerdict, dispatch_verdict
 
 MIN_MOVE_LOAD_DIFFERENCE = 2
-"""A sample moves only if the loads differ by more than this, so that it does not move back."""
+"""A sample moves only if the loads differ by more than this, to avoid moving it back and forth."""
 
 
 class Move(msgspec.Struct, frozen=True, kw_only=True):
@@ -100,15 +100,15 @@
     ) -> tuple[CandidateVerdict, ...]:
         """Return the verdict on every engine for a sample, the selected one first."""
         others = [backend_id for backend_id in self._state.engines if backend_id != chosen]
-        verdicts = [self._verdict(sample, chosen, None, now)]
+        verdicts = [self._candidate_verdict(sample, chosen, None, now)]
         for backend_id in others:
             rejection = (
                 self._rejection_reason(sample, backend_id, now) or RejectionReason.HIGHER_COST
             )
-            verdicts.append(self._verdict(sample, backend_id, rejection, now))
+            verdicts.append(self._candidate_verdict(sample, backend_id, rejection, now))
         return tuple(verdicts)
 
-    def _verdict(
+    def _candidate_verdict(
         self,
         sample: TrackedSample,
         backend_id: BackendId,
--- a/drumbay/rollout/policy.py
+++ b/drumbay/rollout/policy.py
@@ -12,9 +12,9 @@
     """Order, placement and moves of rollouts.
 
     Attributes:
-        longest_first: Within a step, start the samples with the longest expected length first.
+        longest_first: Within a step, start the samples with the most expected tokens first.
         prioritize_last: Raise the priority of the last samples of the earliest step.
-        hold_below_quantile: Until the weights for a step are published, start only those of its
+        defer_below_quantile: Until the weights for a step are published, start only those of its
             samples whose expected length is at least this quantile of recent lengths. 0 starts
             all samples.
         last_share: Share of a step that counts as its last samples.
--- a/drumbay/rollout/runner.py
+++ b/drumbay/rollout/runner.py
@@ -20,13 +20,13 @@
 from drumbay.identifiers import AttemptId, BackendId, BootId, StreamName
 from drumbay.observability.logs import log_event
 from drumbay.rollout.events import (
+    AttemptFailed,
     AttemptFailure,
     Cancel,
     ChunkReceived,
     Dispatch,
     RolloutDecision,
     RolloutEvent,
-    SampleFailed,
     SampleFinished,
     Tick,
     WantedSample,
@@ -76,10 +76,10 @@
         model: str,
         boot_id: BootId,
         scheduler: RolloutScheduler,
-        engines: EngineClient,
+        engine_client: EngineClient,
         address_of: Callable[[BackendId], BackendAddress | None],
         clock: Clock,
-        tasks: TaskOwner,
+        task_owner: TaskOwner,
         *,
         on_finished: Callable[[Sample], None],
         on_decision: Callable[[RolloutDecision], None] = lambda decision: None,
@@ -94,13 +94,13 @@
             model: Model that the engines serve.
             boot_id: Identifies this process; makes attempt ids unique.
             scheduler: Makes the decisions.
-            engines: Client of the engines.
+            engine_client: Client of the engines.
             address_of: Returns the address of an engine, or ``None`` if it has left.
             clock: Source of time.
-            tasks: Owner of the attempt tasks.
+            task_owner: Owner of the attempt tasks.
             on_finished: Called with each finished sample.
             on_decision: Called with each decision before it is executed.
-            may_send: Returns whether this node still holds the lease; checked before each send.
+            may_send: Returns whether this node still holds the lease; checked before each attempt.
             builder_type: Class that assembles a sample from its chunks.
             parameters: Time limits.
         """
@@ -108,10 +108,10 @@
         self._model = model
         self._boot_id = boot_id
         self._scheduler = scheduler
-        self._engines = engines
+        self._engine_client = engine_client
         self._address_of = address_of
         self._clock = clock
-        self._tasks = tasks
+        self._task_owner = task_owner
         self._on_finished = on_finished
         self._on_decision = on_decision
         self._may_send = may_send
@@ -123,7 +123,9 @@
 
     def start(self) -> None:
         """Start periodic scheduling every ``tick_seconds``."""
-        self._tick_task = self._tasks.spawn(self._run_ticks(), name=f"rollout_tick_{self._stream}")
+        self._tick_task = self._task_owner.spawn(
+            self._run_ticks(), name=f"rollout_tick_{self._stream}"
+        )
 
     def stop(self) -> None:
         """Stop scheduling and cancel all attempts, e.g. after another node became the owner."""
@@ -174,8 +176,8 @@
         self._cancel_on_engine(running.engine, running.attempt_id)
 
     def _cancel_on_engine(self, engine: BackendAddress, attempt_id: AttemptId) -> None:
-        cancel = self._engines.cancel(engine, attempt_id)
-        self._tasks.spawn(cancel, name=f"rollout_cancel_{attempt_id}")
+        cancel = self._engine_client.cancel(engine, attempt_id)
+        self._task_owner.spawn(cancel, name=f"rollout_cancel_{attempt_id}")
 
     def _dispatch(self, decision: Dispatch) -> None:
         key = decision.key
@@ -186,7 +188,7 @@
         engine = self._address_of(decision.backend_id)
         attempt_id = AttemptId(f"{key.sample_id(self._stream)}/{self._boot_id}/{decision.attempt}")
         attempt = self._run_attempt(decision, builder, engine, attempt_id)
-        task = self._tasks.spawn(attempt, name=f"rollout_{attempt_id}")
+        task = self._task_owner.spawn(attempt, name=f"rollout_{attempt_id}")
         if engine is not None:
             self._running[key] = RunningAttempt(
                 attempt=decision.attempt, attempt_id=attempt_id, engine=engine, task=task
@@ -234,7 +236,7 @@
             seed=decision.prompt.seed,
             target_tokens=decision.prompt.target_tokens,
         )
-        chunks = self._engines.generate(
+        chunks = self._engine_client.generate(
             engine, request, timeout_seconds=self._parameters.attempt_timeout_seconds
         )
         timeout = self._parameters.first_chunk_timeout_seconds
@@ -294,7 +296,7 @@
             error.retry_after_seconds if isinstance(error, BackendRefusedError) else None
         )
         self.handle(
-            SampleFailed(
+            AttemptFailed(
                 key=decision.key,
                 attempt=decision.attempt,
                 failure=failure,
--- a/drumbay/rollout/scheduler.py
+++ b/drumbay/rollout/scheduler.py
@@ -4,6 +4,7 @@
 from drumbay.limits.engine_priority import GUARANTEED_PRIORITY
 from drumbay.rollout.decode_rate import DecodeRateModel
 from drumbay.rollout.events import (
+    AttemptFailed,
     Cancel,
     CancelReason,
     ChunkReceived,
@@ -12,7 +13,6 @@
     EngineReported,
     RolloutDecision,
     RolloutEvent,
-    SampleFailed,
     SampleFinished,
     StalenessForecastChanged,
     Tick,
@@ -39,7 +39,7 @@
         self._lengths = LengthEstimator()
         self._placement = Placement(policy, self._state, self._lengths)
         self._last_attempt = 0
-        self._last_accepted = WeightVersion(0)
+        self._last_oldest_accepted = WeightVersion(0)
 
     def handle(self, event: RolloutEvent, now: float) -> tuple[RolloutDecision, ...]:
         """Apply an event at monotonic time ``now`` and return the decisions, in order."""
@@ -59,7 +59,7 @@
                 return self._handle_chunk(event, now)
             case SampleFinished():
                 self._handle_finished(event)
-            case SampleFailed():
+            case AttemptFailed():
                 self._handle_failed(event, now)
             case Tick():
                 pass
@@ -88,7 +88,7 @@
         engine.update(report, now)
 
     def _preempt(self, report: EngineReported) -> list[RolloutDecision]:
-        """Preempt excess rollouts: of the latest step first, then with the fewest tokens."""
+        """Preempt excess rollouts: the latest step first, within a step the fewest tokens first."""
         if report.excess <= 0:
             return []
         running = [s for s in self._state.running() if s.backend_id == report.backend_id]
@@ -100,13 +100,13 @@
         if sample is None or sample.backend_id is None:
             return ()
         engine = self._state.engines.get(sample.backend_id)
-        before = sample.token_count
+        count_before = sample.token_count
         sample.spans = event.spans
-        produced = sample.token_count - before
+        new_tokens = sample.token_count - count_before
         if engine is not None:
             engine.observe_token_version(event.version, now)
-            if produced > 0:
-                seconds_per_token = (now - sample.last_chunk_at) / produced
+            if new_tokens > 0:
+                seconds_per_token = (now - sample.last_chunk_at) / new_tokens
                 engine.rate.observe(self._state.load_on(sample.backend_id), seconds_per_token)
         sample.last_chunk_at = now
         if not self._is_stale(sample):
@@ -120,11 +120,11 @@
         if sample is None:
             return
         self._lengths.observe(sample.prompt.group, sample.token_count)
-        # A sample that has become too stale is requested again by ``WorkChanged``.
+        # A sample that has become too stale is requested again by a ``WantedSamplesChanged`` event.
         self._state.end_attempt(sample)
         del self._state.samples[sample.key]
 
-    def _handle_failed(self, event: SampleFailed, now: float) -> None:
+    def _handle_failed(self, event: AttemptFailed, now: float) -> None:
         sample = self._state.sample_of_attempt(event.key, event.attempt)
         if sample is None or sample.backend_id is None:
             return
@@ -147,11 +147,11 @@
             ):
                 decisions.append(self._cancel(sample, CancelReason.WOULD_EXPIRE))
                 sample.spans = ()
-        accepted = self._state.forecast.oldest_accepted
-        if accepted > self._last_accepted:
-            self._last_accepted = accepted
+        oldest_accepted = self._state.forecast.oldest_accepted
+        if oldest_accepted > self._last_oldest_accepted:
+            self._last_oldest_accepted = oldest_accepted
             for sample in self._state.samples.values():
-                sample.drop_stale_tokens(accepted)
+                sample.drop_stale_tokens(oldest_accepted)
         return decisions
 
     def _dispatch_queued(self, now: float) -> list[RolloutDecision]:
@@ -174,7 +174,7 @@
         return decisions
 
     def _queue_sort_key(self, sample: TrackedSample) -> tuple[float, ...]:
-        """Return the sort key: earliest step first, then the longest or the lowest index."""
+        """Return the sort key: by step, with ``longest_first`` by length, then by index."""
         key = sample.key
         expected = 0.0
         if self._policy.longest_first:
@@ -208,8 +208,8 @@
             return 0
         step = sample.key.step
         if step == min(key.step for key in self._state.samples):
-            left = sum(1 for key in self._state.samples if key.step == step)
-            if left <= self._policy.last_share * self._state.step_sizes[step]:
+            remaining = sum(1 for key in self._state.samples if key.step == step)
+            if remaining <= self._policy.last_share * self._state.step_sizes[step]:
                 return PRIORITY_LAST_OF_STEP
         return PRIORITY_RESUMED if sample.spans else 0
 
@@ -242,7 +242,9 @@
         Once there are tokens, only their versions count: the engine may have loaded another
         version since the dispatch.
         """
-        accepted = self._state.forecast.oldest_accepted
-        if accepted_prefix(sample.spans, accepted) < sample.token_count:
+        oldest_accepted = self._state.forecast.oldest_accepted
+        if accepted_prefix(sample.spans, oldest_accepted) < sample.token_count:
             return True
-        return sample.awaits_tokens and sample.version is not None and sample.version < accepted
+        return (
+            sample.awaits_tokens and sample.version is not None and sample.version < oldest_accepted
+        )
--- a/drumbay/rollout/scheduler_state.py
+++ b/drumbay/rollout/scheduler_state.py
@@ -65,9 +65,9 @@
         oldest = self.oldest_version
         return version if oldest is None else min(oldest, version)
 
-    def drop_stale_tokens(self, accepted: WeightVersion) -> None:
+    def drop_stale_tokens(self, oldest_accepted: WeightVersion) -> None:
         """Drop the first span that is too stale, and all tokens after it."""
-        kept = accepted_prefix(self.spans, accepted)
+        kept = accepted_prefix(self.spans, oldest_accepted)
         self.spans = tuple(span for span in self.spans if span.first_index < kept)
 
 
--- a/tests/test_rollout_runner.py
+++ b/tests/test_rollout_runner.py
@@ -233,7 +233,9 @@
         boot_count = max(len({span.boot_id for span in s.spans}) for s in cluster.samples)
         self.assertEqual(boot_count, 2)
 
-    async def run_with_raised_floor(self, scheduler_type: type[RolloutScheduler]) -> RolloutCluster:
+    async def run_with_raised_oldest_accepted(
+        self, scheduler_type: type[RolloutScheduler]
+    ) -> RolloutCluster:
         cluster = RolloutCluster(scheduler_type=scheduler_type)
         await cluster.report()
         cluster.submit(4)
@@ -244,9 +246,9 @@
         return cluster
 
     def test_running_samples_are_cancelled_when_they_become_stale(self) -> None:
-        faulty = run_simulation(lambda: self.run_with_raised_floor(DispatchOnlyScheduler))
+        faulty = run_simulation(lambda: self.run_with_raised_oldest_accepted(DispatchOnlyScheduler))
         self.assertTrue(any(sample.oldest_version < 2 for sample in faulty.samples))
-        correct = run_simulation(lambda: self.run_with_raised_floor(RolloutScheduler))
+        correct = run_simulation(lambda: self.run_with_raised_oldest_accepted(RolloutScheduler))
         self.assertEqual(correct.violations(), [])
         self.assertEqual([sample.oldest_version for sample in correct.samples], [2] * 4)
 
--- a/tests/test_rollout_scheduler.py
+++ b/tests/test_rollout_scheduler.py
@@ -8,6 +8,7 @@
 from drumbay.identifiers import AttemptId, BackendId, BootId, WeightVersion
 from drumbay.resources.schema import RolloutObjective
 from drumbay.rollout.events import (
+    AttemptFailed,
     AttemptFailure,
     Cancel,
     CancelReason,
@@ -16,7 +17,6 @@
     EngineReported,
     RolloutDecision,
     RolloutEvent,
-    SampleFailed,
     SampleFinished,
     StalenessForecastChanged,
     Tick,
@@ -54,23 +54,23 @@
 
 
 def accept_from(
-    accepted: int, accepted_next: int = 0, next_step: int = 0
+    accepted: int, next_accepted: int = 0, next_step: int = 0
 ) -> StalenessForecastChanged:
     forecast = StalenessForecast(
         oldest_accepted=WeightVersion(accepted),
-        next_oldest_accepted=WeightVersion(max(accepted, accepted_next)),
+        next_oldest_accepted=WeightVersion(max(accepted, next_accepted)),
         next_step=next_step,
     )
     return StalenessForecastChanged(forecast=forecast)
 
 
-def trainer_forecast(newest: int, version_next: int, next_step: int) -> StalenessForecastChanged:
+def trainer_forecast(newest: int, next_version: int, next_step: int) -> StalenessForecastChanged:
     """Return the forecast of a trainer that accepts versions one behind its own."""
     forecast = StalenessForecast(
         oldest_accepted=WeightVersion(newest - 1),
-        next_oldest_accepted=WeightVersion(version_next - 1),
+        next_oldest_accepted=WeightVersion(next_version - 1),
         newest_version=WeightVersion(newest),
-        next_version=WeightVersion(version_next),
+        next_version=WeightVersion(next_version),
         next_step=next_step,
     )
     return StalenessForecastChanged(forecast=forecast)
@@ -102,7 +102,7 @@
     def feed(self, *events: RolloutEvent) -> list[RolloutDecision]:
         decisions: list[RolloutDecision] = []
         for event in events:
-            if isinstance(event, SampleFinished | SampleFailed):
+            if isinstance(event, SampleFinished | AttemptFailed):
                 del self.running[event.key]
             decisions.extend(self.scheduler.handle(event, self.now))
             for decision in decisions[-64:]:
@@ -142,7 +142,7 @@
             if index == 2:
                 running_dispatch = driver.running[SampleKey(0, 3)]
                 decisions = driver.feed(
-                    SampleFailed(
+                    AttemptFailed(
                         key=running_dispatch.key,
                         attempt=running_dispatch.attempt,
                         failure=AttemptFailure.BROKEN,
@@ -188,7 +188,7 @@
         for policy, expected in ((IDLE_TIME, []), (BASELINE_POLICY, ["old"])):
             driver = SchedulerDriver(RolloutScheduler(policy))
             driver.feed(engine("old", 1), engine("new", 2, slots=1, other_load=1))
-            driver.feed(accept_from(1, accepted_next=2))
+            driver.feed(accept_from(1, next_accepted=2))
             decisions = driver.feed(wanted(1))
             self.assertEqual([d.backend_id for d in decisions if isinstance(d, Dispatch)], expected)
 
@@ -224,7 +224,7 @@
             for running_dispatch in list(driver.running.values()):
                 start_times.append(driver.now)
                 driver.feed(
-                    SampleFailed(
+                    AttemptFailed(
                         key=running_dispatch.key,
                         attempt=running_dispatch.attempt,
                         failure=AttemptFailure.BROKEN,
@@ -243,12 +243,12 @@
                 dispatch = driver.running[SampleKey(0, index)]
                 driver.feed(chunk(dispatch, span(1, 0, length)))
                 driver.feed(SampleFinished(key=dispatch.key, attempt=dispatch.attempt))
-            driver.feed(trainer_forecast(newest=1, version_next=2, next_step=1))
+            driver.feed(trainer_forecast(newest=1, next_version=2, next_step=1))
             decisions = driver.feed(wanted(2, step=1))
             self.assertEqual(
                 sorted(decision.key.index for decision in decisions), started_before_publication
             )
-            published = driver.feed(trainer_forecast(newest=2, version_next=2, next_step=1))
+            published = driver.feed(trainer_forecast(newest=2, next_version=2, next_step=1))
             self.assertEqual([d for d in published if isinstance(d, Dispatch)], [])
             loaded = driver.feed(engine("e1", 2, slots=8))
             started_after_load = [d.key.index for d in loaded if isinstance(d, Dispatch)]
@@ -299,7 +299,7 @@
         if random_value < 0.8:
             return SampleFinished(key=key, attempt=attempt)
         failure = generator.choice(list(AttemptFailure))
-        return SampleFailed(key=key, attempt=attempt, failure=failure)
+        return AttemptFailed(key=key, attempt=attempt, failure=failure)
 
 
 if __name__ == "__main__":
