--- a/drumbay/requests/admission_gate.py
+++ b/drumbay/requests/admission_gate.py
@@ -1,4 +1,4 @@
-"""Admission of requests: a context manager that raises the error for a rejected request."""
+"""Admission control: a context manager that rejects requests over the limits."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
--- a/drumbay/requests/application.py
+++ b/drumbay/requests/application.py
@@ -1,4 +1,4 @@
-"""Application requests: repeatable ones are retried, others run at most once."""
+"""Application requests: repeatable ones may be retried, others run at most once."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -49,7 +49,7 @@
         dispatcher: Selects servers.
         gate: Admits or rejects requests.
         retry_budget: Limits the retries of this node.
-        once: Guarantees at-most-once execution of requests that are not repeatable.
+        once: Runs requests that are not repeatable, at most once each.
         is_ready: Returns whether this node has a configuration.
     """
 
@@ -69,7 +69,7 @@
         self._dispatcher = dispatcher
         self._gate = gate
         self._retry_budget = retry_budget
-        self._once = once
+        self._at_most_once = once
         self._is_ready = is_ready
         self._routes = RouteTable(())
         self._latencies: dict[str, RecentLatency] = {}
@@ -98,15 +98,15 @@
             self._retry_budget.record_request(self._clock.monotonic())
             if repeatable:
                 return await self._dispatch(state, may_repeat=True)
-            return await self._run_once(state)
+            return await self._run_at_most_once(state)
 
-    async def _run_once(self, state: "_ApplicationRequestState") -> ApplicationResponse:
+    async def _run_at_most_once(self, state: "_ApplicationRequestState") -> ApplicationResponse:
         call = state.call
         if call.idempotency_key is None:
             raise invalid_request_error(
                 "a request that may not be repeated needs an Idempotency-Key"
             )
-        return await self._once.run(
+        return await self._at_most_once.run(
             scope=state.compiled.route.name,
             key=call.idempotency_key,
             digest=_request_digest(call),
@@ -117,7 +117,7 @@
     async def _dispatch(
         self, state: "_ApplicationRequestState", *, may_repeat: bool
     ) -> ApplicationResponse:
-        """Try servers until one responds.
+        """Run attempts until a server responds.
 
         A request that may have run is tried again only if ``may_repeat`` is set.
 
@@ -134,7 +134,7 @@
     async def _run_attempt(
         self, state: "_ApplicationRequestState", *, may_repeat: bool
     ) -> ApplicationResponse:
-        """Try one server, with a hedged second attempt if it is slow and repeating is allowed."""
+        """Run an attempt, hedged if it is slow and the request may be repeated."""
         started_at = self._clock.monotonic()
         first = self._start_attempt(state)
         latency = self._latencies.setdefault(state.compiled.route.name, RecentLatency())
@@ -145,15 +145,15 @@
             response = await first_response(
                 self._clock, first, delay_seconds, lambda: self._start_hedge(state)
             )
-        # Measured from the first attempt: counting only a winning hedge's own latency would
-        # shorten the hedge delay of later requests.
+        # Measured from the first attempt: the latency of a hedge alone would bias the estimate, and
+        # with it the hedge delay of later requests, towards short values.
         latency.observe(self._clock.monotonic() - started_at)
         return response
 
     def _start_hedge(
         self, state: "_ApplicationRequestState"
     ) -> Coroutine[Any, Any, ApplicationResponse] | None:
-        """Return an attempt on another server, or ``None`` if the attempt limits forbid it."""
+        """Return an attempt on another server; ``None`` if no attempt or server is left."""
         if state.attempt_count >= state.compiled.route.max_attempts:
             return None
         if not self._retry_budget.try_withdraw(self._clock.monotonic()):
@@ -225,9 +225,9 @@
         )
         if state.deadline.is_expired(now):
             raise RequestTimeoutError("the time limit passed", execution=state.execution) from error
-        must_not_repeat = state.execution is Execution.MAY_HAVE_RUN and not may_repeat
+        may_not_repeat = state.execution is Execution.MAY_HAVE_RUN and not may_repeat
         attempts_left = state.attempt_count < state.compiled.route.max_attempts
-        if not must_not_repeat and attempts_left and self._retry_budget.try_withdraw(now):
+        if not may_not_repeat and attempts_left and self._retry_budget.try_withdraw(now):
             return
         raise BackendFailedError(
             f"the last of {state.attempt_count} attempts failed: {error}",
@@ -251,7 +251,7 @@
         self.deadline = Deadline.after(timeout_seconds, clock.monotonic())
 
     def record_failure(self, error: BackendError) -> None:
-        """Exclude the failed backend from retries, and note whether the request may have run."""
+        """Exclude the failed backend from retries, and record whether the request may have run."""
         if self.current_backend is not None:
             self.failed_backends |= {self.current_backend}
         if not isinstance(error, NOT_RUN_ERRORS):
--- a/drumbay/requests/at_most_once.py
+++ b/drumbay/requests/at_most_once.py
@@ -24,7 +24,7 @@
         """Run ``dispatch`` at most once per scope and key, across all nodes and retries.
 
         Args:
-            scope: Namespace of the key (the route name).
+            scope: Namespace of the key: the name of the route.
             key: The caller's idempotency key.
             digest: Digest of the request; a key must not be reused for a different request.
             dispatch: Sends the request to a backend. A
--- a/drumbay/requests/claimed_at_most_once.py
+++ b/drumbay/requests/claimed_at_most_once.py
@@ -95,7 +95,7 @@
 
 
 async def _dispatch_claimed(dispatch: Dispatch) -> ApplicationResponse:
-    """Dispatch the request, translating "not run" errors to those of the claim service.
+    """Dispatch the request; raise a "not run" error as one that the claim service expects.
 
     Raises:
         BackendRefusedError: No backend has run the request.
--- a/drumbay/requests/dispatcher.py
+++ b/drumbay/requests/dispatcher.py
@@ -23,7 +23,7 @@
 
 
 _CIRCUIT_OUTCOMES = {AttemptResult.SUCCEEDED: True, AttemptResult.FAILED: False}
-"""What the circuit breaker records; rejections and cancellations are not counted."""
+"""Whether an attempt counts as success; other results do not affect the circuit breaker."""
 
 
 class AttemptRequirements(msgspec.Struct, frozen=True, kw_only=True):
@@ -33,7 +33,7 @@
         subject_kind: Kind of the subject in decision records.
         subject_id: Request or sample id.
         attempt_id: Attempt id.
-        compiled: Route of the request.
+        compiled: Compiled route of the request.
         prompt: Prompt text, for prefix affinity.
         required_version: The only weight version accepted; ``None`` accepts any.
         oldest_version: The oldest weight version accepted; ``None`` accepts any.
@@ -109,8 +109,7 @@
         chosen = choice.chosen
         address = self._directory.address(chosen.backend_id) if chosen else None
         if chosen is not None and chosen.weight_version is not None:
-            # The engine's cache events arrive late and may not be polled at all, so the node
-            # also records its own dispatches.
+            # Cache events arrive late, and this node may not poll the engine at all.
             prefixes = self._directory.prefixes
             prefixes.record_dispatch(chosen.backend_id, hashes, chosen.weight_version)
         self._recorder.record(
@@ -132,7 +131,7 @@
 
     @contextmanager
     def attempt(self, address: BackendAddress, attempt_id: AttemptId) -> Iterator[None]:
-        """Track an attempt while the block runs; the exception it raises gives the result.
+        """Track an attempt while the block runs; its exception determines the result.
 
         Raises:
             BackendRefusedError: The circuit breaker does not admit the attempt now.
--- a/drumbay/requests/errors.py
+++ b/drumbay/requests/errors.py
@@ -1,4 +1,4 @@
-"""Errors returned to the caller of a failed request; each states whether the request ran."""
+"""Errors returned to the caller of a failed request; each states whether it may have run."""
 
 from typing import ClassVar
 
@@ -94,7 +94,7 @@
 
 
 class StaleBatchRefusedError(RequestFailedError):
-    """The batch committed at this cursor is older than the trainer accepts."""
+    """The batch at this cursor contains weight versions older than the trainer accepts."""
 
     code = "stale_batch"
     http_status: ClassVar[int] = 410
--- a/drumbay/requests/hedging.py
+++ b/drumbay/requests/hedging.py
@@ -2,7 +2,7 @@
 
 See Dean and Barroso, "The Tail at Scale" (CACM 56(2), 2013), section "Within request
 short-term adaptations": hedging after the 95th percentile of the latency limits the extra
-load to about 5%. Only for requests that may be repeated.
+load to about 5%. Only requests that may be repeated are hedged.
 """
 
 import asyncio
--- a/drumbay/requests/identity.py
+++ b/drumbay/requests/identity.py
@@ -10,7 +10,7 @@
 
     Args:
         node_id: Id of this node.
-        boot_id: Id of this run of the node's process.
+        boot_id: Id of the node's process, which changes on restart.
     """
 
     def __init__(self, node_id: NodeId, boot_id: BootId) -> None:
--- a/drumbay/requests/live.py
+++ b/drumbay/requests/live.py
@@ -1,7 +1,7 @@
 """Live generation requests: streamed to the caller, resumed on another engine on failure.
 
 Generation has no side effects outside the engine, so it may be retried. A broken stream is
-resumed after the last token delivered; the response is complete or ends in a typed error.
+resumed after the last token delivered. A response is either complete or ends with an error.
 """
 
 from collections import OrderedDict
@@ -114,7 +114,7 @@
 
     async def _run_attempts(self, state: "_LiveRequestState") -> AsyncGenerator[TokenChunk, None]:
         while True:
-            address, attempt_id = self._choose(state)
+            address, attempt_id = self._choose_engine(state)
             try:
                 async with aclosing(self._run_attempt(state, address, attempt_id)) as chunks:
                     async for chunk in chunks:
@@ -132,7 +132,7 @@
                 )
                 self._raise_unless_retriable(state, error)
 
-    def _choose(self, state: "_LiveRequestState") -> tuple[BackendAddress, AttemptId]:
+    def _choose_engine(self, state: "_LiveRequestState") -> tuple[BackendAddress, AttemptId]:
         """Select an engine, preferably with the weight version of the last token."""
         attempt_id = state.next_attempt_id()
         last_version = state.progress.last_version
@@ -234,7 +234,7 @@
             self.execution = Execution.MAY_HAVE_RUN
 
     def with_execution(self, error: NoBackendError) -> NoBackendError:
-        """Return the error with whether earlier attempts may have run."""
+        """Return a copy of the error that states whether earlier attempts may have run."""
         return NoBackendError(
             error.detail,
             execution=self.execution,
--- a/drumbay/requests/progress.py
+++ b/drumbay/requests/progress.py
@@ -12,7 +12,7 @@
 
 
 class CompletionProgress:
-    """Tokens delivered so far, checked for order, and their weight version spans."""
+    """Tokens delivered so far and their weight version spans; checks the order of chunks."""
 
     def __init__(self) -> None:
         """Start without tokens."""
--- a/drumbay/requests/records.py
+++ b/drumbay/requests/records.py
@@ -1,4 +1,4 @@
-"""Records of callers' requests inside a node."""
+"""Requests of callers, as passed between the components of a node."""
 
 import msgspec
 
--- a/tests/broken_nodes.py
+++ b/tests/broken_nodes.py
@@ -47,7 +47,7 @@
 
 def make_node_without_claims(settings: NodeSettings, environment: NodeEnvironment) -> Node:
     node = Node(settings, environment)
-    node._requests.applications._once = DirectRunner()
+    node._requests.applications._at_most_once = DirectRunner()
     return node
 
 
