--- a/drumbay/backends/chunk_validator.py
+++ b/drumbay/backends/chunk_validator.py
@@ -1,4 +1,4 @@
-"""Validation that the chunks of a stream belong to one attempt and are in order."""
+"""Checks that the chunks of a stream belong to one attempt and are in order."""
 
 from drumbay.backends.interface import (
     ExchangeBrokenError,
@@ -10,7 +10,7 @@
 
 
 class ChunkValidator:
-    """Validates the chunks of one attempt."""
+    """Checks the attempt id, the order and the number of tokens of each chunk."""
 
     def __init__(self, request: GenerationRequest) -> None:
         """Expect the chunks of the response to ``request``."""
--- a/drumbay/backends/connector.py
+++ b/drumbay/backends/connector.py
@@ -1,4 +1,4 @@
-"""HTTP requests to backends that record whether any byte may have been sent.
+"""HTTP client for backends that tracks whether any byte of a request may have been sent.
 
 Built on tornado's curl client, which reuses connections. Three of its defaults violate the
 contract of :mod:`drumbay.backends.interface` and are overridden:
--- a/drumbay/backends/delegating.py
+++ b/drumbay/backends/delegating.py
@@ -16,7 +16,7 @@
 
 
 class DelegatingEngineClient:
-    """Forwards all calls of :class:`drumbay.backends.interface.EngineClient` to a client.
+    """Forwards all calls to another :class:`drumbay.backends.interface.EngineClient`.
 
     Args:
         client: Wrapped client.
--- a/drumbay/backends/guarded.py
+++ b/drumbay/backends/guarded.py
@@ -1,4 +1,4 @@
-"""Clients that check before each request whether the backend still accepts work."""
+"""Clients that check before each request whether the backend may still be sent work."""
 
 from collections.abc import AsyncGenerator, Awaitable, Callable
 from contextlib import aclosing
@@ -29,7 +29,7 @@
 
 
 class GuardedApplicationClient:
-    """An application client that checks the server before each request.
+    """An application client that sends no requests to servers that are about to be removed.
 
     Args:
         client: Wrapped client.
@@ -54,7 +54,7 @@
 
 
 class GuardedEngineClient(DelegatingEngineClient):
-    """An engine client that checks the engine before each generation.
+    """An engine client that starts no generations on engines that are about to be removed.
 
     Orders and status requests are sent also to an engine that is about to be removed.
 
--- a/drumbay/backends/http_application.py
+++ b/drumbay/backends/http_application.py
@@ -1,4 +1,4 @@
-"""An application client over HTTP."""
+"""Application client over HTTP."""
 
 from drumbay.backends.connector import HttpCall, HttpConnector
 from drumbay.backends.interface import ApplicationRequest, ApplicationResponse, BackendAddress
--- a/drumbay/backends/http_engine.py
+++ b/drumbay/backends/http_engine.py
@@ -48,10 +48,10 @@
 class HttpEngineClient:
     """An :class:`~drumbay.backends.interface.EngineClient` over HTTP."""
 
-    def __init__(self, connector: HttpConnector, tasks: TaskOwner) -> None:
-        """Create a client; ``tasks`` owns the background cancellation requests."""
+    def __init__(self, connector: HttpConnector, task_owner: TaskOwner) -> None:
+        """Create a client; ``task_owner`` owns the background cancellation requests."""
         self._connector = connector
-        self._tasks = tasks
+        self._task_owner = task_owner
 
     async def generate(
         self, engine: BackendAddress, request: GenerationRequest, *, timeout_seconds: float
@@ -142,7 +142,7 @@
             raise ExchangeBrokenError(f"{call.url}: {error}") from error
 
     def _cancel_in_background(self, engine: BackendAddress, attempt_id: AttemptId) -> None:
-        self._tasks.spawn(self.cancel(engine, attempt_id), f"cancel-{attempt_id}")
+        self._task_owner.spawn(self.cancel(engine, attempt_id), f"cancel-{attempt_id}")
 
 
 async def _validated_chunks(
--- a/drumbay/backends/memory.py
+++ b/drumbay/backends/memory.py
@@ -103,8 +103,7 @@
         try:
             await self.send()
         except BaseException:
-            # Also on cancellation, e.g. at the end of a simulation: an unawaited coroutine
-            # would cause a warning.
+            # An unawaited coroutine would cause a warning, also if this call is cancelled.
             if isinstance(awaitable, Coroutine):
                 awaitable.close()
             raise
@@ -160,7 +159,7 @@
                 validator.accept(chunk)
                 yield chunk
         except ResponseLostError:
-            # The engine cannot detect that its caller is gone, so it continues to generate.
+            # The engine cannot detect the disconnected caller, so it continues to generate.
             response_lost = True
             engine_model.run_unread(chunks)
             raise
--- a/drumbay/backends/observed.py
+++ b/drumbay/backends/observed.py
@@ -15,12 +15,11 @@
 
 
 class ObservedEngineClient(DelegatingEngineClient):
-    """An engine client that reports the weight version and boot id of generated tokens.
+    """Reports the first chunk of an attempt and each change of boot id or weight version.
 
     Args:
         client: Wrapped client.
-        on_token_version: Called with the model, the engine and the chunk for the first chunk
-            of an attempt, and whenever the boot id or weight version changes.
+        on_token_version: Called with the model, the engine and each reported chunk.
     """
 
     def __init__(self, client: EngineClient, on_token_version: TokenVersionListener) -> None:
@@ -43,5 +42,5 @@
 
 
 def _version_differs(previous: TokenChunk, chunk: TokenChunk) -> bool:
-    same_boot = previous.boot_id == chunk.boot_id
-    return not same_boot or previous.weight_version != chunk.weight_version
+    same_process = previous.boot_id == chunk.boot_id
+    return not same_process or previous.weight_version != chunk.weight_version
--- a/drumbay/backends/sse.py
+++ b/drumbay/backends/sse.py
@@ -10,7 +10,7 @@
 
 
 class EventDecoder:
-    """Incrementally decodes a byte stream into the data of its events."""
+    """Decodes a byte stream incrementally into the data of its events."""
 
     def __init__(self, max_event_bytes: int = DEFAULT_MAX_EVENT_BYTES) -> None:
         """Create a decoder for events of at most ``max_event_bytes``."""
--- a/drumbay/backends/transfer.py
+++ b/drumbay/backends/transfer.py
@@ -17,7 +17,7 @@
 ABORT_TRANSFER = 1
 CONTINUE_TRANSFER = 0
 FIRST_FINAL_STATUS = 200
-"""Lower statuses are interim responses, followed by a final one."""
+"""Lower statuses are interim responses (1xx), followed by a final one."""
 
 
 class StreamedResponse:
@@ -190,9 +190,11 @@
         libcurl calls this once a new or reused connection is ready, before the first byte of
         the request is sent, and again before each resend.
         """
-        verdict: int = pycurl.PREREQFUNC_ABORT if self._send_started else pycurl.PREREQFUNC_OK
+        callback_result: int = (
+            pycurl.PREREQFUNC_ABORT if self._send_started else pycurl.PREREQFUNC_OK
+        )
         self._send_started = True
-        return verdict
+        return callback_result
 
     def _on_progress(self, *_counts: int) -> int:
         return ABORT_TRANSFER if self._aborted else CONTINUE_TRANSFER
--- a/drumbay/backends/wire.py
+++ b/drumbay/backends/wire.py
@@ -139,7 +139,7 @@
     token_ids: tuple[int, ...]
 
     def to_token_chunk(self) -> TokenChunk:
-        """Return the chunk without the OpenAI envelope."""
+        """Convert the event to a token chunk."""
         choice = self.choices[0] if self.choices else Choice()
         return TokenChunk(
             attempt_id=self.id,
@@ -169,8 +169,8 @@
         model: Name of the model.
         choices: The only choice.
         usage: Token counts.
-        boot_id: Id of the engine process run.
-        weight_versions: Weight versions that generated the tokens, in order and without repeats.
+        boot_id: Id of the engine process, which changes on restart.
+        weight_versions: Weight versions that generated the tokens, in order and without repetition.
         token_ids: All token ids.
     """
 
@@ -199,7 +199,7 @@
 
 
 class AttemptBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of admin requests for one attempt."""
+    """Body of an admin request that concerns one attempt."""
 
     attempt_id: AttemptId
 
--- a/tests/requests_world.py
+++ b/tests/requests_world.py
@@ -73,7 +73,7 @@
 
 
 class TruncationIgnoringEngineClient(MemoryEngineClient):
-    """Treats a broken stream as complete."""
+    """Injected fault: treats a broken stream as complete."""
 
     async def generate(
         self, engine: BackendAddress, request: GenerationRequest, *, timeout_seconds: float
--- a/tests/test_backend_http.py
+++ b/tests/test_backend_http.py
@@ -116,7 +116,7 @@
 
 
 class ResendingTransfer(Transfer):
-    """Test-only fault: leaves libcurl's automatic resend enabled."""
+    """Injected fault: leaves libcurl's automatic resend enabled."""
 
     def configure(self, curl: pycurl.Curl) -> None:
         self._curl = curl
--- a/tests/test_backend_promises.py
+++ b/tests/test_backend_promises.py
@@ -40,7 +40,7 @@
 
 
 class AlwaysNotReachedTransfer(Transfer):
-    """Test-only fault: reports every failure as if nothing had been sent."""
+    """Injected fault: reports every failure as if nothing had been sent."""
 
     def _failure(self) -> BackendError | None:
         failure = super()._failure()
