--- a/drumbay/requests/application.py
+++ b/drumbay/requests/application.py
@@ -153,7 +153,7 @@
     def _start_hedge(
         self, state: "_ApplicationRequestState"
     ) -> Coroutine[Any, Any, ApplicationResponse] | None:
-        """Return an attempt on another server; ``None`` if no attempt or server is left."""
+        """Return an attempt on another server; ``None`` if not allowed or none is eligible."""
         if state.attempt_count >= state.compiled.route.max_attempts:
             return None
         if not self._retry_budget.try_withdraw(self._clock.monotonic()):
--- a/drumbay/weights/events.py
+++ b/drumbay/weights/events.py
@@ -13,7 +13,7 @@
 
     Attributes:
         min_serving_share: Minimum share of the engines that keeps serving.
-        max_staleness_versions: How many versions behind the target a running sample may be.
+        max_staleness_versions: How far the version of a running sample may lag behind the target.
         max_concurrent_loads: Maximum number of engines that read from the weight store at once.
     """
 
