--- a/drumbay/node/rollouts.py
+++ b/drumbay/node/rollouts.py
@@ -134,7 +134,7 @@
         owned = self._owned.pop(stream, None)
         if owned is not None:
             owned.runner.stop()
-            self._allotments.forget_stream(stream)
+            self._allotments.remove_stream(stream)
             self._pin_engines(OWNERSHIP_PREFIX + stream, ())
 
     def refresh(self, stream: StreamName) -> None:
--- a/drumbay/rollout/engine_allotments.py
+++ b/drumbay/rollout/engine_allotments.py
@@ -62,7 +62,7 @@
         """Create allotments without engines."""
         self._engines: dict[BackendId, _EngineState] = {}
 
-    def forget_stream(self, stream: StreamName) -> None:
+    def remove_stream(self, stream: StreamName) -> None:
         """Drop the shares of a stream that this node no longer owns."""
         for state in self._engines.values():
             state.shares.pop(stream, None)
--- a/drumbay/weights/version_coordinator.py
+++ b/drumbay/weights/version_coordinator.py
@@ -50,7 +50,7 @@
         self._versions: dict[str, WeightVersion] = {}
         self.changed = asyncio.Event()
 
-    def name(self, model: str, version: WeightVersion) -> None:
+    def announce(self, model: str, version: WeightVersion) -> None:
         """Record an announced version; ignored unless it is newer than the known one."""
         if version <= self._versions.get(model, WeightVersion(0)):
             return
--- a/tests/engine_world.py
+++ b/tests/engine_world.py
@@ -38,10 +38,10 @@
         self.engine = EngineModel(clock, BackendId("engine"), MODEL, version, rng, parameters)
         self.network = BackendNetwork(clock)
         self.client = MemoryEngineClient(clock, {URL: self.engine}, self.network)
-        self.answers: dict[AttemptId, list[TokenChunk]] = {}
+        self.responses: dict[AttemptId, list[TokenChunk]] = {}
 
     async def generate(self, request: GenerationRequest) -> list[TokenChunk]:
-        chunks = self.answers.setdefault(request.attempt_id, [])
+        chunks = self.responses.setdefault(request.attempt_id, [])
         stream = self.client.generate(ADDRESS, request, timeout_seconds=TIMEOUT_SECONDS)
         async for chunk in stream:
             chunks.append(chunk)
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -114,7 +114,7 @@
             harness.engine.freeze()
             with self.assertRaises(ExchangeBrokenError):
                 await harness.client.status(ADDRESS, timeout_seconds=30.0)
-            before = len(harness.answers[AttemptId("a")])
+            before = len(harness.responses[AttemptId("a")])
             self.assertFalse(stream.done())
             harness.engine.thaw()
             self.assertGreater(len(await stream), before)
--- a/tests/test_engine_truth.py
+++ b/tests/test_engine_truth.py
@@ -45,7 +45,7 @@
     return [
         item.attempt_id
         for item in requests
-        if not matches_log(bench.answers[item.attempt_id], ended[item.attempt_id], item)
+        if not matches_log(bench.responses[item.attempt_id], ended[item.attempt_id], item)
     ]
 
 
@@ -136,7 +136,7 @@
                 await stream
             record = bench.ended()[AttemptId("a")]
             self.assertEqual(record.outcome, GenerationOutcome.CRASHED)
-            self.assertEqual(record.spans, spans_of(bench.answers[AttemptId("a")]))
+            self.assertEqual(record.spans, spans_of(bench.responses[AttemptId("a")]))
             bench.engine.restart()
             chunks = await bench.generate(request("b"))
             self.assertNotEqual(chunks[0].boot_id, first_boot)
