--- a/drumbay/bench/sharing_world.py
+++ b/drumbay/bench/sharing_world.py
@@ -13,13 +13,13 @@
 from drumbay.requests.records import LiveRequest
 from drumbay.resources.schema import AnyResource, EngineSharing, Route, RouteKind, WeightPolicy
 from drumbay.simulation.cluster import SimulatedCluster
+from drumbay.simulation.concurrent_operators import ConcurrentOperators
 from drumbay.simulation.deployment import initial_resources, plan_deployment
 from drumbay.simulation.gateway import NodeRun
 from drumbay.simulation.history import History
 from drumbay.simulation.latency import LatencyModel
 from drumbay.simulation.load import BurstClock, generate_arrivals
 from drumbay.simulation.outside_clock import virtual_now
-from drumbay.simulation.racing_operators import RacingOperators
 from drumbay.simulation.scenario import PoolKind, Scenario
 from drumbay.simulation.trace import Trace
 from drumbay.simulation.trainers import SimulatedTrainer
@@ -189,7 +189,7 @@
         )
 
     async def _set_up(self) -> None:
-        operators = RacingOperators(
+        operators = ConcurrentOperators(
             self._cluster.gateway,
             History(),
             self._random_for("operators"),
--- a/drumbay/bench/weights_cluster.py
+++ b/drumbay/bench/weights_cluster.py
@@ -14,7 +14,7 @@
 from drumbay.explain.records import DecisionRecord
 from drumbay.identifiers import BackendId, Fence, NodeId, StreamName, WeightVersion
 from drumbay.resources.schema import Selector, WeightPolicy, WeightRollback
-from drumbay.simulation.gated_clients import GatedEngineClient
+from drumbay.simulation.gated_clients import ProcessEngineClient
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.latency import LatencyModel
 from drumbay.simulation.network import SimulatedNetwork
@@ -84,7 +84,7 @@
         self.records: list[DecisionRecord] = []
         self.service = service_type(
             clock=self.host.clock(),
-            engine_client=GatedEngineClient(process, client),
+            engine_client=ProcessEngineClient(process, client),
             transport=SimulatedTransport(cluster.node_network, self.host.address, process),
             node_id=NodeId(name),
             view=lambda: cluster.view,
--- a/drumbay/simulation/backend_paths.py
+++ b/drumbay/simulation/backend_partitions.py
@@ -1,4 +1,4 @@
-"""Cuts between nodes and the back ends of other zones and regions."""
+"""Network partitions between nodes and the back ends of other zones and regions."""
 
 from drumbay.backends.memory import BackendNetwork
 from drumbay.identifiers import NodeId
@@ -7,34 +7,34 @@
 from drumbay.simulation.network import Cut, Scope
 
 
-class BackendPaths:
-    """Applies cuts between zones and regions to the nodes' links with back ends.
+class BackendPartitions:
+    """Applies zone and region cuts to the connections between nodes and back ends.
 
-    A cut from a node's side to the back end's loses requests; the other direction loses
-    answers. Cuts between single hosts concern nodes alone.
+    A cut from the node towards the back end drops requests, one in the other direction drops
+    responses. Cuts between single hosts affect only traffic between nodes.
     """
 
     def __init__(self, deployment: Deployment) -> None:
-        """Create paths without cuts."""
+        """Start without any cut."""
         self._deployment = deployment
         self._locations = {plan.node_id: plan.location for plan in deployment.nodes}
         self._networks: dict[NodeId, BackendNetwork] = {}
         self._cuts: list[Cut] = []
 
     def add(self, node_id: NodeId, network: BackendNetwork) -> None:
-        """Take in the links of a node's new process, in place of its earlier ones."""
+        """Register the network of a node's new process; replaces that of the previous one."""
         self._networks[node_id] = network
         self._apply_to(node_id)
 
     def cut(self, cut: Cut, *, both_ways: bool) -> None:
-        """Cut a path."""
+        """Apply a cut."""
         self._cuts.append(cut)
         if both_ways:
             self._cuts.append(cut.reversed())
         self._apply()
 
     def heal(self, cut: Cut, *, both_ways: bool) -> None:
-        """Undo one cut of a path."""
+        """Undo one earlier :meth:`cut`."""
         self._cuts.remove(cut)
         if both_ways:
             self._cuts.remove(cut.reversed())
--- a/drumbay/simulation/callers.py
+++ b/drumbay/simulation/callers.py
@@ -1,4 +1,4 @@
-"""Callers of live requests; each writes what it sees into the history."""
+"""Clients that send live requests and record the outcomes in the history."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,7 +9,7 @@
 from drumbay.identifiers import IdempotencyKey, NodeId
 from drumbay.requests.records import ApplicationCall, LiveRequest
 from drumbay.simulation.gateway import (
-    ConnectionCutOffError,
+    ConnectionClosedError,
     Gateway,
     NodeRefusedConnectionError,
     NodeRun,
@@ -25,23 +25,23 @@
 from drumbay.simulation.outside_clock import virtual_now
 from drumbay.standins.application_model import answer_digest
 
-MOST_INVOCATIONS = 4
-RETRY_PAUSE_SECONDS = 1.0
+MAX_INVOCATIONS = 4
+MAX_RETRY_DELAY_SECONDS = 1.0
 CALLER_TIMEOUT_SECONDS = 60.0
 
 
 class Invocation:
-    """One sending of an operation to one node."""
+    """One attempt to run an operation on one node."""
 
     def __init__(self, history: History, operation_id: str, number: int, node_id: NodeId) -> None:
-        """Create an invocation; it is not in the history yet."""
+        """Create an invocation without recording it."""
         self._history = history
         self.invocation_id = f"{operation_id}@{number}"
         self.operation_id = operation_id
         self.node_id = node_id
 
-    def invoked(self, *, repeatable: bool) -> None:
-        """Note that it was sent."""
+    def record_invoked(self, *, repeatable: bool) -> None:
+        """Record that the request was sent."""
         self._history.add(
             RequestInvoked(
                 time_seconds=virtual_now(),
@@ -52,8 +52,8 @@
             )
         )
 
-    def returned(self, outcome: RequestOutcome, answer: bytes = b"") -> RequestOutcome:
-        """Note how it ended."""
+    def record_returned(self, outcome: RequestOutcome, answer: bytes = b"") -> RequestOutcome:
+        """Record the outcome."""
         self._history.add(
             RequestReturned(
                 time_seconds=virtual_now(),
@@ -64,8 +64,8 @@
         )
         return outcome
 
-    def completed(self, chunks: list[TokenChunk]) -> None:
-        """Note the completion that was returned."""
+    def record_completion(self, chunks: list[TokenChunk]) -> None:
+        """Record the returned completion."""
         spans = tuple(
             VersionSpan(
                 weight_version=chunk.weight_version,
@@ -83,19 +83,19 @@
 
 
 def outcome_of(error: DrumbayError) -> RequestOutcome:
-    """Return what a caller learns from a failure."""
+    """Map an error to the outcome that the caller can conclude from it."""
     if isinstance(error, RequestFailedError):
         not_run = error.execution is Execution.NOT_RUN
         return RequestOutcome.NOT_RUN if not_run else RequestOutcome.MAY_HAVE_RUN
     if isinstance(error, NodeRefusedConnectionError):
         return RequestOutcome.NOT_RUN
-    if isinstance(error, ConnectionCutOffError):
+    if isinstance(error, ConnectionClosedError):
         return RequestOutcome.CUT_OFF
     return RequestOutcome.MAY_HAVE_RUN
 
 
 class Callers:
-    """Sends completions, lookups and bookings to random nodes."""
+    """Sends completions, lookups and bookings to randomly chosen nodes."""
 
     def __init__(
         self,
@@ -105,17 +105,17 @@
         node_ids: tuple[NodeId, ...],
         retry_probability: float,
     ) -> None:
-        """Create callers of these nodes."""
+        """Create callers that send to ``node_ids``."""
         self._gateway = gateway
         self._history = history
         self._random = random
         self._node_ids = node_ids
         self._retry_probability = retry_probability
 
-    async def complete(self, operation_id: str, model: str, max_tokens: int) -> None:
-        """Ask for one completion, and read it to its end."""
+    async def send_completion(self, operation_id: str, model: str, max_tokens: int) -> None:
+        """Request one completion and read it to the end."""
         invocation = self._invocation(operation_id, 0)
-        invocation.invoked(repeatable=True)
+        invocation.record_invoked(repeatable=True)
         try:
             chunks = await self._gateway.call(
                 invocation.node_id,
@@ -123,26 +123,26 @@
                 CALLER_TIMEOUT_SECONDS,
             )
         except DrumbayError as error:
-            invocation.returned(outcome_of(error))
+            invocation.record_returned(outcome_of(error))
             return
-        invocation.completed(chunks)
-        invocation.returned(RequestOutcome.ANSWERED)
+        invocation.record_completion(chunks)
+        invocation.record_returned(RequestOutcome.ANSWERED)
 
-    async def look_up(self, operation_id: str, path_prefix: str) -> None:
-        """Send one request that may be repeated."""
+    async def send_lookup(self, operation_id: str, path_prefix: str) -> None:
+        """Send one idempotent request."""
         invocation = self._invocation(operation_id, 0)
         await self._send(invocation, path_prefix, repeatable=True)
 
-    async def book(self, operation_id: str, path_prefix: str) -> None:
-        """Send one request that may run at most once; try other nodes if in doubt."""
-        for number in range(MOST_INVOCATIONS):
+    async def send_booking(self, operation_id: str, path_prefix: str) -> None:
+        """Send one at-most-once request; retry on other nodes if the outcome is unknown."""
+        for number in range(MAX_INVOCATIONS):
             invocation = self._invocation(operation_id, number)
             outcome = await self._send(invocation, path_prefix, repeatable=False)
             if outcome is RequestOutcome.ANSWERED:
                 return
             if self._random.random() > self._retry_probability:
                 return
-            await asyncio.sleep(self._random.uniform(0.0, RETRY_PAUSE_SECONDS))
+            await asyncio.sleep(self._random.uniform(0.0, MAX_RETRY_DELAY_SECONDS))
 
     def _invocation(self, operation_id: str, number: int) -> Invocation:
         node_id = self._random.choice(self._node_ids)
@@ -151,7 +151,7 @@
     async def _send(
         self, invocation: Invocation, path_prefix: str, *, repeatable: bool
     ) -> RequestOutcome:
-        invocation.invoked(repeatable=repeatable)
+        invocation.record_invoked(repeatable=repeatable)
         try:
             answer = await self._gateway.call(
                 invocation.node_id,
@@ -161,9 +161,9 @@
                 CALLER_TIMEOUT_SECONDS,
             )
         except DrumbayError as error:
-            return invocation.returned(outcome_of(error))
+            return invocation.record_returned(outcome_of(error))
         digest = answer_digest(answer.body).encode()
-        return invocation.returned(RequestOutcome.ANSWERED, digest)
+        return invocation.record_returned(RequestOutcome.ANSWERED, digest)
 
 
 async def _read_completion(
--- a/drumbay/simulation/checkers/__init__.py
+++ b/drumbay/simulation/checkers/__init__.py
@@ -1,4 +1,4 @@
-"""Checkers of histories: one module per promise."""
+"""History checkers, one module per promise."""
 
 from collections.abc import Callable
 
@@ -38,7 +38,7 @@
 
 
 def check_all(history: History, limits: Limits) -> tuple[Violation, ...]:
-    """Return every violation that any checker finds, in order of promise and time."""
+    """Return the violations found by all checkers, in the order of :data:`CHECKERS`."""
     violations: list[Violation] = []
     for checker in CHECKERS.values():
         violations += checker(history, limits)
--- a/drumbay/simulation/checkers/at_most_once.py
+++ b/drumbay/simulation/checkers/at_most_once.py
@@ -1,20 +1,20 @@
-"""A request that may not be repeated runs at most once."""
+"""Checks that a non-idempotent request runs at most once."""
 
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
 from drumbay.simulation.history import ExecutionStarted, History, RequestInvoked
 
 
 def check_at_most_once(history: History, _limits: Limits) -> tuple[Violation, ...]:
-    """Report each operation that may not be repeated and ran more than once."""
-    guarded = {
+    """Report non-repeatable operations that ran more than once."""
+    non_repeatable = {
         invoked.operation_id for invoked in history.of(RequestInvoked) if not invoked.repeatable
     }
-    first_runs: dict[str, ExecutionStarted] = {}
+    first_executions: dict[str, ExecutionStarted] = {}
     violations = []
     for started in history.of(ExecutionStarted):
-        if started.operation_id not in guarded:
+        if started.operation_id not in non_repeatable:
             continue
-        first = first_runs.setdefault(started.operation_id, started)
+        first = first_executions.setdefault(started.operation_id, started)
         if first is not started:
             violations.append(_describe(first, started))
     return tuple(violations)
--- a/drumbay/simulation/checkers/configuration.py
+++ b/drumbay/simulation/checkers/configuration.py
@@ -1,9 +1,9 @@
-"""An accepted configuration is in force everywhere within seconds and never reverts."""
+"""Checks that accepted configuration changes are in force in time and never revert."""
 
 from bisect import bisect_right
 
 from drumbay.identifiers import NodeId, Revision
-from drumbay.simulation.checkers.configuration_sources import find_vouched_spans
+from drumbay.simulation.checkers.configuration_sources import find_authoritative_spans
 from drumbay.simulation.checkers.linearizability import is_linearizable
 from drumbay.simulation.checkers.spans import Span, intersect
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
@@ -19,7 +19,7 @@
 
 
 def check_configuration_linearizable(history: History, _limits: Limits) -> tuple[Violation, ...]:
-    """Report keys whose operations are not those of one register."""
+    """Report keys whose operations are not linearizable."""
     by_key: dict[str, list[RegisterOperation]] = {}
     for operation in history.of(RegisterOperation):
         by_key.setdefault(operation.key, []).append(operation)
@@ -36,7 +36,7 @@
 
 
 def check_configuration_monotonic(history: History, _limits: Limits) -> tuple[Violation, ...]:
-    """Report nodes that went back to an older revision, restarts included."""
+    """Report nodes that reverted to an older revision, also across restarts."""
     highest: dict[NodeId, Revision] = {}
     violations = []
     for event in history.of(ConfigurationInForce):
@@ -58,16 +58,17 @@
 def check_configuration_in_force(history: History, limits: Limits) -> tuple[Violation, ...]:
     """Report nodes on which an accepted change was not in force in time.
 
-    A node owes a change only if for the whole limit after the acceptance, or after its start
-    or restoration, it was undisturbed and somebody could vouch for the configuration.
+    The limit starts at the acceptance of the change or when the node starts or recovers. It
+    applies only if the node is undisturbed and the newest configuration is available from an
+    authoritative source throughout.
     """
     accepted = history.of(ConfigurationAccepted)
     in_force = _revisions_by_node(history)
-    vouched = find_vouched_spans(history)
+    authoritative_spans = find_authoritative_spans(history)
     violations = []
-    for node_id, undisturbed in _undisturbed_spans(history).items():
+    for node_id, undisturbed_spans in _undisturbed_spans(history).items():
         revisions = in_force.get(node_id, _NodeRevisions())
-        for span in intersect(undisturbed, vouched):
+        for span in intersect(undisturbed_spans, authoritative_spans):
             for change in accepted:
                 due = max(change.time_seconds, span.start_seconds) + limits.configuration_seconds
                 if due <= span.end_seconds and revisions.at(due) < change.revision:
@@ -88,7 +89,7 @@
 
 
 def _undisturbed_spans(history: History) -> dict[NodeId, list[Span]]:
-    """Return the times in which nothing disturbed a node, by node."""
+    """Return the undisturbed time spans of each node."""
     events: list[NodeStarted | NodeDisturbed | NodeRestored] = [
         *history.of(NodeStarted),
         *history.of(NodeDisturbed),
@@ -118,14 +119,14 @@
 
 
 class _NodeRevisions:
-    """The newest revision in force on one node over time."""
+    """Newest revision in force on one node over time."""
 
     def __init__(self) -> None:
         self._times: list[float] = []
         self._revisions: list[Revision] = []
 
     def add(self, time_seconds: float, revision: Revision) -> None:
-        """Add the next revision, in order of time."""
+        """Add a revision; times must not decrease."""
         self._times.append(time_seconds)
         self._revisions.append(max(revision, self._revisions[-1] if self._revisions else revision))
 
--- a/drumbay/simulation/checkers/configuration_sources.py
+++ b/drumbay/simulation/checkers/configuration_sources.py
@@ -1,8 +1,8 @@
-"""When anybody could vouch for the newest configuration.
+"""Time spans in which an authoritative source of the newest configuration was available.
 
-That is the key-value service, which orders the changes, or a majority of the replicas, one of
-which then holds the newest change. With neither, no node that starts can know whether what it
-is told was in force last, and acting on it could take a change back.
+Such a source is the key-value service, which orders the changes, or a majority of the
+replicas, at least one of which has stored the newest change. Without either, a starting node
+cannot know whether a configuration is the newest, and applying it could revert a change.
 """
 
 from drumbay.configuration.messages import ReplicaSet
@@ -23,17 +23,17 @@
 )
 
 
-class _Sources:
-    """Who can vouch for the configuration, event by event."""
+class _SourceTracker:
+    """Tracks the availability of authoritative sources over the events of a history."""
 
     def __init__(self) -> None:
         self._outages = 0
         self._replica_set = ReplicaSet(members=())
-        self._away: dict[NodeId, int] = {}
+        self._unavailable: dict[NodeId, int] = {}
         self._without_disk: dict[NodeId, None] = {}
 
     def handle(self, event: SourceEvent) -> None:
-        """Take in the next event."""
+        """Apply the next event."""
         match event:
             case KeyValueOutage():
                 self._outages += 1 if event.began else -1
@@ -42,9 +42,11 @@
             case NodeDisturbed():
                 self._handle_disturbed(event)
             case NodeRestored() if not event.cut_off:
-                self._away[event.node_id] = max(0, self._away.get(event.node_id, 0) - 1)
+                self._unavailable[event.node_id] = max(
+                    0, self._unavailable.get(event.node_id, 0) - 1
+                )
             case ConfigurationInForce():
-                # Once it has loaded, its disk holds again all that it ever acknowledged.
+                # A node that has loaded the configuration has stored it on its disk again.
                 self._without_disk.pop(event.node_id, None)
             case _:
                 pass
@@ -52,25 +54,25 @@
     def _handle_disturbed(self, event: NodeDisturbed) -> None:
         if event.cut_off:
             return
-        self._away[event.node_id] = self._away.get(event.node_id, 0) + 1
+        self._unavailable[event.node_id] = self._unavailable.get(event.node_id, 0) + 1
         if event.disk_lost:
             self._without_disk[event.node_id] = None
 
-    def can_vouch(self) -> bool:
-        """Return whether the service or a majority of the replicas is there."""
+    def has_authoritative_source(self) -> bool:
+        """Return whether the service or a majority of the replicas is available."""
         if self._outages == 0:
             return True
         members = {*self._replica_set.members, *self._replica_set.previous}
-        voters = [
+        available = [
             member
             for member in members
-            if not self._away.get(member) and member not in self._without_disk
+            if not self._unavailable.get(member) and member not in self._without_disk
         ]
-        return has_majority(self._replica_set, voters)
+        return has_majority(self._replica_set, available)
 
 
-def find_vouched_spans(history: History) -> list[Span]:
-    """Return the times at which the newest configuration could be had from somebody."""
+def find_authoritative_spans(history: History) -> list[Span]:
+    """Return the time spans in which an authoritative source was available."""
     events: list[SourceEvent] = [
         *history.of(KeyValueOutage),
         *history.of(ReplicaSetCommitted),
@@ -79,12 +81,12 @@
         *history.of(ConfigurationInForce),
     ]
     events.sort(key=lambda event: event.time_seconds)
-    sources = _Sources()
+    tracker = _SourceTracker()
     spans = []
     since: float | None = 0.0
     for event in events:
-        sources.handle(event)
-        if sources.can_vouch():
+        tracker.handle(event)
+        if tracker.has_authoritative_source():
             since = event.time_seconds if since is None else since
         elif since is not None:
             spans.append(Span(start_seconds=since, end_seconds=event.time_seconds))
--- a/drumbay/simulation/checkers/exactly_once.py
+++ b/drumbay/simulation/checkers/exactly_once.py
@@ -1,4 +1,4 @@
-"""Each sample reaches the trainer exactly once."""
+"""Checks that each sample reaches the trainer exactly once."""
 
 from drumbay.identifiers import SampleId, StreamName
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
@@ -6,9 +6,9 @@
 
 
 def check_exactly_once(history: History, limits: Limits) -> tuple[Violation, ...]:
-    """Report samples that were consumed twice, never asked for, or never consumed.
+    """Report samples that were consumed twice, never requested, or never consumed.
 
-    A missing sample counts if the trainer went on to a later step, or if the run settled.
+    A missing sample counts if the trainer moved on to a later step or the run has settled.
     """
     consumed: dict[tuple[StreamName, SampleId], float] = {}
     violations = []
--- a/drumbay/simulation/checkers/fenced_orders.py
+++ b/drumbay/simulation/checkers/fenced_orders.py
@@ -1,4 +1,4 @@
-"""Engines accept orders in the order of their fences, and each fence has one holder."""
+"""Checks that engines accept orders by increasing fence and that each fence has one holder."""
 
 from drumbay.identifiers import BackendId, BootId, Fence
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
--- a/drumbay/simulation/checkers/leaving_backends.py
+++ b/drumbay/simulation/checkers/leaving_backends.py
@@ -1,4 +1,4 @@
-"""A leaving back end gets no new work after a few seconds."""
+"""Checks that a leaving back end gets no new work after a limit."""
 
 from drumbay.identifiers import BackendId
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
@@ -11,7 +11,7 @@
 
 
 def check_leaving_backends(history: History, limits: Limits) -> tuple[Violation, ...]:
-    """Report executions that began on a back end well after it was announced as leaving."""
+    """Report executions that started on a leaving back end after the limit."""
     events: list[BackendLeaving | BackendReturned | ExecutionStarted] = [
         *history.of(BackendLeaving),
         *history.of(BackendReturned),
@@ -33,10 +33,10 @@
 
 
 def _describe(started: ExecutionStarted, since: float) -> Violation:
-    late = started.time_seconds - since
+    delay = started.time_seconds - since
     return Violation(
         promise=Promise.LEAVING_BACKENDS,
         subject=started.backend_id,
         time_seconds=started.time_seconds,
-        detail=f"began operation {started.operation_id} {late:.3f} s after it was leaving",
+        detail=f"began operation {started.operation_id} {delay:.3f} s after it was leaving",
     )
--- a/drumbay/simulation/checkers/linearizability.py
+++ b/drumbay/simulation/checkers/linearizability.py
@@ -1,4 +1,4 @@
-"""Decides whether operations on one register are linearizable.
+"""Checks whether the operations on one register are linearizable.
 
 Depth-first search over linearization orders (Wing and Gong, "Testing and Verifying
 Concurrent Objects", 1993, section 4) that visits each pair of linearized operations and
@@ -13,19 +13,19 @@
 
 
 class _SearchState(msgspec.Struct, frozen=True):
-    """Operations that have taken effect, one bit each, and the register after them."""
+    """Bit set of linearized operations, and the register value after them."""
 
     linearized: int
     value: str | None
 
 
 def is_linearizable(operations: Sequence[RegisterOperation], initial: str | None = None) -> bool:
-    """Return whether one order of the operations explains all their outcomes.
+    """Return whether a linearization of the operations exists.
 
     Args:
         operations: Operations on one key. One that never returned may take effect at any
             time after its invocation, or never.
-        initial: Value of the register at first; ``None`` if it is absent.
+        initial: Initial value of the register; ``None`` if it is absent.
     """
     ordered = sorted(operations, key=lambda operation: operation.time_seconds)
     required = 0
@@ -47,7 +47,7 @@
 
 
 def _successors(ordered: list[RegisterOperation], state: _SearchState) -> list[_SearchState]:
-    """Return the states after each operation that may take effect next."""
+    """Return the states after each operation that may be linearized next."""
     successors = []
     earliest_return = float("inf")
     for index, operation in enumerate(ordered):
--- a/drumbay/simulation/checkers/planned_stop.py
+++ b/drumbay/simulation/checkers/planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts off no request in flight."""
+"""Checks that planned stops do not interrupt requests in flight."""
 
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
 from drumbay.simulation.history import (
@@ -16,7 +16,7 @@
 
 
 def check_planned_stop(history: History, _limits: Limits) -> tuple[Violation, ...]:
-    """Report requests cut off by the planned stop of a node or of a back end."""
+    """Report requests interrupted by the planned stop of a node or back end."""
     return _check_nodes(history) + _check_backends(history)
 
 
@@ -24,21 +24,21 @@
     returns = {returned.invocation_id: returned for returned in history.of(RequestReturned)}
     violations = []
     for stop in history.of(PlannedStopStarted):
-        end = _next_disturbance(history, stop)
+        stopped_until = _next_disturbance(history, stop)
         for invoked in history.of(RequestInvoked):
             if invoked.node_id != stop.node_id or invoked.time_seconds > stop.time_seconds:
                 continue
             returned = returns.get(invoked.invocation_id)
             if returned is None or returned.outcome is not RequestOutcome.CUT_OFF:
                 continue
-            if stop.time_seconds <= returned.time_seconds < end:
+            if stop.time_seconds <= returned.time_seconds < stopped_until:
                 detail = f"cut off by the planned stop of {stop.node_id}"
                 violations.append(_violation(invoked.operation_id, returned.time_seconds, detail))
     return tuple(violations)
 
 
 def _next_disturbance(history: History, stop: PlannedStopStarted) -> float:
-    """Return when an injected fault ended the planned stop, infinity if none did."""
+    """Return the time of the first injected fault after the stop began, else infinity."""
     times = [
         disturbed.time_seconds
         for disturbed in history.of(NodeDisturbed)
@@ -64,7 +64,7 @@
             if started.backend_id != stop.backend_id or started.time_seconds > stop.time_seconds:
                 continue
             if aborted.get(started.execution_id, float("inf")) < stop.time_seconds:
-                # An earlier crash ended it, not this stop.
+                # A crash before the stop aborted it.
                 continue
             if finished.get(started.execution_id, float("inf")) > stop.time_seconds:
                 detail = f"running on {stop.backend_id} when its planned stop ended it"
--- a/drumbay/simulation/checkers/refused_not_run.py
+++ b/drumbay/simulation/checkers/refused_not_run.py
@@ -1,4 +1,4 @@
-"""A request refused as not run truly did not run."""
+"""Checks that a request reported as not run did not run."""
 
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
 from drumbay.simulation.history import (
@@ -11,10 +11,10 @@
 
 
 def check_refused_not_run(history: History, _limits: Limits) -> tuple[Violation, ...]:
-    """Report executions that only refused invocations can account for.
+    """Report executions that only refused invocations can have caused.
 
-    An execution whose log names its invocation is decided by that one. Any other needs an
-    invocation of its operation that began before it and was not refused as not run.
+    If the execution names its invocation, that one must not have been refused. Otherwise some
+    invocation of the operation must have started before it and not been refused as not run.
     """
     refused = {
         returned.invocation_id
@@ -27,12 +27,12 @@
     violations = []
     for started in history.of(ExecutionStarted):
         invocations = invoked_by_operation.get(started.operation_id, [])
-        if _is_refuted(started, invocations, refused):
+        if _contradicts_refusal(started, invocations, refused):
             violations.append(_describe(started))
     return tuple(violations)
 
 
-def _is_refuted(
+def _contradicts_refusal(
     started: ExecutionStarted, invocations: list[RequestInvoked], refused: set[str]
 ) -> bool:
     if started.invocation_id is not None:
--- a/drumbay/simulation/checkers/sample_versions.py
+++ b/drumbay/simulation/checkers/sample_versions.py
@@ -1,4 +1,4 @@
-"""Each sample names the weight versions that truly produced it."""
+"""Checks that each sample reports the weight versions that produced it."""
 
 from drumbay.simulation.checkers.token_log import Token, TokenLog, first_gap, total_length
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
@@ -6,11 +6,11 @@
 
 
 def check_sample_versions(history: History, _limits: Limits) -> tuple[Violation, ...]:
-    """Report samples whose tokens no engine produced under the versions they name."""
+    """Report samples with tokens that no engine produced with the reported version."""
     log = TokenLog(history)
     violations = []
     for sample in history.of(SampleConsumed):
-        detail = _fault(log, sample)
+        detail = _mismatch(log, sample)
         if detail is None:
             continue
         violations.append(
@@ -24,21 +24,21 @@
     return tuple(violations)
 
 
-def _fault(log: TokenLog, sample: SampleConsumed) -> str | None:
+def _mismatch(log: TokenLog, sample: SampleConsumed) -> str | None:
     gap = first_gap(sample.spans)
     if gap is not None:
         return f"the sample has no token {gap}"
     for span in sample.spans:
-        fault = _span_fault(log, sample.operation_id, span)
-        if fault is not None:
-            return fault
+        mismatch = _span_mismatch(log, sample.operation_id, span)
+        if mismatch is not None:
+            return mismatch
     length = total_length(sample.spans)
-    if not log.ended_at(sample.operation_id, length):
+    if not log.has_length(sample.operation_id, length):
         return f"no engine ended it after {length} tokens"
     return None
 
 
-def _span_fault(log: TokenLog, operation_id: str, span: VersionSpan) -> str | None:
+def _span_mismatch(log: TokenLog, operation_id: str, span: VersionSpan) -> str | None:
     for offset, token_id in enumerate(span.token_ids):
         token = Token(
             operation_id=operation_id,
--- a/drumbay/simulation/checkers/staleness.py
+++ b/drumbay/simulation/checkers/staleness.py
@@ -1,4 +1,4 @@
-"""No sample is built from weights older than the agreed bound, at its consumption."""
+"""Checks that no consumed sample exceeds the staleness bound."""
 
 from drumbay.simulation.checkers.token_log import TokenLog
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
@@ -6,10 +6,10 @@
 
 
 def check_staleness(history: History, limits: Limits) -> tuple[Violation, ...]:
-    """Report samples with a token that is too old by the engines' own logs.
+    """Report samples with a token that is too old according to the engine logs.
 
-    Where a token was produced more than once alike, the newest production counts; where
-    no engine produced it, the version that the sample names does.
+    If an identical token was produced more than once, the newest version counts. If no engine
+    produced it, the version reported in the sample is used.
     """
     log = TokenLog(history)
     violations = []
--- a/drumbay/simulation/checkers/token_log.py
+++ b/drumbay/simulation/checkers/token_log.py
@@ -1,4 +1,4 @@
-"""What the engines' logs say about each token of each operation."""
+"""Index of the tokens recorded in the engine logs."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class Token(msgspec.Struct, frozen=True, kw_only=True):
-    """One token of an operation, and the weights that produced it."""
+    """One token of an operation with the weight version that produced it."""
 
     operation_id: str
     index: int
@@ -16,10 +16,10 @@
 
 
 class TokenLog:
-    """Index over the tokens that engines have truly produced."""
+    """Index of the tokens that engines produced, according to their logs."""
 
     def __init__(self, history: History) -> None:
-        """Read the engines' logs of a history."""
+        """Build the index from a history."""
         self._tokens: set[Token] = set()
         self._versions: dict[tuple[str, int, int], list[WeightVersion]] = {}
         self._lengths: set[tuple[str, int]] = set()
@@ -45,24 +45,24 @@
             self._lengths.add((operation_id, length))
 
     def was_produced(self, operation_id: str, index: int, token_id: int) -> bool:
-        """Return whether an engine produced this token at this place."""
+        """Return whether an engine produced this token at this index."""
         return (operation_id, index, token_id) in self._versions
 
     def was_produced_by(self, token: Token) -> bool:
-        """Return whether an engine with these weights produced this token."""
+        """Return whether an engine produced this token with its weight version."""
         return token in self._tokens
 
     def versions_of(self, operation_id: str, index: int, token_id: int) -> list[WeightVersion]:
-        """Return the weights that produced a token, in order of time."""
+        """Return the weight versions that produced a token, ordered by time."""
         return self._versions.get((operation_id, index, token_id), [])
 
-    def ended_at(self, operation_id: str, length: int) -> bool:
-        """Return whether an engine ended the operation after ``length`` tokens."""
+    def has_length(self, operation_id: str, length: int) -> bool:
+        """Return whether an engine finished the operation after ``length`` tokens."""
         return (operation_id, length) in self._lengths
 
 
 def first_gap(spans: tuple[VersionSpan, ...]) -> int | None:
-    """Return the index at which spans are not consecutive from 0, ``None`` if they are."""
+    """Return the first missing index, or ``None`` if the spans are consecutive from 0."""
     expected = 0
     for span in spans:
         if span.first_index != expected:
--- a/drumbay/simulation/checkers/violation.py
+++ b/drumbay/simulation/checkers/violation.py
@@ -1,4 +1,4 @@
-"""What a checker reports."""
+"""Results and parameters of the checkers."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Promise(StrEnum):
-    """The promises that histories are checked against."""
+    """Guarantees that histories are checked against."""
 
     AT_MOST_ONCE = "at_most_once"
     REFUSED_NOT_RUN = "refused_not_run"
@@ -23,13 +23,13 @@
 
 
 class Violation(msgspec.Struct, frozen=True, kw_only=True):
-    """A promise that a history breaks.
+    """A violation of a promise in a history.
 
     Attributes:
-        promise: The promise.
-        subject: Operation, sample, back end, node or key that it was broken for.
-        time_seconds: When it was broken, on the clock of the history.
-        detail: What the history shows, in one sentence.
+        promise: The broken promise.
+        subject: Affected operation, sample, back end, node or key.
+        time_seconds: Time of the violation on the clock of the history.
+        detail: Description of the violation.
     """
 
     promise: Promise
@@ -39,14 +39,15 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Bounds that the promises leave open.
+    """Configurable bounds of the promises.
 
     Attributes:
         leaving_seconds: Time after which a leaving back end gets no new work.
-        configuration_seconds: Time after which an accepted change is in force.
-        max_staleness_versions: Oldest weights of a sample at its consumption, in
-            versions behind the trainer.
-        settled: Whether the run ended in quiet, so that all that was asked for is due.
+        configuration_seconds: Time within which an accepted change must be in force.
+        max_staleness_versions: Maximum staleness of a sample at its consumption, in versions
+            behind the trainer.
+        settled: Whether the run ended after a fault-free time, so that every requested sample
+            must have been consumed.
     """
 
     leaving_seconds: float = 5.0
--- a/drumbay/simulation/checkers/whole_answers.py
+++ b/drumbay/simulation/checkers/whole_answers.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request."""
+"""Checks that a caller receives the complete response to its own request."""
 
 from drumbay.simulation.checkers.token_log import TokenLog, first_gap, total_length
 from drumbay.simulation.checkers.violation import Limits, Promise, Violation
@@ -14,7 +14,7 @@
 
 
 def check_whole_answers(history: History, _limits: Limits) -> tuple[Violation, ...]:
-    """Report answers that no back end gave to the operation, and incomplete completions."""
+    """Report responses that no back end gave to the operation, and incomplete completions."""
     operations = {
         invoked.invocation_id: invoked.operation_id for invoked in history.of(RequestInvoked)
     }
@@ -22,7 +22,7 @@
 
 
 def _check_answers(history: History, operations: dict[str, str]) -> tuple[Violation, ...]:
-    given = _answers_by_operation(history)
+    answers_by_operation = _collect_answers(history)
     completions = {returned.invocation_id for returned in history.of(CompletionReturned)}
     violations = []
     for returned in history.of(RequestReturned):
@@ -31,13 +31,13 @@
         if returned.invocation_id in completions:
             continue
         operation_id = operations.get(returned.invocation_id, returned.invocation_id)
-        if returned.answer not in given.get(operation_id, ()):
+        if returned.answer not in answers_by_operation.get(operation_id, ()):
             detail = f"no back end gave this answer of {len(returned.answer)} bytes to it"
             violations.append(_violation(operation_id, returned.time_seconds, detail))
     return tuple(violations)
 
 
-def _answers_by_operation(history: History) -> dict[str, list[bytes]]:
+def _collect_answers(history: History) -> dict[str, list[bytes]]:
     started = {started.execution_id: started for started in history.of(ExecutionStarted)}
     answers: dict[str, list[bytes]] = {}
     for finished in history.of(ExecutionFinished):
@@ -52,13 +52,15 @@
     violations = []
     for returned in history.of(CompletionReturned):
         operation_id = operations.get(returned.invocation_id, returned.invocation_id)
-        detail = _completion_fault(log, operation_id, returned)
+        detail = _completion_mismatch(log, operation_id, returned)
         if detail is not None:
             violations.append(_violation(operation_id, returned.time_seconds, detail))
     return tuple(violations)
 
 
-def _completion_fault(log: TokenLog, operation_id: str, returned: CompletionReturned) -> str | None:
+def _completion_mismatch(
+    log: TokenLog, operation_id: str, returned: CompletionReturned
+) -> str | None:
     gap = first_gap(returned.spans)
     if gap is not None:
         return f"the completion has no token {gap}"
@@ -68,7 +70,7 @@
             if not log.was_produced(operation_id, index, token_id):
                 return f"no engine produced its token {index}"
     length = total_length(returned.spans)
-    if not log.ended_at(operation_id, length):
+    if not log.has_length(operation_id, length):
         return f"no engine ended it after {length} tokens"
     return None
 
--- a/drumbay/simulation/cluster.py
+++ b/drumbay/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A whole deployment on one event loop: nodes, network, platform and back ends."""
+"""A complete deployment on one event loop: nodes, network, platform and back ends."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,19 +14,19 @@
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.node.environment import NodeEnvironment
 from drumbay.settings import NodeSettings
-from drumbay.simulation.backend_paths import BackendPaths
+from drumbay.simulation.backend_partitions import BackendPartitions
 from drumbay.simulation.deployment import Deployment, NodePlan, node_settings
 from drumbay.simulation.faults import DegradeNetwork, KeyValueCondition
 from drumbay.simulation.gated_clients import (
-    GatedApplicationClient,
-    GatedEngineClient,
     GatedKeyValueStore,
-    GatedWeightStoreClient,
+    ProcessApplicationClient,
+    ProcessEngineClient,
+    ProcessWeightStoreClient,
 )
-from drumbay.simulation.gateway import Gateway, NodeRun, SimulatableNode
+from drumbay.simulation.gateway import Gateway, NodeRun, SimulatedNode
 from drumbay.simulation.host import SimulatedHost
 from drumbay.simulation.latency import LatencyModel
-from drumbay.simulation.machine_list import DEFAULT_LAG_SECONDS, GatedMachineListClient
+from drumbay.simulation.machine_list import DEFAULT_LAG_SECONDS, ProcessMachineListClient
 from drumbay.simulation.network import Cut, SimulatedNetwork
 from drumbay.simulation.platform import SimulatedPlatform
 from drumbay.simulation.process import SimulatedProcess
@@ -36,20 +36,20 @@
 from drumbay.storage.interface import RecordLog, StoreId
 from drumbay.storage.simulated_log import SimulatedDisk, SimulatedLog
 
-NodeFactory = Callable[[NodeSettings, NodeEnvironment], SimulatableNode]
+NodeFactory = Callable[[NodeSettings, NodeEnvironment], SimulatedNode]
 
 DISK_COMMIT_SECONDS = 0.002
 
 
 class SimulatedCluster:
-    """All nodes of a deployment, which faults can act on.
+    """All nodes and services of a deployment, and the faults injected into them.
 
     Implements :class:`drumbay.simulation.fault_injector.FaultEnvironment`.
 
     Attributes:
         platform: Platform and back ends.
         network: The network between nodes.
-        gateway: The way from callers to nodes.
+        gateway: Connections from callers to nodes.
         hosts: The machines by node.
     """
 
@@ -70,9 +70,9 @@
             latency: Delays without faults.
             client_latency_seconds: One-way delay between callers and nodes.
             make_node: Makes one node.
-            random: Source of all chance.
+            random: Source of randomness.
             trace: Where events are recorded.
-            folder: Empty folder below which nodes with a disk keep files.
+            folder: Empty folder for the data folders of nodes with a disk.
         """
         self._deployment = deployment
         self._latency = latency
@@ -84,7 +84,7 @@
         self.gateway = Gateway(client_latency_seconds)
         self._plans = {plan.node_id: plan for plan in deployment.nodes}
         self.hosts = {plan.node_id: self._make_host(plan) for plan in deployment.nodes}
-        self._paths = BackendPaths(deployment)
+        self._backend_partitions = BackendPartitions(deployment)
 
     def _make_host(self, plan: NodePlan) -> SimulatedHost:
         data_folder = self._folder / plan.node_id if plan.has_disk else None
@@ -109,20 +109,20 @@
             await self.start_host(node_id)
 
     async def stop(self) -> None:
-        """Kill every node and end the back ends."""
+        """Kill every node and stop the back ends."""
         for node_id in self.hosts:
             await self.kill_host(node_id)
         await self.platform.close()
 
     async def kill_host(self, host: str) -> None:
-        """End the process of a host; no effect without one."""
+        """Kill the process of a host; no effect if none runs."""
         node_id = NodeId(host)
         self.gateway.runs.pop(node_id, None)
         if self.hosts[node_id].running:
             await self.hosts[node_id].kill()
 
     async def start_host(self, host: str) -> None:
-        """Start a new process on a host that has none; no effect otherwise."""
+        """Start a process on a host; no effect if one runs already."""
         node_id = NodeId(host)
         machine = self.hosts[node_id]
         if machine.running:
@@ -130,7 +130,7 @@
         process = machine.start()
         if machine.data_folder is not None:
             machine.data_folder.mkdir(exist_ok=True)
-        # NOTE: run as code of the process, so that its tasks are found by a kill.
+        # Runs in the context of the process, so that a kill cancels its tasks.
         process.run(lambda: self._start_node(node_id, machine, process))
 
     def _start_node(
@@ -149,57 +149,57 @@
         self, plan: NodePlan, machine: SimulatedHost, process: SimulatedProcess
     ) -> NodeEnvironment:
         platform = self.platform
-        outside = platform.clock
-        network = BackendNetwork(outside, self._latency.same_region_seconds)
-        self._paths.add(plan.node_id, network)
-        engines = MemoryEngineClient(outside, platform.engines, network)
-        applications = MemoryApplicationClient(outside, platform.applications, network)
-        store = MemoryKeyValueStore(platform.key_value, outside)
+        platform_clock = platform.clock
+        network = BackendNetwork(platform_clock, self._latency.same_region_seconds)
+        self._backend_partitions.add(plan.node_id, network)
+        engines = MemoryEngineClient(platform_clock, platform.engines, network)
+        applications = MemoryApplicationClient(platform_clock, platform.applications, network)
+        store = MemoryKeyValueStore(platform.key_value, platform_clock)
         return NodeEnvironment(
             clock=machine.clock(),
             transport=SimulatedTransport(self.network, machine.address, process),
             store=GatedKeyValueStore(process, store),
-            engine_client=GatedEngineClient(process, engines),
-            application_client=GatedApplicationClient(process, applications),
-            machine_list=GatedMachineListClient(process, platform.machine_list),
-            weight_store=GatedWeightStoreClient(process, platform.weight_store),
+            engine_client=ProcessEngineClient(process, engines),
+            application_client=ProcessApplicationClient(process, applications),
+            machine_list=ProcessMachineListClient(process, platform.machine_list),
+            weight_store=ProcessWeightStoreClient(process, platform.weight_store),
             open_log=_LogOpener(machine),
             random=Random(self._random.getrandbits(64)),
             boot_id=process.boot_id,
         )
 
-    async def stop_node(self, node_id: NodeId, limit_seconds: float) -> None:
-        """Stop a node as planned, and end its process when it says that it is done."""
+    async def stop_node(self, node_id: NodeId, timeout_seconds: float) -> None:
+        """Shut a node down gracefully, then kill its process, after the limit at the latest."""
         run = self.gateway.runs.get(node_id)
         if run is None or not run.process.alive:
             return
         stopping = run.process.spawn(run.node.stop(), "planned stop")
-        await asyncio.wait([stopping], timeout=limit_seconds)
+        await asyncio.wait([stopping], timeout=timeout_seconds)
         if run.process.alive:
             await self.kill_host(node_id)
 
     def freeze_host(self, host: str) -> None:
-        """Stop the process of a host; no effect without one."""
+        """Suspend the process of a host; no effect if none runs."""
         if self.hosts[NodeId(host)].running:
             self.hosts[NodeId(host)].freeze()
 
-    def wake_host(self, host: str) -> None:
-        """Continue the process of a host; no effect without one."""
+    def resume_host(self, host: str) -> None:
+        """Resume the process of a host; no effect if none runs."""
         if self.hosts[NodeId(host)].running:
             self.hosts[NodeId(host)].wake()
 
     def cut(self, cut: Cut, *, both_ways: bool) -> None:
-        """Cut a path between nodes, and between nodes and back ends of zones and regions."""
+        """Apply a cut between nodes and, for zones and regions, between nodes and back ends."""
         self.network.cut(cut, both_ways=both_ways)
-        self._paths.cut(cut, both_ways=both_ways)
+        self._backend_partitions.cut(cut, both_ways=both_ways)
 
     def heal(self, cut: Cut, *, both_ways: bool) -> None:
-        """Undo one cut of a path."""
+        """Undo one earlier :meth:`cut`."""
         self.network.heal(cut, both_ways=both_ways)
-        self._paths.heal(cut, both_ways=both_ways)
+        self._backend_partitions.heal(cut, both_ways=both_ways)
 
     def degrade_network(self, faults: tuple[DegradeNetwork, ...]) -> None:
-        """Put these degradations in force, and no others."""
+        """Replace the active network degradations."""
         self.network.latency = self._latency.degraded(
             delay_factor=max((fault.delay_factor for fault in faults), default=1.0),
             loss_probability=max((fault.loss_probability for fault in faults), default=0.0),
@@ -210,15 +210,15 @@
         )
 
     def disturb_key_value(self, conditions: tuple[KeyValueCondition, ...]) -> None:
-        """Put the key-value service into these conditions, and no others."""
+        """Replace the active conditions of the key-value service."""
         self.platform.disturb_key_value(conditions)
 
     def compact_key_value(self) -> None:
-        """Make the key-value service drop its history."""
+        """Compact the history of the key-value service."""
         self.platform.compact_key_value()
 
     def crash_backend(self, backend: str) -> None:
-        """End the process of a back end."""
+        """Kill the process of a back end."""
         self.platform.worker(backend).crash()
 
     def restart_backend(self, backend: str) -> None:
@@ -226,41 +226,41 @@
         self.platform.worker(backend).restart()
 
     def fail_swaps(self, backend: str, count: int, *, acknowledged: bool) -> None:
-        """Let the next weight swaps of an engine fail; none any more if ``count`` is 0."""
+        """Make the next ``count`` weight swaps of an engine fail; 0 ends the fault."""
         self.platform.fail_swaps(backend, count, acknowledged=acknowledged)
 
     def disturb_answers(self, backend: str, kind: BackendFaultKind, count: int) -> None:
-        """Let the next answers of a back end be disturbed; none any more if ``count`` is 0."""
+        """Corrupt or delay the next ``count`` responses of a back end; 0 ends the fault."""
         self.platform.disturb_answers(backend, kind, count)
 
     def set_machine_list_lag(self, lag_seconds: float | None) -> None:
-        """Set how late the machine list shows changes; ``None`` for the usual lag."""
+        """Set the propagation lag of the machine list; ``None`` restores the default."""
         lag = DEFAULT_LAG_SECONDS if lag_seconds is None else lag_seconds
         self.platform.machine_list.lag_seconds = lag
 
     def jump_clock(self, host: str, seconds: float) -> None:
-        """Move the wall clock of a host."""
+        """Shift the wall clock of a host."""
         self.hosts[NodeId(host)].wall_clock.jump(seconds)
 
     def set_disk_full(self, host: str, *, full: bool) -> None:
-        """Let the disk of a host refuse writes, or take them again."""
+        """Make the disk of a host reject writes, or accept them again."""
         disk = self.hosts[NodeId(host)].disk
         if disk is not None:
             disk.full = full
 
     def set_disk_busy(self, host: str, commit_seconds: float) -> None:
-        """Let each write to a host's disk take this long at least; 0 for the usual time."""
+        """Set the minimum commit time of a host's disk; 0 restores the default."""
         disk = self.hosts[NodeId(host)].disk
         if disk is not None:
             disk.busy_commit_seconds = commit_seconds
 
     def lose_disk(self, host: str) -> None:
-        """Empty the disk of a host."""
+        """Erase the disk of a host."""
         machine = self.hosts[NodeId(host)]
         if machine.disk is not None:
             machine.disk = SimulatedDisk()
         if machine.data_folder is not None:
-            _empty_folder(machine.data_folder)
+            _delete_files(machine.data_folder)
 
 
 class _LogOpener:
@@ -283,7 +283,7 @@
         )
 
 
-def _empty_folder(folder: Path) -> None:
+def _delete_files(folder: Path) -> None:
     for entry in sorted(folder.glob("*")):
         if entry.is_file():
             entry.unlink()
--- a/drumbay/simulation/command.py
+++ b/drumbay/simulation/command.py
@@ -1,4 +1,4 @@
-"""What ``drumbay simulate`` does: runs scenarios from seeds and reports the outcome."""
+"""Implementation of ``drumbay simulate``: runs scenarios and reports violations."""
 
 from pathlib import Path
 
@@ -20,32 +20,32 @@
 from drumbay.simulation.shrink import shrink_plan
 
 CONTEXT_SECONDS = 5.0
-MOST_CONTEXT_EVENTS = 40
-MOST_VIOLATIONS_SHOWN = 5
+MAX_CONTEXT_EVENTS = 40
+MAX_VIOLATIONS_SHOWN = 5
 
 
 class SeedRangeError(ConfigurationError):
-    """A range of seeds is not of the form ``A..B``."""
+    """A seed range does not have the form ``A..B``."""
 
     code = "invalid_seed_range"
 
 
 class InvalidPlanError(ConfigurationError):
-    """A file is no plan of faults."""
+    """A file is not a valid fault plan."""
 
     code = "invalid_fault_plan"
 
 
 class SimulationOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """What was asked for on the command line.
+    """Command-line options of ``drumbay simulate``.
 
     Attributes:
         scenario: Name of a shipped scenario, or a scenario file.
         seeds: Range of seeds, ``A..B``.
         json: Whether reports are printed as JSON.
         history_file: Where the history of the last run is written.
-        plan_file: Faults to inject in place of those drawn from the seed.
-        shrink_to: Where the shortest plan that still breaks a promise is written.
+        plan_file: Fault plan to use instead of one drawn from the seed.
+        shrink_to: Where the minimized failing fault plan is written.
         log_file: Where the log lines of the simulated nodes are written.
     """
 
@@ -65,8 +65,8 @@
 
 
 def run_command(options: SimulationOptions) -> None:
-    """Run every seed, print the outcome, and exit with 1 if a promise is broken."""
-    # NOTE: log lines of simulated nodes carry real times and drown the report.
+    """Run every seed, print the reports, and exit with 1 on any violation."""
+    # Log lines of simulated nodes would flood the report and carry wall-clock times.
     logger.remove()
     if options.log_file is not None:
         log_to_file(options.log_file)
@@ -84,10 +84,10 @@
 
 
 def parse_seeds(text: str) -> range:
-    """Return the seeds of a range ``A..B``, ends included.
+    """Return the seeds of a range ``A..B``, both ends included.
 
     Raises:
-        SeedRangeError: The text is no such range.
+        SeedRangeError: The text is not a valid range.
     """
     first, separator, last = text.partition("..")
     if not (separator and first.isdecimal() and last.isdecimal() and int(first) <= int(last)):
@@ -96,10 +96,10 @@
 
 
 def load_plan(file: Path) -> FaultPlan:
-    """Read a plan of faults.
+    """Read a fault plan.
 
     Raises:
-        InvalidPlanError: The file cannot be read or is no plan.
+        InvalidPlanError: The file cannot be read or is not a fault plan.
     """
     try:
         return msgspec.json.decode(file.read_bytes(), type=FaultPlan)
@@ -124,30 +124,30 @@
 
 
 def _shrink(scenario: Scenario, result: RunResult, file: Path) -> None:
-    """Write the shortest plan that still breaks the first broken promise."""
+    """Write a minimal fault plan that still breaks the first broken promise."""
     seed = result.report.seed
     promise = result.report.violations[0].promise
 
-    def breaks(plan: FaultPlan) -> bool:
+    def still_fails(plan: FaultPlan) -> bool:
         report = _run_one(scenario, seed, plan, quiet=True).report
         return any(violation.promise is promise for violation in report.violations)
 
-    shortest = shrink_plan(result.plan, breaks)
-    file.write_bytes(msgspec.json.format(msgspec.json.encode(shortest)))
+    minimized = shrink_plan(result.plan, still_fails)
+    file.write_bytes(msgspec.json.format(msgspec.json.encode(minimized)))
     typer.echo(
-        f"seed {seed}: {len(shortest.faults)} of {len(result.plan.faults)} faults still break"
+        f"seed {seed}: {len(minimized.faults)} of {len(result.plan.faults)} faults still break"
         f" {promise}; written to {file}",
         err=True,
     )
 
 
-def _run_one(chosen: Scenario, seed: int, plan: FaultPlan | None, *, quiet: bool) -> RunResult:
+def _run_one(scenario: Scenario, seed: int, plan: FaultPlan | None, *, quiet: bool) -> RunResult:
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
     console = Console(stderr=True)
     with Progress(*columns, console=console, disable=quiet, transient=True) as progress:
-        task = progress.add_task(f"{chosen.name} seed {seed}", total=chosen.duration_seconds)
+        task = progress.add_task(f"{scenario.name} seed {seed}", total=scenario.duration_seconds)
         return run_scenario(
-            chosen,
+            scenario,
             seed,
             Node,
             lambda seconds: progress.update(task, completed=seconds),
@@ -157,7 +157,7 @@
 
 def _print_violations(options: SimulationOptions, result: RunResult) -> None:
     report = result.report
-    shown = report.violations[:MOST_VIOLATIONS_SHOWN]
+    shown = report.violations[:MAX_VIOLATIONS_SHOWN]
     for violation in shown:
         typer.echo(
             f"seed {report.seed}: {violation.promise} broken for {violation.subject}"
@@ -172,7 +172,7 @@
 
 
 def _print_context(result: RunResult, violation: Violation) -> None:
-    """Print the history around a violation: what names its subject first, faults always."""
+    """Print the faults around a violation and the events that mention its subject."""
     start = violation.time_seconds - CONTEXT_SECONDS
     end = violation.time_seconds + CONTEXT_SECONDS
     for fault in result.plan.faults:
@@ -183,7 +183,7 @@
         for event in result.history.between(float("-inf"), float("inf"))
         if violation.subject in repr(event)
     ]
-    for event in events[:MOST_CONTEXT_EVENTS]:
+    for event in events[:MAX_CONTEXT_EVENTS]:
         typer.echo(f"  {event}")
 
 
--- a/drumbay/simulation/racing_operators.py
+++ b/drumbay/simulation/concurrent_operators.py
@@ -1,4 +1,4 @@
-"""Operators who change the same resources at the same time, through different nodes."""
+"""Operators that change the same resources concurrently through different nodes."""
 
 import asyncio
 import itertools
@@ -21,20 +21,20 @@
 from drumbay.simulation.outside_clock import virtual_now
 
 APPLY_TIMEOUT_SECONDS = 40.0
-SETTLE_PAUSE_SECONDS = 5.0
-MOST_QUESTIONS = 20
-SET_UP_PAUSE_SECONDS = 1.0
+STATUS_QUERY_INTERVAL_SECONDS = 5.0
+MAX_STATUS_QUERIES = 20
+SET_UP_RETRY_SECONDS = 1.0
 
 
 class AttemptedChange(msgspec.Struct, frozen=True, kw_only=True):
-    """One compare-and-swap by an operator.
+    """One compare-and-set by an operator.
 
     Attributes:
         operation_id: Identity of the change.
-        route: Route that was changed.
-        expected_revision: Revision that the operator had seen.
-        invoked_seconds: When it was sent.
-        returned_seconds: When the outcome was known; ``None`` if it never was.
+        route: Name of the changed route.
+        expected_revision: Revision of the route that the operator read.
+        invoked_seconds: Time at which the change was sent.
+        returned_seconds: Time at which the outcome was known; ``None`` if it never was.
     """
 
     operation_id: str
@@ -44,18 +44,18 @@
     returned_seconds: float | None
 
 
-class RacingOperators:
-    """Sets a deployment up and then changes its routes.
+class ConcurrentOperators:
+    """Applies the initial resources of a deployment and then changes its routes.
 
     Attributes:
-        changes: Changes that were accepted or never had an outcome; refused ones are
-            checked as requests that did not run.
+        changes: Changes that were accepted or whose outcome is unknown; refused ones are
+            recorded in the history as not run.
     """
 
     def __init__(
         self, gateway: Gateway, history: History, random: Random, node_ids: tuple[NodeId, ...]
     ) -> None:
-        """Create operators who reach these nodes."""
+        """Create operators that send to ``node_ids``."""
         self._gateway = gateway
         self._history = history
         self._random = random
@@ -63,7 +63,7 @@
         self.changes: list[AttemptedChange] = []
 
     async def set_up(self, resources: tuple[AnyResource, ...]) -> None:
-        """Apply the first resources, each until it is accepted."""
+        """Apply the initial resources, retrying each until it is accepted."""
         for number, resource in enumerate(resources):
             operation_id = f"set-up-{number}"
             body = ApplyBody(resource=resource, operation_id=operation_id)
@@ -71,26 +71,26 @@
                 outcome = await self._apply(self._pick_node(), body, attempt)
                 if outcome is RequestOutcome.ANSWERED:
                     break
-                await asyncio.sleep(SET_UP_PAUSE_SECONDS)
+                await asyncio.sleep(SET_UP_RETRY_SECONDS)
 
-    async def change_forever(self, name: str, mean_interval_seconds: float) -> None:
+    async def run_changes(self, name: str, mean_interval_seconds: float) -> None:
         """Change routes at random times until cancelled."""
         number = 0
         while True:
             await asyncio.sleep(self._random.expovariate(1.0 / mean_interval_seconds))
-            await self._change_one(f"{name}-{number}")
+            await self._change_random_route(f"{name}-{number}")
             number += 1
 
-    async def _change_one(self, operation_id: str) -> None:
+    async def _change_random_route(self, operation_id: str) -> None:
         node_id = self._pick_node()
         try:
-            found = await self._gateway.call(node_id, _read_routes, APPLY_TIMEOUT_SECONDS)
+            routes = await self._gateway.call(node_id, _read_routes, APPLY_TIMEOUT_SECONDS)
         except DrumbayError:
             return
-        if not found:
+        if not routes:
             return
-        route, revision = self._random.choice(found)
-        # The priority is changed within a range that changes no request's fate.
+        route, revision = self._random.choice(routes)
+        # Changes only the lowest bit, so that the order of the routes stays the same.
         priority = route.priority // 2 * 2 + self._random.randint(0, 1)
         changed = msgspec.structs.replace(route, priority=priority)
         body = ApplyBody(resource=changed, operation_id=operation_id, expected_revision=revision)
@@ -102,9 +102,9 @@
             returned_seconds=None,
         )
         try:
-            outcome = await self._apply_and_settle(node_id, body)
+            outcome = await self._apply_and_poll(node_id, body)
         except asyncio.CancelledError:
-            # The run ends; the change may be made all the same.
+            # The run ends, but the change may still be committed.
             self.changes.append(change)
             raise
         if outcome is RequestOutcome.ANSWERED:
@@ -112,58 +112,62 @@
         if outcome is not RequestOutcome.NOT_RUN:
             self.changes.append(change)
 
-    async def _apply_and_settle(self, node_id: NodeId, body: ApplyBody) -> RequestOutcome:
+    async def _apply_and_poll(self, node_id: NodeId, body: ApplyBody) -> RequestOutcome:
         outcome = await self._apply(node_id, body, 0)
         if outcome in (RequestOutcome.MAY_HAVE_RUN, RequestOutcome.CUT_OFF):
-            return await self._settle(body.operation_id)
+            return await self._poll_outcome(body.operation_id)
         return outcome
 
     async def _apply(self, node_id: NodeId, body: ApplyBody, number: int) -> RequestOutcome:
-        """Send one change and return what the operator learned."""
+        """Send one change and return its outcome as known to the operator."""
         invocation = Invocation(self._history, body.operation_id, number, node_id)
-        invocation.invoked(repeatable=False)
+        invocation.record_invoked(repeatable=False)
         try:
-            answer = await self._gateway.call(
+            response = await self._gateway.call(
                 node_id, lambda run: run.node.apply(body), APPLY_TIMEOUT_SECONDS
             )
         except DrumbayError as error:
-            return invocation.returned(outcome_of(error))
-        return self._take_answer(invocation, answer)
+            return invocation.record_returned(outcome_of(error))
+        return self._record_response(invocation, response)
 
-    async def _settle(self, operation_id: str) -> RequestOutcome:
-        """Ask until the outcome of a change is known."""
-        for number in range(1, MOST_QUESTIONS + 1):
-            await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+    async def _poll_outcome(self, operation_id: str) -> RequestOutcome:
+        """Query the status of a change until its outcome is known."""
+        for number in range(1, MAX_STATUS_QUERIES + 1):
+            await asyncio.sleep(STATUS_QUERY_INTERVAL_SECONDS)
             node_id = self._pick_node()
             try:
-                answer = await self._gateway.call(
+                response = await self._gateway.call(
                     node_id, lambda run: run.node.operation(operation_id), APPLY_TIMEOUT_SECONDS
                 )
             except DrumbayError as error:
-                if outcome_of(error) is RequestOutcome.NOT_RUN and _is_verdict(error):
-                    return self._note_refusal(operation_id, number, node_id)
+                if outcome_of(error) is RequestOutcome.NOT_RUN and _is_node_response(error):
+                    return self._record_refusal(operation_id, number, node_id)
                 continue
-            if answer.outcome == WriteOutcome.ACCEPTED:
-                self._accept(answer)
+            if response.outcome == WriteOutcome.ACCEPTED:
+                self._record_accepted(response)
                 return RequestOutcome.ANSWERED
         return RequestOutcome.MAY_HAVE_RUN
 
-    def _note_refusal(self, operation_id: str, number: int, node_id: NodeId) -> RequestOutcome:
-        """Note that a change, once in doubt, certainly was not made."""
+    def _record_refusal(self, operation_id: str, number: int, node_id: NodeId) -> RequestOutcome:
+        """Record that a change with an unknown outcome turned out not to have run."""
         invocation = Invocation(self._history, operation_id, number, node_id)
-        invocation.invoked(repeatable=False)
-        return invocation.returned(RequestOutcome.NOT_RUN)
-
-    def _take_answer(self, invocation: Invocation, answer: ApplyOutcomeBody) -> RequestOutcome:
-        if answer.outcome == WriteOutcome.ACCEPTED:
-            self._accept(answer)
-            return invocation.returned(RequestOutcome.ANSWERED, invocation.operation_id.encode())
-        return invocation.returned(RequestOutcome.MAY_HAVE_RUN)
+        invocation.record_invoked(repeatable=False)
+        return invocation.record_returned(RequestOutcome.NOT_RUN)
+
+    def _record_response(
+        self, invocation: Invocation, response: ApplyOutcomeBody
+    ) -> RequestOutcome:
+        if response.outcome == WriteOutcome.ACCEPTED:
+            self._record_accepted(response)
+            return invocation.record_returned(
+                RequestOutcome.ANSWERED, invocation.operation_id.encode()
+            )
+        return invocation.record_returned(RequestOutcome.MAY_HAVE_RUN)
 
-    def _accept(self, answer: ApplyOutcomeBody) -> None:
-        if answer.mod_revision is not None:
+    def _record_accepted(self, response: ApplyOutcomeBody) -> None:
+        if response.mod_revision is not None:
             accepted = ConfigurationAccepted(
-                time_seconds=virtual_now(), revision=answer.mod_revision
+                time_seconds=virtual_now(), revision=response.mod_revision
             )
             self._history.add(accepted)
 
@@ -171,8 +175,8 @@
         return self._random.choice(self._node_ids)
 
 
-def _is_verdict(error: DrumbayError) -> bool:
-    """Return whether the node itself answered, so that the change was not made."""
+def _is_node_response(error: DrumbayError) -> bool:
+    """Return whether the node itself reported the failure."""
     return isinstance(error, RequestFailedError)
 
 
--- a/drumbay/simulation/configuration_probe.py
+++ b/drumbay/simulation/configuration_probe.py
@@ -1,4 +1,4 @@
-"""Looks at which configuration is in force on each node."""
+"""Samples the configuration revision in force on each node."""
 
 import asyncio
 
@@ -9,17 +9,17 @@
 
 PROBE_INTERVAL_SECONDS = 0.25
 _NO_RESOURCE_KIND = "none"
-"""Kind that no resource has, so that a probe reads the revision alone."""
+"""Matches no resource, so that a probe reads only the revision."""
 
 
 class ConfigurationProbe:
-    """Writes each change of a node's revision in force into the history."""
+    """Records every change of a node's configuration revision in the history."""
 
     def __init__(self, cluster: SimulatedCluster, history: History) -> None:
-        """Have seen nothing yet."""
+        """Create a probe for all nodes of a cluster."""
         self._cluster = cluster
         self._history = history
-        self._seen: dict[tuple[NodeId, BootId], Revision] = {}
+        self._last_revisions: dict[tuple[NodeId, BootId], Revision] = {}
 
     async def run(self) -> None:
         """Probe all nodes until cancelled."""
@@ -32,10 +32,10 @@
     def _probe(self, node_id: NodeId, run: NodeRun) -> None:
         revision = run.node.resources(_NO_RESOURCE_KIND, None).revision
         boot_id = run.process.boot_id
-        if revision == self._seen.get((node_id, boot_id), Revision(0)):
-            # Revision 0 stands for a node that has no configuration yet and serves nothing.
+        if revision == self._last_revisions.get((node_id, boot_id), Revision(0)):
+            # Revision 0: the node has not loaded a configuration yet.
             return
-        self._seen[(node_id, boot_id)] = revision
+        self._last_revisions[(node_id, boot_id)] = revision
         self._history.add(
             ConfigurationInForce(
                 time_seconds=asyncio.get_running_loop().time(),
--- a/drumbay/simulation/deployment.py
+++ b/drumbay/simulation/deployment.py
@@ -22,8 +22,8 @@
 PEER_PORT = 7000
 HTTP_PORT = 8000
 BACKEND_PORT = 9000
-SEED_COUNT = 3
-"""Nodes that others join through."""
+SEED_NODE_COUNT = 3
+"""Number of seed nodes for joining the cluster."""
 
 _POOL_LABEL = "pool"
 _LIVE_PRIORITY = 10
@@ -59,7 +59,7 @@
 
 
 def plan_deployment(scenario: Scenario) -> Deployment:
-    """Give every node and worker of a scenario a name, an address and a zone."""
+    """Assign a name, an address and a zone to every node and worker of a scenario."""
     nodes = []
     for zone_number, zone in enumerate(scenario.zones):
         for index in range(zone.nodes):
@@ -91,9 +91,9 @@
 
 
 def node_settings(deployment: Deployment, plan: NodePlan, data_folder: str | None) -> NodeSettings:
-    """Return the settings with which a node is started."""
+    """Return the settings of a node."""
     seeds = tuple(
-        f"{node.address.host}:{node.address.port}" for node in deployment.nodes[:SEED_COUNT]
+        f"{node.address.host}:{node.address.port}" for node in deployment.nodes[:SEED_NODE_COUNT]
     )
     return NodeSettings(
         node_id=plan.node_id,
@@ -112,10 +112,10 @@
 
 
 def initial_resources(scenario: Scenario, deployment: Deployment) -> tuple[AnyResource, ...]:
-    """Return the operators' resources of a deployment."""
+    """Return the configuration resources that operators apply at the start."""
     resources: list[AnyResource] = []
     for pool in scenario.pools:
-        resources.append(_group(pool, deployment))
+        resources.append(_backend_group(pool, deployment))
         resources += _routes(pool)
     for trainer in scenario.trainers:
         pools = [pool for pool in scenario.pools if pool.model == trainer.model]
@@ -136,7 +136,7 @@
     return Selector(match_labels={_POOL_LABEL: pool.name})
 
 
-def _group(pool: PoolSection, deployment: Deployment) -> BackendGroup:
+def _backend_group(pool: PoolSection, deployment: Deployment) -> BackendGroup:
     backends = tuple(
         Backend(id=worker.backend_id, url=worker.base_url, zone=worker.location.zone)
         for worker in deployment.workers
@@ -185,16 +185,16 @@
 
 
 def fault_targets(scenario: Scenario, deployment: Deployment) -> FaultTargets:
-    """Return what faults can strike in a deployment."""
+    """Return the possible targets of faults in a deployment."""
     return FaultTargets(
         hosts=tuple(node.node_id for node in deployment.nodes),
         hosts_with_disk=tuple(node.node_id for node in deployment.nodes if node.has_disk),
         zones=tuple(zone.name for zone in scenario.zones),
         regions=tuple(dict.fromkeys(zone.region for zone in scenario.zones)),
-        engines=_workers_of(deployment, PoolKind.ENGINE),
-        applications=_workers_of(deployment, PoolKind.APPLICATION),
+        engines=_backend_ids(deployment, PoolKind.ENGINE),
+        applications=_backend_ids(deployment, PoolKind.APPLICATION),
     )
 
 
-def _workers_of(deployment: Deployment, kind: PoolKind) -> tuple[str, ...]:
+def _backend_ids(deployment: Deployment, kind: PoolKind) -> tuple[str, ...]:
     return tuple(worker.backend_id for worker in deployment.workers if worker.pool.kind is kind)
--- a/drumbay/simulation/disturbances.py
+++ b/drumbay/simulation/disturbances.py
@@ -1,4 +1,4 @@
-"""Which nodes a fault disturbs, for the promises that hold on undisturbed nodes only."""
+"""Records which nodes a fault affects, for promises that exclude disturbed nodes."""
 
 import asyncio
 
@@ -19,16 +19,16 @@
 
 
 class DisturbanceRecorder:
-    """Writes the beginnings and ends of faults into the history and the trace."""
+    """Records the start and end of each fault in the history and the trace."""
 
     def __init__(self, deployment: Deployment, history: History, trace: Trace) -> None:
-        """Record for these nodes."""
+        """Create a recorder for the nodes of a deployment."""
         self._deployment = deployment
         self._history = history
         self._trace = trace
 
     def record(self, fault: AnyFault, began: bool) -> None:
-        """Note that a fault begins or has ended."""
+        """Record that a fault began (``began``) or ended."""
         self._trace.record("fault", type(fault).__name__, began)
         now = asyncio.get_running_loop().time()
         if isinstance(fault, DisturbKeyValue) and fault.condition is KeyValueCondition.OUTAGE:
@@ -56,11 +56,13 @@
     def _nodes_at_ends(self, cut: Cut) -> tuple[NodeId, ...]:
         ends = (cut.source, cut.target)
         return tuple(
-            plan.node_id for plan in self._deployment.nodes if _name_within(plan, cut.scope) in ends
+            plan.node_id
+            for plan in self._deployment.nodes
+            if _name_in_scope(plan, cut.scope) in ends
         )
 
 
-def _name_within(plan: NodePlan, scope: Scope) -> str:
+def _name_in_scope(plan: NodePlan, scope: Scope) -> str:
     match scope:
         case Scope.HOST:
             return plan.node_id
--- a/drumbay/simulation/event_log.py
+++ b/drumbay/simulation/event_log.py
@@ -1,4 +1,4 @@
-"""Log of the simulated processes: virtual times, and the process that wrote each line."""
+"""Log output of simulated processes, with virtual time and process id."""
 
 import asyncio
 from pathlib import Path
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from loguru import Record
 
-OUTSIDE = "outside"
-"""Stands for the process of lines that no simulated process wrote."""
+NO_PROCESS = "outside"
+"""Logged as ``process`` for lines written outside any simulated process."""
 
 
 def log_to_file(file: Path) -> None:
-    """Write the events of all simulated processes to a file, one key=value line each.
+    """Write the log events of all simulated processes to a file as key=value lines.
 
-    ``time`` is in virtual seconds; ``process`` is the boot id of the run that wrote the line.
+    ``time`` is in virtual seconds; ``process`` is the boot id of the process that wrote the line.
     """
     logger.add(file, level="DEBUG", format=_format_record, colorize=False, mode="w")
 
@@ -29,7 +29,7 @@
     return render_record(
         record,
         time=f"{_virtual_seconds():.3f}",
-        process=OUTSIDE if process is None else process.boot_id,
+        process=NO_PROCESS if process is None else process.boot_id,
     )
 
 
@@ -37,5 +37,5 @@
     try:
         return asyncio.get_running_loop().time()
     except RuntimeError:
-        # Written before the simulation's loop runs, or after its end.
+        # Logged while no event loop runs: before the simulation or after it.
         return 0.0
--- a/drumbay/simulation/exceptions.py
+++ b/drumbay/simulation/exceptions.py
@@ -1,16 +1,16 @@
-"""Failures of a simulation itself, as opposed to those it injects."""
+"""Errors of the simulation itself, as opposed to injected failures."""
 
 from drumbay.exceptions import DrumbayError
 
 
 class SimulationError(DrumbayError):
-    """A simulation could not be carried on."""
+    """The simulation cannot continue."""
 
     code = "simulation"
 
 
-class SimulationWedgedError(SimulationError):
-    """No task can ever run again: nothing is ready and no timer is set."""
+class SimulationDeadlockError(SimulationError):
+    """Deadlock: no task is ready and no timer is set."""
 
     code = "simulation_wedged"
 
--- a/drumbay/simulation/fault_injector.py
+++ b/drumbay/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out a plan of faults on whatever runs: hosts, network, services, back ends."""
+"""Injects the faults of a plan into hosts, network, services and back ends."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,50 +28,50 @@
 
 
 class FaultEnvironment(Protocol):
-    """What a fault injector acts on.
+    """System under test, as the fault injector controls it.
 
-    Each method takes the state that shall hold now. Overlapping faults are resolved by the
-    injector, so that the environment sees each state change once.
+    Each method sets the new state. The injector merges overlapping faults, so that the
+    environment sees each state change once.
     """
 
     async def kill_host(self, host: str) -> None:
-        """End the process of a host; no effect without one."""
+        """Kill the process of a host; no effect if none runs."""
         ...
 
     async def start_host(self, host: str) -> None:
-        """Start a new process on a host that has none."""
+        """Start a process on a host; no effect if one runs already."""
         ...
 
     def freeze_host(self, host: str) -> None:
-        """Stop the process of a host; no effect without a process."""
+        """Suspend the process of a host; no effect if none runs."""
         ...
 
-    def wake_host(self, host: str) -> None:
-        """Continue the process of a host; no effect without a process."""
+    def resume_host(self, host: str) -> None:
+        """Resume the process of a host; no effect if none runs."""
         ...
 
     def cut(self, cut: Cut, *, both_ways: bool) -> None:
-        """Cut a path."""
+        """Apply a cut."""
         ...
 
     def heal(self, cut: Cut, *, both_ways: bool) -> None:
-        """Undo one cut of a path."""
+        """Undo one earlier :meth:`cut`."""
         ...
 
     def degrade_network(self, faults: tuple[DegradeNetwork, ...]) -> None:
-        """Put these degradations in force, and no others."""
+        """Replace the active network degradations."""
         ...
 
     def disturb_key_value(self, conditions: tuple[KeyValueCondition, ...]) -> None:
-        """Put the key-value service into these conditions, and no others."""
+        """Replace the active conditions of the key-value service."""
         ...
 
     def compact_key_value(self) -> None:
-        """Make the key-value service drop its history."""
+        """Compact the history of the key-value service."""
         ...
 
     def crash_backend(self, backend: str) -> None:
-        """End the process of a back end."""
+        """Kill the process of a back end."""
         ...
 
     def restart_backend(self, backend: str) -> None:
@@ -79,36 +79,36 @@
         ...
 
     def fail_swaps(self, backend: str, count: int, *, acknowledged: bool) -> None:
-        """Let the next weight swaps of an engine fail; none any more if ``count`` is 0."""
+        """Make the next ``count`` weight swaps of an engine fail; 0 ends the fault."""
         ...
 
     def disturb_answers(self, backend: str, kind: BackendFaultKind, count: int) -> None:
-        """Let the next answers of a back end be disturbed; none any more if ``count`` is 0."""
+        """Corrupt or delay the next ``count`` responses of a back end; 0 ends the fault."""
         ...
 
     def set_machine_list_lag(self, lag_seconds: float | None) -> None:
-        """Set how late the machine list shows changes; ``None`` for the usual lag."""
+        """Set the propagation lag of the machine list; ``None`` restores the default."""
         ...
 
     def jump_clock(self, host: str, seconds: float) -> None:
-        """Move the wall clock of a host."""
+        """Shift the wall clock of a host."""
         ...
 
     def set_disk_full(self, host: str, *, full: bool) -> None:
-        """Let the disk of a host refuse writes, or take them again."""
+        """Make the disk of a host reject writes, or accept them again."""
         ...
 
     def set_disk_busy(self, host: str, commit_seconds: float) -> None:
-        """Let each write to a host's disk take this long at least; 0 for the usual time."""
+        """Set the minimum commit time of a host's disk; 0 restores the default."""
         ...
 
     def lose_disk(self, host: str) -> None:
-        """Empty the disk of a host."""
+        """Erase the disk of a host."""
         ...
 
 
 class FaultInjector:
-    """Carries out a plan in virtual time."""
+    """Runs a fault plan in virtual time."""
 
     def __init__(
         self,
@@ -119,9 +119,9 @@
         """Create an injector.
 
         Args:
-            plan: What to inject.
-            environment: What to act on.
-            on_change: Told of each fault that begins (true) or has ended (false).
+            plan: Faults to inject.
+            environment: System to inject them into.
+            on_change: Called when a fault begins (true) and when it has ended (false).
         """
         self._plan = plan
         self._environment = environment
@@ -130,25 +130,25 @@
 
     @property
     def active(self) -> tuple[AnyFault, ...]:
-        """Return the faults in force, in order of their beginning."""
+        """Return the active faults in the order in which they began."""
         return tuple(self._active)
 
     async def run(self) -> None:
-        """Carry out the whole plan and return when all faults have ended."""
+        """Run the whole plan and return when all faults have ended."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         tasks = []
         for fault in self._plan.faults:
             await asyncio.sleep(started_at + fault.at_seconds - loop.time())
-            tasks.append(loop.create_task(self._carry_out(fault)))
+            tasks.append(loop.create_task(self._inject(fault)))
         await asyncio.gather(*tasks)
 
-    async def _carry_out(self, fault: AnyFault) -> None:
+    async def _inject(self, fault: AnyFault) -> None:
         self._on_change(fault, True)
         self._active.append(fault)
         await self._begin(fault)
         await asyncio.sleep(fault.duration_seconds)
-        # NOTE: a fault that comes twice is two equal records; either may be removed.
+        # A repeated fault is an equal record; which of the two is removed does not matter.
         self._active.remove(fault)
         await self._end(fault)
         self._on_change(fault, False)
@@ -215,7 +215,7 @@
                     await environment.start_host(fault.host)
             case FreezeHost():
                 if not self._is_frozen(fault.host):
-                    environment.wake_host(fault.host)
+                    environment.resume_host(fault.host)
             case FillDisk():
                 environment.set_disk_full(fault.host, full=self._is_full(fault.host))
 
@@ -241,13 +241,13 @@
                     environment.set_disk_busy(host, self._commit_seconds(host))
 
     def _commit_seconds(self, host: str) -> float:
-        """Return what a write to a host's disk takes by the faults in force; 0 without any."""
-        busy = [
+        """Return the longest commit time set by active faults on a host's disk, else 0."""
+        commit_times = [
             fault.commit_seconds
             for fault in self._active
             if isinstance(fault, SlowDisks) and host in fault.hosts
         ]
-        return max(busy, default=0.0)
+        return max(commit_times, default=0.0)
 
     def _is_down(self, host: str) -> bool:
         return any(
--- a/drumbay/simulation/fault_plan.py
+++ b/drumbay/simulation/fault_plan.py
@@ -1,4 +1,4 @@
-"""Draws a plan of faults from a seed: alone, together, and twice."""
+"""Draws random fault plans: single, concurrent and repeated faults."""
 
 from collections.abc import Callable
 from random import Random
@@ -6,7 +6,7 @@
 import msgspec
 
 from drumbay.simulation.faults import (
-    USUAL_KINDS,
+    DEFAULT_KINDS,
     AnyFault,
     CompactKeyValue,
     CrashBackend,
@@ -29,20 +29,20 @@
 from drumbay.simulation.network import Cut, Scope
 from drumbay.standins.faults import FaultKind as BackendFaultKind
 
-TOGETHER_PROBABILITY = 0.3
-"""Share of arrivals at which several faults begin at nearly the same time."""
+CONCURRENT_PROBABILITY = 0.3
+"""Probability that further faults begin within :data:`CONCURRENT_SPREAD_SECONDS`."""
 
-TWICE_PROBABILITY = 0.2
-"""Share of arrivals at which one fault comes again, during or shortly after the first."""
+REPEAT_PROBABILITY = 0.2
+"""Probability that a fault is repeated during or shortly after the first one."""
 
-MOST_TOGETHER = 3
-TOGETHER_SPREAD_SECONDS = 2.0
-TWICE_SPREAD = 1.5
-"""The second fault begins within this many durations of the first."""
+MAX_CONCURRENT_FAULTS = 3
+CONCURRENT_SPREAD_SECONDS = 2.0
+REPEAT_SPREAD_DURATIONS = 1.5
+"""Window for the start of the repetition, in durations of the first fault."""
 
 
 class FaultTargets(msgspec.Struct, frozen=True, kw_only=True):
-    """What faults can strike, by name, in a fixed order."""
+    """Names of possible fault targets, in a fixed order."""
 
     hosts: tuple[str, ...]
     hosts_with_disk: tuple[str, ...] = ()
@@ -52,26 +52,24 @@
     applications: tuple[str, ...] = ()
 
 
-LONGEST_COMMIT_SECONDS = 4.0
-"""Twice what a small write took at the 99th percentile beside writers that fill the page cache."""
+MAX_COMMIT_SECONDS = 4.0
 
 
 class FaultSchedule(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How often and how long faults strike.
+    """Frequency and duration of faults.
 
     Attributes:
         kinds: Kinds that are drawn.
         mean_interval_seconds: Mean time between arrivals.
-        first_seconds: Time without faults at the start.
-        quiet_seconds: Time without faults at the end.
-        longest_freeze_seconds: Longest freeze; longer than every lease.
-        longest_outage_seconds: Longest outage of the key-value service and of cuts.
-        disk_repair_seconds: Least time between disk losses of different hosts. What a
-            majority of replicas has stored is gone with a majority of the disks, so the
-            lost copy must be made anew before the next disk may go.
+        first_seconds: Fault-free time at the start.
+        quiet_seconds: Fault-free time at the end.
+        longest_freeze_seconds: Longest freeze; should exceed every lease.
+        longest_outage_seconds: Longest key-value outage or network cut.
+        disk_repair_seconds: Minimum time between disk losses of different hosts, so that
+            replicas are restored before a majority of the disks is lost.
     """
 
-    kinds: tuple[FaultKind, ...] = USUAL_KINDS
+    kinds: tuple[FaultKind, ...] = DEFAULT_KINDS
     mean_interval_seconds: float = 30.0
     first_seconds: float = 30.0
     quiet_seconds: float = 120.0
@@ -83,22 +81,22 @@
 def draw_fault_plan(
     random: Random, targets: FaultTargets, schedule: FaultSchedule, run_seconds: float
 ) -> FaultPlan:
-    """Draw the faults of one run; all have ended before its quiet time."""
-    drawer = _FaultDrawer(random, targets, schedule)
+    """Draw the faults of one run; all end before the fault-free time at its end."""
+    sampler = _FaultSampler(random, targets, schedule)
     latest = run_seconds - schedule.quiet_seconds
     faults: list[AnyFault] = []
-    kinds = drawer.possible_kinds()
+    kinds = sampler.possible_kinds()
     now = schedule.first_seconds
     while kinds and now < latest:
-        faults += drawer.draw_arrival(kinds, now)
+        faults += sampler.draw_arrival(kinds, now)
         now += random.expovariate(1.0 / schedule.mean_interval_seconds)
-    timely = [_end_by(fault, latest) for fault in faults if fault.at_seconds < latest]
-    timely.sort(key=lambda fault: fault.at_seconds)
-    return FaultPlan(faults=_spare_disks(timely, schedule.disk_repair_seconds))
+    truncated = [_truncate(fault, latest) for fault in faults if fault.at_seconds < latest]
+    truncated.sort(key=lambda fault: fault.at_seconds)
+    return FaultPlan(faults=_limit_disk_losses(truncated, schedule.disk_repair_seconds))
 
 
-def _spare_disks(faults: list[AnyFault], repair_seconds: float) -> tuple[AnyFault, ...]:
-    """Leave out disk losses that follow too soon on that of another host."""
+def _limit_disk_losses(faults: list[AnyFault], repair_seconds: float) -> tuple[AnyFault, ...]:
+    """Drop disk losses that follow the loss of another host's disk too closely."""
     kept: list[AnyFault] = []
     last: LoseDisk | None = None
     for fault in faults:
@@ -112,13 +110,13 @@
     return tuple(kept)
 
 
-def _end_by(fault: AnyFault, latest: float) -> AnyFault:
+def _truncate(fault: AnyFault, latest: float) -> AnyFault:
     duration = min(fault.duration_seconds, latest - fault.at_seconds)
     return msgspec.structs.replace(fault, duration_seconds=duration)
 
 
-class _FaultDrawer:
-    """Draws single faults and groups of them."""
+class _FaultSampler:
+    """Draws single faults and groups of faults."""
 
     def __init__(self, random: Random, targets: FaultTargets, schedule: FaultSchedule) -> None:
         self._random = random
@@ -142,9 +140,9 @@
         }
 
     def possible_kinds(self) -> tuple[FaultKind, ...]:
-        """Return the kinds asked for that have something to strike."""
+        """Return the scheduled kinds that have at least one target."""
         targets = self._targets
-        needs = {
+        required_targets = {
             FaultKind.KILL: targets.hosts,
             FaultKind.FREEZE: targets.hosts,
             FaultKind.CLOCK: targets.hosts,
@@ -156,21 +154,23 @@
             FaultKind.APPLICATION_CRASH: targets.applications,
             FaultKind.ANSWERS: targets.engines + targets.applications,
         }
-        return tuple(kind for kind in self._schedule.kinds if needs.get(kind, ("always",)))
+        return tuple(
+            kind for kind in self._schedule.kinds if required_targets.get(kind, ("always",))
+        )
 
     def draw_arrival(self, kinds: tuple[FaultKind, ...], at: float) -> list[AnyFault]:
-        """Draw one fault, several together, or one twice."""
+        """Draw a single fault, several concurrent ones, or a repeated one."""
         first = self._draw(kinds, at)
         draw = self._random.random()
-        if draw < TOGETHER_PROBABILITY:
-            others = self._random.randint(1, MOST_TOGETHER - 1)
-            spread = TOGETHER_SPREAD_SECONDS
-            later = [at + self._random.uniform(0.0, spread) for _ in range(others)]
-            return [first, *(self._draw(kinds, time) for time in later)]
-        if draw < TOGETHER_PROBABILITY + TWICE_PROBABILITY:
-            span = max(1.0, first.duration_seconds) * TWICE_SPREAD
-            again = at + self._random.uniform(0.0, span)
-            return [first, msgspec.structs.replace(first, at_seconds=again)]
+        if draw < CONCURRENT_PROBABILITY:
+            further_count = self._random.randint(1, MAX_CONCURRENT_FAULTS - 1)
+            spread = CONCURRENT_SPREAD_SECONDS
+            start_times = [at + self._random.uniform(0.0, spread) for _ in range(further_count)]
+            return [first, *(self._draw(kinds, time) for time in start_times)]
+        if draw < CONCURRENT_PROBABILITY + REPEAT_PROBABILITY:
+            span = max(1.0, first.duration_seconds) * REPEAT_SPREAD_DURATIONS
+            repeated_at = at + self._random.uniform(0.0, span)
+            return [first, msgspec.structs.replace(first, at_seconds=repeated_at)]
         return [first]
 
     def _draw(self, kinds: tuple[FaultKind, ...], at: float) -> AnyFault:
@@ -277,5 +277,5 @@
             at_seconds=at,
             duration_seconds=self._random.uniform(5.0, 60.0),
             hosts=hosts,
-            commit_seconds=self._random.uniform(0.5, LONGEST_COMMIT_SECONDS),
+            commit_seconds=self._random.uniform(0.5, MAX_COMMIT_SECONDS),
         )
--- a/drumbay/simulation/faults.py
+++ b/drumbay/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults as typed records with times."""
+"""Records of injectable faults."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults that a scenario can ask for."""
+    """Kinds of faults that a scenario can enable."""
 
     KILL = "kill"
     FREEZE = "freeze"
@@ -27,9 +27,9 @@
     BUSY_DISKS = "busy_disks"
 
 
-USUAL_KINDS = tuple(kind for kind in FaultKind if kind is not FaultKind.BUSY_DISKS)
-"""What a scenario draws that names no kinds. Busy disks are asked for by name: the plans of the
-seeds that stand in pages and tests were drawn without them."""
+DEFAULT_KINDS = tuple(kind for kind in FaultKind if kind is not FaultKind.BUSY_DISKS)
+"""Kinds of a scenario that lists none. Excludes ``busy_disks``: including it would change the
+fault plans of existing seeds."""
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True, tag=True):
@@ -37,7 +37,7 @@
 
     Attributes:
         at_seconds: Virtual time at which it begins.
-        duration_seconds: Time until it ends; 0 for one that only happens.
+        duration_seconds: Time until it ends; 0 for an instantaneous fault.
     """
 
     at_seconds: float
@@ -45,19 +45,19 @@
 
 
 class KillHost(Fault, frozen=True, kw_only=True):
-    """A process dies at once; after the duration another starts with nothing kept."""
+    """A process is killed; a new one starts after the duration, without its memory."""
 
     host: str
 
 
 class FreezeHost(Fault, frozen=True, kw_only=True):
-    """A process stops and continues after the duration, unaware."""
+    """A process is suspended and resumes after the duration."""
 
     host: str
 
 
 class CutPath(Fault, frozen=True, kw_only=True):
-    """Messages between hosts, zones or regions are lost, one way or both ways."""
+    """Messages between hosts, zones or regions are lost, in one or both directions."""
 
     cut: Cut
     both_ways: bool
@@ -73,7 +73,7 @@
 
 
 class KeyValueCondition(StrEnum):
-    """States of the key-value service other than healthy."""
+    """Unhealthy conditions of the key-value service."""
 
     OUTAGE = "outage"
     SLOW = "slow"
@@ -84,28 +84,28 @@
 
 
 class DisturbKeyValue(Fault, frozen=True, kw_only=True):
-    """The key-value service is in another state than healthy."""
+    """The key-value service is in an unhealthy condition."""
 
     condition: KeyValueCondition
 
 
 class CompactKeyValue(Fault, frozen=True, kw_only=True):
-    """The key-value service drops its history, so that old watches cannot go on."""
+    """The key-value service compacts its history, which ends watches of old revisions."""
 
 
 class CrashBackend(Fault, frozen=True, kw_only=True):
-    """An engine or application server dies and restarts after the duration."""
+    """An engine or application server crashes and restarts after the duration."""
 
     backend: str
 
 
 class FailSwaps(Fault, frozen=True, kw_only=True):
-    """An engine's next weight swaps fail, some acknowledged as done.
+    """An engine's next weight swaps fail.
 
     Attributes:
         backend: The engine.
         count: How many swaps fail, unless the duration ends first.
-        acknowledged: Whether a failed swap is answered as done.
+        acknowledged: Whether the engine reports a failed swap as done.
     """
 
     backend: str
@@ -114,12 +114,12 @@
 
 
 class DisturbAnswers(Fault, frozen=True, kw_only=True):
-    """The next answers of a back end are crossed, cut off or late.
+    """The next responses of a back end are swapped, truncated or late.
 
     Attributes:
         backend: The back end.
-        disturbance: What happens to an answer.
-        count: How many answers it happens to, unless the duration ends first.
+        disturbance: Kind of the fault.
+        count: How many responses are affected, unless the duration ends first.
     """
 
     backend: str
@@ -128,7 +128,7 @@
 
 
 class DelayMachineList(Fault, frozen=True, kw_only=True):
-    """The list of machines shows changes later than usual."""
+    """The machine list shows changes later than usual."""
 
     lag_seconds: float
 
@@ -141,17 +141,17 @@
 
 
 class FillDisk(Fault, frozen=True, kw_only=True):
-    """A host's disk takes no more writes."""
+    """A host's disk is full and rejects writes."""
 
     host: str
 
 
 class SlowDisks(Fault, frozen=True, kw_only=True):
-    """Writes to some hosts' disks take seconds, as beside programs that fill the page cache.
+    """Writes to some hosts' disks are slow, as under contention for the page cache.
 
     Attributes:
         hosts: The hosts.
-        commit_seconds: What a write takes.
+        commit_seconds: Minimum time of a write.
     """
 
     hosts: tuple[str, ...]
@@ -159,7 +159,7 @@
 
 
 class LoseDisk(Fault, frozen=True, kw_only=True):
-    """A host loses its disk and its process; after the duration it starts anew."""
+    """A host loses its process and its disk; a new process starts after the duration."""
 
     host: str
 
@@ -183,11 +183,11 @@
 
 
 class FaultPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """All faults of one run, in order of time."""
+    """All faults of one run, ordered by start time."""
 
     faults: tuple[AnyFault, ...]
 
     def until_seconds(self) -> float:
-        """Return when the last fault has ended."""
+        """Return the virtual time at which the last fault ends."""
         ends = (fault.at_seconds + fault.duration_seconds for fault in self.faults)
         return max(ends, default=0.0)
--- a/drumbay/simulation/gateway.py
+++ b/drumbay/simulation/gateway.py
@@ -1,4 +1,4 @@
-"""How callers, operators and trainers reach simulated nodes."""
+"""Connections from callers, operators and trainers to simulated nodes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,50 +13,48 @@
 ResultT = TypeVar("ResultT")
 
 
-class SimulatableNode(NodeInterface, Protocol):
-    """A node that can be started and stopped."""
+class SimulatedNode(NodeInterface, Protocol):
+    """A node with a life cycle."""
 
     def start(self) -> None:
         """Start every service."""
         ...
 
     async def stop(self) -> None:
-        """Stop as planned: finish what is in flight, then end."""
+        """Shut down gracefully: finish requests in flight first."""
         ...
 
 
 class NodeRefusedConnectionError(UnavailableError):
-    """No process listens at the node: the request certainly did not run."""
+    """No process listens on the node; the request did not run."""
 
     code = "simulation_connection_refused"
 
 
-class ConnectionCutOffError(UnavailableError):
-    """The connection ended before the answer."""
+class ConnectionClosedError(UnavailableError):
+    """The connection closed before the response."""
 
     code = "simulation_cut_off"
 
 
-class NoAnswerError(UnavailableError):
-    """The caller gave up waiting."""
+class ResponseTimeoutError(UnavailableError):
+    """No response arrived within the caller's timeout."""
 
     code = "simulation_no_answer"
 
 
 class NodeRun:
-    """One node on one run of its host's process.
+    """A node within one process of its host.
 
     Attributes:
         host: The host.
-        process: The run.
+        process: The process.
         node: The node.
         listening: Whether callers can connect.
     """
 
-    def __init__(
-        self, host: SimulatedHost, process: SimulatedProcess, node: SimulatableNode
-    ) -> None:
-        """Note a node that does not listen yet."""
+    def __init__(self, host: SimulatedHost, process: SimulatedProcess, node: SimulatedNode) -> None:
+        """Create a record of a node that does not listen yet."""
         self.host = host
         self.process = process
         self.node = node
@@ -64,15 +62,15 @@
 
 
 class Gateway:
-    """Connections from outside to the nodes.
+    """Entry point for requests to the nodes.
 
     Attributes:
         client_latency_seconds: One-way delay between callers and nodes.
-        runs: The current run of each node; absent while its host has none.
+        runs: Running nodes by id.
     """
 
     def __init__(self, client_latency_seconds: float) -> None:
-        """Create a gateway to no node."""
+        """Create a gateway without running nodes."""
         self.client_latency_seconds = client_latency_seconds
         self.runs: dict[NodeId, NodeRun] = {}
 
@@ -82,47 +80,47 @@
         operation: Callable[[NodeRun], Awaitable[ResultT]],
         timeout_seconds: float,
     ) -> ResultT:
-        """Run an operation as the process of a node and return its result.
+        """Run an operation in the process of a node and return its result.
 
         Raises:
             NodeRefusedConnectionError: The node does not listen.
-            ConnectionCutOffError: The node's process ended the exchange.
-            NoAnswerError: The limit passed; the operation may go on.
-            DrumbayError: The operation's own failure.
+            ConnectionClosedError: The node's process ended before the response.
+            ResponseTimeoutError: The timeout expired; the operation may still complete.
+            DrumbayError: The operation failed.
         """
         await asyncio.sleep(self.client_latency_seconds)
         run = self.runs.get(node_id)
         if run is None or not run.listening or not run.process.alive:
             raise NodeRefusedConnectionError(f"{node_id} does not listen")
-        answer: asyncio.Future[ResultT] = asyncio.get_running_loop().create_future()
-        run.process.deliver(lambda: _begin(run, operation, answer))
+        response: asyncio.Future[ResultT] = asyncio.get_running_loop().create_future()
+        run.process.deliver(lambda: _start_operation(run, operation, response))
         try:
-            result = await asyncio.wait_for(answer, timeout_seconds)
+            result = await asyncio.wait_for(response, timeout_seconds)
         except TimeoutError as error:
-            raise NoAnswerError(f"no answer from {node_id}") from error
+            raise ResponseTimeoutError(f"no answer from {node_id}") from error
         await asyncio.sleep(self.client_latency_seconds)
         return result
 
 
-def _begin(
+def _start_operation(
     run: NodeRun,
     operation: Callable[[NodeRun], Awaitable[ResultT]],
-    answer: "asyncio.Future[ResultT]",
+    response: "asyncio.Future[ResultT]",
 ) -> None:
-    async def operate() -> ResultT:
+    async def run_operation() -> ResultT:
         return await operation(run)
 
-    task = run.process.spawn(operate(), "caller's request")
-    task.add_done_callback(lambda done: _finish(done, answer))
+    task = run.process.spawn(run_operation(), "caller's request")
+    task.add_done_callback(lambda done: _set_response(done, response))
 
 
-def _finish(task: "asyncio.Task[ResultT]", answer: "asyncio.Future[ResultT]") -> None:
+def _set_response(task: "asyncio.Task[ResultT]", response: "asyncio.Future[ResultT]") -> None:
     error = None if task.cancelled() else task.exception()
-    if answer.done():
+    if response.done():
         return
     if task.cancelled():
-        answer.set_exception(ConnectionCutOffError("the connection was closed"))
+        response.set_exception(ConnectionClosedError("the connection was closed"))
     elif error is not None:
-        answer.set_exception(error)
+        response.set_exception(error)
     else:
-        answer.set_result(task.result())
+        response.set_result(task.result())
--- a/drumbay/simulation/history.py
+++ b/drumbay/simulation/history.py
@@ -1,7 +1,7 @@
-"""Typed records of what happened in a run, as seen from outside drumbay.
+"""Typed records of a run as observed from outside the nodes.
 
-Callers, back ends, trainers and the fault injector write these records; drumbay's own
-claims appear only as the answers that callers and trainers got. All times are seconds on
+Callers, back ends, trainers and the fault injector write these records; the nodes' own view
+appears only in the responses that callers and trainers received. All times are seconds on
 one clock: virtual time in a simulation, the observer's monotonic clock otherwise.
 """
 
@@ -24,30 +24,30 @@
 
 
 class HistoryEvent(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Base class of the records of a history."""
+    """Base class of history records."""
 
     time_seconds: float
 
 
 class RequestOutcome(StrEnum):
-    """What a caller learned about one invocation."""
+    """Outcome of an invocation as known to the caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
-    """Refused, with the claim that it did not run."""
+    """Refused with the assurance that it did not run."""
     MAY_HAVE_RUN = "may_have_run"
     CUT_OFF = "cut_off"
-    """The connection ended without an answer."""
+    """The connection closed without a response."""
 
 
 class RequestInvoked(HistoryEvent, frozen=True, kw_only=True):
     """A caller sent a request.
 
     Attributes:
-        invocation_id: Identity of this sending.
-        operation_id: What the caller wants done; its retries carry the same one. It
-            travels in the request body, so that back ends log it too.
-        node_id: Node that the caller sent it to.
+        invocation_id: Identity of this attempt.
+        operation_id: Identity of the operation, shared by its retries. Part of the request
+            body, so that back ends log it too.
+        node_id: Node that the request was sent to.
         repeatable: Whether the operation may run more than once.
     """
 
@@ -58,12 +58,12 @@
 
 
 class RequestReturned(HistoryEvent, frozen=True, kw_only=True):
-    """A caller got the end of an invocation.
+    """An invocation ended for its caller.
 
     Attributes:
         invocation_id: The invocation.
-        outcome: What the caller learned.
-        answer: The answer as the caller got it; empty unless answered.
+        outcome: Outcome as known to the caller.
+        answer: Response that the caller received; empty unless answered.
     """
 
     invocation_id: str
@@ -72,13 +72,13 @@
 
 
 class ExecutionStarted(HistoryEvent, frozen=True, kw_only=True):
-    """A back end began to run an operation.
+    """A back end started to execute an operation.
 
     Attributes:
-        execution_id: Identity of this run in the back end's own log.
+        execution_id: Identity of the execution in the back end's log.
         backend_id: The back end.
         operation_id: The operation, from the request body.
-        invocation_id: The invocation, where the request body names it.
+        invocation_id: The invocation, if the request body names it.
     """
 
     execution_id: str
@@ -88,14 +88,14 @@
 
 
 class ExecutionFinished(HistoryEvent, frozen=True, kw_only=True):
-    """A back end finished an execution and gave this whole answer."""
+    """A back end finished an execution with this complete response."""
 
     execution_id: str
     answer: bytes
 
 
 class ExecutionAborted(HistoryEvent, frozen=True, kw_only=True):
-    """An execution ended without an answer, by the death of its back end."""
+    """An execution ended without a response because its back end crashed."""
 
     execution_id: str
 
@@ -104,12 +104,12 @@
     """An engine produced consecutive tokens of an operation.
 
     Attributes:
-        execution_id: Identity of the run in the engine's own log.
+        execution_id: Identity of the execution in the engine's log.
         operation_id: The operation, from the prompt.
         weight_version: Weights that produced the tokens.
-        first_index: Index of the first token in the whole completion.
+        first_index: Index of the first token in the completion.
         token_ids: The tokens.
-        finished: Whether the completion ends with the last of them.
+        finished: Whether the completion ends with the last of these tokens.
     """
 
     execution_id: str
@@ -121,7 +121,7 @@
 
 
 class VersionSpan(msgspec.Struct, frozen=True, kw_only=True):
-    """Consecutive tokens of a sample and the weights that they are said to come from."""
+    """Consecutive tokens of a sample with the weight version reported for them."""
 
     weight_version: WeightVersion
     first_index: int
@@ -129,14 +129,14 @@
 
 
 class CompletionReturned(HistoryEvent, frozen=True, kw_only=True):
-    """A caller got a completion that it was told is whole."""
+    """A caller received a completion that was reported as complete."""
 
     invocation_id: str
     spans: tuple[VersionSpan, ...]
 
 
 class StepRequested(HistoryEvent, frozen=True, kw_only=True):
-    """A trainer asked for the samples of one step."""
+    """A trainer requested the samples of one step."""
 
     stream: StreamName
     step: int
@@ -144,14 +144,14 @@
 
 
 class SampleConsumed(HistoryEvent, frozen=True, kw_only=True):
-    """A trainer trained on a sample, from the trainer's own log.
+    """A trainer trained on a sample, as recorded in the trainer's log.
 
     Attributes:
         stream: Sample stream of the trainer.
         sample_id: The sample.
         operation_id: The operation named in the prompt, as engines log it.
-        trainer_version: Weights the trainer had at that moment.
-        spans: The tokens with the versions that the sample names.
+        trainer_version: Weight version of the trainer at that time.
+        spans: The tokens with the versions reported for them.
     """
 
     stream: StreamName
@@ -168,20 +168,20 @@
 
 
 class BackendReturned(HistoryEvent, frozen=True, kw_only=True):
-    """A back end that was leaving may get work again."""
+    """A leaving back end is available for work again."""
 
     backend_id: BackendId
 
 
 class BackendStopped(HistoryEvent, frozen=True, kw_only=True):
-    """A back end's process ended; ``planned`` if it was asked to leave first."""
+    """A back end's process ended; ``planned`` if it was announced as leaving first."""
 
     backend_id: BackendId
     planned: bool
 
 
 class PlannedStopStarted(HistoryEvent, frozen=True, kw_only=True):
-    """A node was asked to stop."""
+    """A graceful shutdown of a node began."""
 
     node_id: NodeId
 
@@ -194,13 +194,13 @@
 
 
 class NodeDisturbed(HistoryEvent, frozen=True, kw_only=True):
-    """From now on a node is down, frozen or cut off.
+    """A node is down, frozen or cut off from now on.
 
     Attributes:
         node_id: The node.
-        planned: Whether it ended as asked.
-        cut_off: Whether only paths to it are cut: its process runs.
-        disk_lost: Whether its disk was emptied.
+        planned: Whether it is down because of a graceful shutdown.
+        cut_off: Whether only network paths are cut, while its process runs.
+        disk_lost: Whether its disk was erased.
     """
 
     node_id: NodeId
@@ -210,24 +210,24 @@
 
 
 class NodeRestored(HistoryEvent, frozen=True, kw_only=True):
-    """A disturbance of a node has ended; ``cut_off`` as of its beginning."""
+    """A disturbance of a node ended; ``cut_off`` as in its :class:`NodeDisturbed`."""
 
     node_id: NodeId
     cut_off: bool = False
 
 
 class KeyValueOutage(HistoryEvent, frozen=True, kw_only=True):
-    """An outage of the key-value service began, or has ended."""
+    """An outage of the key-value service began or ended."""
 
     began: bool
 
 
 class ReplicaSetCommitted(HistoryEvent, frozen=True, kw_only=True):
-    """The key-value service took a new set of the configuration's replicas.
+    """The key-value service committed a new set of configuration replicas.
 
     Attributes:
-        members: Nodes of which a majority stores a change before it is in force.
-        previous: Nodes of which a majority is needed too while the set changes.
+        members: Nodes of which a majority must store a change before it is in force.
+        previous: Old members, whose majority is required too during a reconfiguration.
     """
 
     members: tuple[NodeId, ...]
@@ -235,7 +235,7 @@
 
 
 class ConfigurationInForce(HistoryEvent, frozen=True, kw_only=True):
-    """A node began to act on a revision of the configuration."""
+    """A node applied a configuration revision."""
 
     node_id: NodeId
     boot_id: BootId
@@ -243,7 +243,7 @@
 
 
 class ConfigurationAccepted(HistoryEvent, frozen=True, kw_only=True):
-    """An operator was told that a change is accepted, as this revision."""
+    """An operator's change was acknowledged with this revision."""
 
     revision: Revision
 
@@ -257,15 +257,15 @@
 
 
 class RegisterOperation(HistoryEvent, frozen=True, kw_only=True):
-    """One operation on a configuration key, recorded when its end is known.
+    """One operation on a configuration key, recorded when its outcome is known.
 
     ``time_seconds`` is the time of the invocation.
 
     Attributes:
         key: The key.
-        kind: What was done.
-        returned_seconds: When the outcome was known; ``None`` if it never was, so that
-            the operation may take effect at any later time or never.
+        kind: Kind of the operation.
+        returned_seconds: Time at which the outcome was known; ``None`` if it never was, so
+            that the operation may take effect at any later time or never.
         value: Value read or written; ``None`` for an absent key.
         expected: Value that a compare-and-set requires.
         succeeded: Whether a compare-and-set took effect.
@@ -280,11 +280,11 @@
 
 
 class OrderAccepted(HistoryEvent, frozen=True, kw_only=True):
-    """An engine accepted a fenced order, from the engine's own log.
+    """An engine accepted a fenced order, as recorded in the engine's log.
 
     Attributes:
         backend_id: The engine.
-        boot_id: Run of the engine's process.
+        boot_id: Boot of the engine's process.
         fence: Fence of the order.
     """
 
@@ -334,10 +334,10 @@
 
 
 class History:
-    """The records of one run, in the order in which they were written."""
+    """The records of one run, grouped by type."""
 
     def __init__(self, events: Iterable[AnyHistoryEvent] = ()) -> None:
-        """Create a history with these records."""
+        """Create a history of ``events``."""
         self._events: dict[type[HistoryEvent], list[HistoryEvent]] = {}
         for event in events:
             self.add(event)
@@ -347,12 +347,12 @@
         self._events.setdefault(type(event), []).append(event)
 
     def of(self, event_type: type[EventT]) -> tuple[EventT, ...]:
-        """Return the records of one type, in order of time."""
+        """Return the records of one type, ordered by time."""
         events = [event for event in self._events.get(event_type, ()) if type(event) is event_type]
         return tuple(sorted(events, key=lambda event: event.time_seconds))
 
     def between(self, start_seconds: float, end_seconds: float) -> tuple[HistoryEvent, ...]:
-        """Return all records of a span of time, in order of time."""
+        """Return all records of a time span, ends included, ordered by time."""
         inside = [
             event for event in self._all() if start_seconds <= event.time_seconds <= end_seconds
         ]
@@ -367,13 +367,13 @@
             yield from events
 
     def to_json_lines(self) -> bytes:
-        """Return the records as JSON, one a line, for other tools and later runs."""
+        """Return the records as JSON lines."""
         encoder = msgspec.json.Encoder()
         return encoder.encode_lines(list(self.between(float("-inf"), float("inf"))))
 
     @classmethod
     def from_json_lines(cls, data: bytes) -> "History":
-        """Read what :meth:`to_json_lines` wrote.
+        """Decode the output of :meth:`to_json_lines`.
 
         Raises:
             msgspec.ValidationError: A line is not a history record.
--- a/drumbay/simulation/host.py
+++ b/drumbay/simulation/host.py
@@ -27,14 +27,14 @@
 
 
 class Location(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a host stands."""
+    """Zone and region of a host."""
 
     zone: str
     region: str
 
 
 class WallClockOffset:
-    """The error of a machine's wall clock; it outlives the processes of the machine."""
+    """Offset of a machine's wall clock; persists across process restarts."""
 
     def __init__(self, offset_seconds: float = 0.0, drift: float = 0.0) -> None:
         """Create an offset that grows by ``drift`` seconds in each second."""
@@ -42,7 +42,7 @@
         self._drift = drift
 
     def jump(self, seconds: float) -> None:
-        """Move the wall clock by ``seconds``."""
+        """Shift the wall clock by ``seconds``."""
         self._offset_seconds += seconds
 
     def wall(self, virtual_seconds: float) -> float:
@@ -55,12 +55,12 @@
     """The clock of one simulated process; implements :class:`drumbay.clock.Clock`."""
 
     def __init__(self, process: SimulatedProcess, offset: WallClockOffset) -> None:
-        """Create the clock of ``process`` on a machine with this wall-clock error."""
+        """Create the clock of ``process`` on a machine with this wall-clock offset."""
         self._process = process
         self._offset = offset
 
     def monotonic(self) -> float:
-        """Return virtual time in seconds; it goes on while the process is frozen."""
+        """Return virtual time in seconds; it advances while the process is frozen."""
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
@@ -69,50 +69,50 @@
 
     async def sleep(self, seconds: float) -> None:
         """Suspend the calling task for ``seconds``, longer if the process is frozen."""
-        self._process.require_alive()
-        elapsed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        timer = self._process.schedule(seconds, lambda: _resolve(elapsed))
+        self._process.raise_if_killed()
+        timer_done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        timer = self._process.schedule(seconds, lambda: _set_done(timer_done))
         try:
-            await elapsed
+            await timer_done
         finally:
             timer.cancel()
 
     async def wait_for(self, awaitable: Awaitable[ResultT], timeout_seconds: float) -> ResultT:
-        """Await with a time limit, which is noticed late if the process is frozen.
+        """Await with a timeout; a frozen process handles its expiry only on resuming.
 
         Raises:
-            DeadlineExceededError: The limit passed first.
+            DeadlineExceededError: The timeout expired first.
         """
-        work = asyncio.ensure_future(awaitable)
+        task = asyncio.ensure_future(awaitable)
         if not self._process.alive:
-            work.cancel()
-        self._process.require_alive()
+            task.cancel()
+        self._process.raise_if_killed()
         finished: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        work.add_done_callback(lambda _work: _resolve(finished))
-        timer = self._process.schedule(timeout_seconds, lambda: _resolve(finished))
+        task.add_done_callback(lambda _work: _set_done(finished))
+        timer = self._process.schedule(timeout_seconds, lambda: _set_done(finished))
         try:
             await finished
         except asyncio.CancelledError:
-            await _cancel_and_wait(work)
+            await _cancel_and_wait(task)
             raise
         finally:
             timer.cancel()
-        expired = not work.done()
+        expired = not task.done()
         if expired:
-            await _cancel_and_wait(work)
-        if expired and work.cancelled():
+            await _cancel_and_wait(task)
+        if expired and task.cancelled():
             raise DeadlineExceededError(f"no result within {timeout_seconds:.3f} s")
-        return work.result()
+        return task.result()
 
 
-def _resolve(future: "asyncio.Future[None]") -> None:
+def _set_done(future: "asyncio.Future[None]") -> None:
     if not future.done():
         future.set_result(None)
 
 
-async def _cancel_and_wait(work: "asyncio.Future[ResultT]") -> None:
-    work.cancel()
-    await asyncio.gather(work, return_exceptions=True)
+async def _cancel_and_wait(task: "asyncio.Future[ResultT]") -> None:
+    task.cancel()
+    await asyncio.gather(task, return_exceptions=True)
 
 
 class SimulatedHost:
@@ -123,8 +123,8 @@
         address: Where its process is reached.
         location: Zone and region of the machine.
         data_folder: Folder for bulk data; ``None`` on a machine without disk.
-        disk: Content of the machine's disk, which outlives processes; ``None`` without one.
-        wall_clock: Error of the machine's wall clock.
+        disk: Contents of the machine's disk, kept across restarts; ``None`` without a disk.
+        wall_clock: Offset of the machine's wall clock.
     """
 
     def __init__(
@@ -144,7 +144,7 @@
         self.data_folder = data_folder
         self.disk = disk
         self.wall_clock = wall_clock if wall_clock is not None else WallClockOffset()
-        self._boots = 0
+        self._boot_count = 0
         self._process: SimulatedProcess | None = None
 
     @property
@@ -157,22 +157,22 @@
         """Return the running process.
 
         Raises:
-            HostNotRunningError: There is none.
+            HostNotRunningError: No process runs.
         """
         if self._process is None or not self._process.alive:
             raise HostNotRunningError(f"host {self.name} runs no process")
         return self._process
 
     def start(self) -> SimulatedProcess:
-        """Start a new process, which knows nothing of earlier ones.
+        """Start a new process with a new boot id.
 
         Raises:
             SimulationError: A process is running already.
         """
         if self.running:
             raise SimulationError(f"host {self.name} runs a process already")
-        self._boots += 1
-        self._process = SimulatedProcess(BootId(f"{self.name}#{self._boots}"))
+        self._boot_count += 1
+        self._process = SimulatedProcess(BootId(f"{self.name}#{self._boot_count}"))
         return self._process
 
     def clock(self) -> HostClock:
@@ -180,11 +180,11 @@
         return HostClock(self.process, self.wall_clock)
 
     def freeze(self) -> None:
-        """Stop the process, as SIGSTOP does."""
+        """Suspend the process, as SIGSTOP does."""
         self.process.freeze()
 
     def wake(self) -> None:
-        """Continue a frozen process."""
+        """Resume a frozen process, as SIGCONT does."""
         self.process.wake()
 
     async def kill(self) -> None:
--- a/drumbay/simulation/latency.py
+++ b/drumbay/simulation/latency.py
@@ -8,18 +8,18 @@
 
 
 class LatencyModel(msgspec.Struct, frozen=True, kw_only=True):
-    """One-way delays by distance, and the share of messages that fare worse.
+    """One-way delays by distance, with jitter, loss, duplication and reordering.
 
     Attributes:
         same_zone_seconds: Delay within a zone.
         same_region_seconds: Delay between zones of one region.
         between_regions_seconds: Delay between regions.
         jitter_share: Mean of the exponential jitter, as a share of the delay.
-        loss_probability: Datagrams lost; a call is sent again and arrives later.
-        duplicate_probability: Datagrams that arrive twice.
-        reorder_probability: Messages held back so that later ones overtake them.
-        reorder_delay_seconds: Most that such a message is held back.
-        retransmission_delay_seconds: Extra delay of a call whose frame was lost.
+        loss_probability: Probability that a datagram is lost or a call is retransmitted.
+        duplicate_probability: Probability that a datagram arrives twice.
+        reorder_probability: Probability that a message is delayed beyond later ones.
+        reorder_delay_seconds: Maximum of this extra delay.
+        retransmission_delay_seconds: Extra delay of a retransmitted call.
     """
 
     same_zone_seconds: float = 0.0002
@@ -41,7 +41,7 @@
         return self.same_zone_seconds
 
     def draw_seconds(self, random: Random, source: Location, target: Location) -> float:
-        """Return the delay of one message."""
+        """Draw the delay of one message."""
         delay = self.base_seconds(source, target)
         delay += delay * self.jitter_share * random.expovariate(1.0)
         if random.random() < self.reorder_probability:
@@ -56,7 +56,7 @@
         duplicate_probability: float,
         reorder_probability: float,
     ) -> "LatencyModel":
-        """Return this model with longer delays and worse chances."""
+        """Return this model with longer delays and at least these probabilities."""
         return msgspec.structs.replace(
             self,
             same_zone_seconds=self.same_zone_seconds * delay_factor,
--- a/drumbay/simulation/load.py
+++ b/drumbay/simulation/load.py
@@ -1,4 +1,4 @@
-"""When callers act: Poisson arrivals with bursts."""
+"""Arrival times of the load: a Poisson process with bursts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,16 +8,16 @@
 
 
 class BurstClock:
-    """Tells whether a burst is on; bursts come at random times."""
+    """Bursts of load at random times."""
 
     def __init__(self, random: Random, load: LoadSection) -> None:
-        """Draw the first burst."""
+        """Draw the start of the first burst."""
         self._random = random
         self._load = load
         self._starts_at = self._draw_gap()
 
     def factor(self, now: float) -> float:
-        """Return the factor on the usual rates at a time; times must not decrease."""
+        """Return the rate factor at a time; times must not decrease."""
         while now >= self._starts_at + self._load.burst_seconds:
             self._starts_at += self._load.burst_seconds + self._draw_gap()
         return self._load.burst_factor if now >= self._starts_at else 1.0
@@ -31,9 +31,9 @@
     rate_per_second: float,
     bursts: BurstClock,
     until_seconds: float,
-    act: Callable[[int], Awaitable[None]],
+    on_arrival: Callable[[int], Awaitable[None]],
 ) -> None:
-    """Start ``act(number)`` at random times and return when all have ended."""
+    """Start ``on_arrival(number)`` at random times and return when all have finished."""
     if rate_per_second <= 0:
         return
     loop = asyncio.get_running_loop()
@@ -44,6 +44,6 @@
         await asyncio.sleep(random.expovariate(rate))
         if loop.time() >= until_seconds:
             break
-        tasks.append(asyncio.ensure_future(act(number)))
+        tasks.append(asyncio.ensure_future(on_arrival(number)))
         number += 1
     await asyncio.gather(*tasks)
--- a/drumbay/simulation/machine_list.py
+++ b/drumbay/simulation/machine_list.py
@@ -1,4 +1,4 @@
-"""The platform's machine list as simulated nodes read it, with a lag that can change."""
+"""Simulated machine list of the platform, with a configurable propagation lag."""
 
 import asyncio
 
@@ -10,24 +10,24 @@
 
 
 class SimulatedMachineList:
-    """States of back ends' machines over time.
+    """Machine states of the back ends over time.
 
     Attributes:
-        lag_seconds: How late a change that is made now becomes visible.
+        lag_seconds: Time until a new change becomes visible.
     """
 
     def __init__(self, backends: tuple[BackendId, ...]) -> None:
-        """Create a list on which all back ends' machines are live."""
+        """Create a list of live machines, one per back end."""
         self.lag_seconds = DEFAULT_LAG_SECONDS
         self._changes: dict[BackendId, list[tuple[float, MachineState]]] = {
             backend: [(float("-inf"), MachineState.LIVE)] for backend in backends
         }
 
     def set_state(self, backend: BackendId, state: MachineState) -> float:
-        """Change the state of a machine; it becomes visible after the present lag.
+        """Change the state of a machine; readers see it after the current lag.
 
         Returns:
-            Virtual time at which readers see it.
+            Virtual time at which the change becomes visible.
         """
         changes = self._changes[backend]
         now = asyncio.get_running_loop().time()
@@ -36,7 +36,7 @@
         return visible_at
 
     def visible(self) -> tuple[MachineRecord, ...]:
-        """Return what readers see now."""
+        """Return the currently visible states."""
         now = asyncio.get_running_loop().time()
         records = []
         for backend, changes in self._changes.items():
@@ -45,8 +45,8 @@
         return tuple(records)
 
 
-class GatedMachineListClient:
-    """The machine list as one process sees it."""
+class ProcessMachineListClient:
+    """The machine list accessed from one simulated process."""
 
     def __init__(self, process: SimulatedProcess, machine_list: SimulatedMachineList) -> None:
         """Give ``process`` access to the list."""
@@ -55,7 +55,7 @@
 
     async def read(self) -> tuple[MachineRecord, ...]:
         """Return the machines."""
-        return await self._process.call_out(self._read())
+        return await self._process.await_external(self._read())
 
     async def _read(self) -> tuple[MachineRecord, ...]:
         return self._machine_list.visible()
--- a/drumbay/simulation/network.py
+++ b/drumbay/simulation/network.py
@@ -1,4 +1,4 @@
-"""A simulated network between hosts, with delays, losses and cuts."""
+"""Simulated network between hosts with delays, message loss and partitions."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class Scope(StrEnum):
-    """What the ends of a cut name."""
+    """Kind of the end points that a cut names."""
 
     HOST = "host"
     ZONE = "zone"
@@ -27,14 +27,14 @@
 
 
 class Cut(msgspec.Struct, frozen=True, kw_only=True):
-    """Messages from ``source`` do not reach ``target``; the other direction may work."""
+    """One-way partition: messages from ``source`` do not reach ``target``."""
 
     scope: Scope
     source: str
     target: str
 
     def reversed(self) -> "Cut":
-        """Return the cut of the other direction."""
+        """Return the cut in the opposite direction."""
         return Cut(scope=self.scope, source=self.target, target=self.source)
 
 
@@ -42,13 +42,13 @@
     """Carries frames between the transports of simulated hosts.
 
     Attributes:
-        latency: Delays in force; may be replaced while the simulation runs.
-        random: Source of all chance in the network.
+        latency: Current delays; may be replaced while the simulation runs.
+        random: Source of randomness.
         trace: Where sent and delivered frames are recorded.
     """
 
     def __init__(self, random: Random, latency: LatencyModel, trace: Trace) -> None:
-        """Create a network without hosts and cuts."""
+        """Create a network without hosts or cuts."""
         self.random = random
         self.latency = latency
         self.trace = trace
@@ -59,14 +59,14 @@
 
     @property
     def bytes_sent(self) -> int:
-        """Return the encoded bytes that all hosts have sent."""
+        """Return the encoded bytes sent by all hosts."""
         return self._bytes_sent
 
     def add_host(self, host: SimulatedHost) -> None:
-        """Connect a machine.
+        """Add a machine.
 
         Raises:
-            SimulationError: The address is taken.
+            SimulationError: The address is already in use.
         """
         if host.address in self._hosts:
             raise SimulationError(f"address {host.address} is taken")
@@ -76,14 +76,14 @@
         """Return the machine at an address.
 
         Raises:
-            SimulationError: There is none.
+            SimulationError: No machine has this address.
         """
         if address not in self._hosts:
             raise SimulationError(f"no host at {address}")
         return self._hosts[address]
 
     def attach(self, transport: "SimulatedTransport") -> None:
-        """Let a process receive; it takes the place of the host's earlier process."""
+        """Register the transport of a process; replaces that of the host's previous process."""
         self._transports[transport.address] = transport
 
     def transport_at(self, address: Address) -> "SimulatedTransport | None":
@@ -94,13 +94,13 @@
         return transport
 
     def cut(self, cut: Cut, *, both_ways: bool = False) -> None:
-        """Cut a path; cuts of one path add up and are healed one by one."""
+        """Apply a cut; equal cuts are counted and healed one by one."""
         self._cuts[cut] = self._cuts.get(cut, 0) + 1
         if both_ways:
             self.cut(cut.reversed())
 
     def heal(self, cut: Cut, *, both_ways: bool = False) -> None:
-        """Undo one :meth:`cut` of a path."""
+        """Undo one earlier :meth:`cut`."""
         remaining = self._cuts.get(cut, 0) - 1
         if remaining > 0:
             self._cuts[cut] = remaining
@@ -113,59 +113,65 @@
         """Return whether messages from ``source`` to ``target`` are dropped."""
         if not self._cuts:
             return False
-        first = self._hosts.get(source)
-        second = self._hosts.get(target)
-        if first is None or second is None:
+        source_host = self._hosts.get(source)
+        target_host = self._hosts.get(target)
+        if source_host is None or target_host is None:
             return False
         paths = (
-            (Scope.HOST, first.name, second.name),
-            (Scope.ZONE, first.location.zone, second.location.zone),
-            (Scope.REGION, first.location.region, second.location.region),
+            (Scope.HOST, source_host.name, target_host.name),
+            (Scope.ZONE, source_host.location.zone, target_host.location.zone),
+            (Scope.REGION, source_host.location.region, target_host.location.region),
         )
         return any(
-            Cut(scope=scope, source=start, target=end) in self._cuts for scope, start, end in paths
+            Cut(scope=scope, source=source_end, target=target_end) in self._cuts
+            for scope, source_end, target_end in paths
         )
 
     def draw_delay(self, source: Address, target: Address) -> float:
-        """Return the delay in seconds of one message."""
-        start = self.host_at(source).location
-        end = self.host_at(target).location
-        return self.latency.draw_seconds(self.random, start, end)
+        """Draw the delay of one message in seconds."""
+        source_end = self.host_at(source).location
+        target_end = self.host_at(target).location
+        return self.latency.draw_seconds(self.random, source_end, target_end)
 
-    def carry(
-        self, source: Address, target: Address, size: int, arrive: Callable[[], None]
+    def transmit_frame(
+        self, source: Address, target: Address, size: int, on_arrival: Callable[[], None]
     ) -> None:
-        """Carry one frame that is sent again until it arrives, as TCP does.
+        """Send one frame with retransmission on loss, as TCP does.
 
         Args:
             source: Address of the sender.
             target: Address of the receiver.
             size: Encoded bytes.
-            arrive: Called at the other end, not at all if the path is cut on arrival.
+            on_arrival: Called on arrival, unless the path is cut by then.
         """
         delay = self.draw_delay(source, target)
         if self.random.random() < self.latency.loss_probability:
             delay += self.latency.retransmission_delay_seconds
-        self._send(source, target, size, delay, arrive)
+        self._deliver_later(source, target, size, delay, on_arrival)
 
-    def carry_datagram(
-        self, source: Address, target: Address, size: int, arrive: Callable[[], None]
+    def transmit_datagram(
+        self, source: Address, target: Address, size: int, on_arrival: Callable[[], None]
     ) -> None:
-        """Carry one datagram, which may be lost or arrive twice."""
+        """Send one datagram, which may be lost or arrive twice."""
         if target not in self._hosts or self.random.random() < self.latency.loss_probability:
             self._bytes_sent += size
             return
-        self._send(source, target, size, self.draw_delay(source, target), arrive)
+        self._deliver_later(source, target, size, self.draw_delay(source, target), on_arrival)
         if self.random.random() < self.latency.duplicate_probability:
-            self._send(source, target, size, self.draw_delay(source, target), arrive)
-
-    def _send(
-        self, source: Address, target: Address, size: int, delay: float, arrive: Callable[[], None]
+            self._deliver_later(source, target, size, self.draw_delay(source, target), on_arrival)
+
+    def _deliver_later(
+        self,
+        source: Address,
+        target: Address,
+        size: int,
+        delay: float,
+        on_arrival: Callable[[], None],
     ) -> None:
         self._bytes_sent += size
 
-        def arrive_unless_cut() -> None:
+        def deliver_unless_cut() -> None:
             if not self.is_cut(source, target):
-                arrive()
+                on_arrival()
 
-        asyncio.get_running_loop().call_later(delay, arrive_unless_cut)
+        asyncio.get_running_loop().call_later(delay, deliver_unless_cut)
--- a/drumbay/simulation/observation.py
+++ b/drumbay/simulation/observation.py
@@ -1,4 +1,4 @@
-"""Turns the logs of emulated back ends and of the key-value service into history records."""
+"""Converts the logs of emulated back ends and the key-value service to history records."""
 
 from collections.abc import Iterator
 
@@ -13,6 +13,7 @@
 )
 from drumbay.identifiers import BackendId, Revision
 from drumbay.kv.interface import KeyValue
+from drumbay.simulation.concurrent_operators import AttemptedChange
 from drumbay.simulation.history import (
     ExecutionAborted,
     ExecutionFinished,
@@ -26,7 +27,6 @@
 )
 from drumbay.simulation.observed_engine import ObservedEngine
 from drumbay.simulation.platform import SimulatedPlatform
-from drumbay.simulation.racing_operators import AttemptedChange
 from drumbay.standins.application_model import ApplicationModel
 from drumbay.standins.execution_log import (
     ApplicationExecuted,
@@ -40,24 +40,24 @@
 from drumbay.standins.token_source import token_at
 
 CONFIGURATION_BACKEND = BackendId("key-value")
-"""Name under which committed changes stand in the history as executions."""
+"""Back end id under which committed changes are recorded as executions."""
 
 
-def write_platform_logs(
+def add_platform_logs(
     history: History, platform: SimulatedPlatform, changes: list[AttemptedChange]
 ) -> None:
-    """Write everything that the platform's logs show into the history."""
+    """Add the contents of all platform logs to the history."""
     for engine in platform.engines.values():
-        _write_engine(history, engine)
+        _add_engine(history, engine)
     for application in platform.applications.values():
-        _write_application(history, application)
+        _add_application(history, application)
     commits = _read_commits(platform)
-    _write_commits(history, commits)
-    _write_register_operations(history, commits, changes)
-    _write_replica_sets(history, platform)
+    _add_commits(history, commits)
+    _add_register_operations(history, commits, changes)
+    _add_replica_sets(history, platform)
 
 
-def _write_engine(history: History, engine: ObservedEngine) -> None:
+def _add_engine(history: History, engine: ObservedEngine) -> None:
     for record in engine.log.records():
         match record:
             case GenerationAccepted():
@@ -70,7 +70,7 @@
                     )
                 )
             case GenerationEnded():
-                _write_generation(history, engine, record)
+                _add_generation(history, engine, record)
             case OrderHandled() if record.outcome is not OrderOutcome.STALE_FENCE:
                 history.add(
                     OrderAccepted(
@@ -84,7 +84,7 @@
                 continue
 
 
-def _write_generation(history: History, engine: ObservedEngine, ended: GenerationEnded) -> None:
+def _add_generation(history: History, engine: ObservedEngine, ended: GenerationEnded) -> None:
     request = engine.requests[ended.attempt_id]
     finished = ended.outcome is GenerationOutcome.FINISHED
     for number, span in enumerate(ended.spans, start=1):
@@ -104,8 +104,8 @@
                 finished=finished and number == len(ended.spans),
             )
         )
-    # NOTE: nobody waits for an attempt whose stream was closed before, say by the death of
-    # the node that read it.
+    # A crash counts as an abort only if the reader had not closed the stream before, for
+    # example because its node was killed.
     closed_at = engine.closed_at_seconds.get(ended.attempt_id, ended.time_seconds)
     if ended.outcome is GenerationOutcome.CRASHED and closed_at >= ended.time_seconds:
         history.add(
@@ -118,7 +118,7 @@
         )
 
 
-def _write_application(history: History, application: ApplicationModel) -> None:
+def _add_application(history: History, application: ApplicationModel) -> None:
     for number, record in enumerate(application.log.records()):
         if not isinstance(record, ApplicationExecuted):
             continue
@@ -141,7 +141,7 @@
 
 
 class _Commit(msgspec.Struct, frozen=True, kw_only=True):
-    """One committed change of a resource, from the key-value service's log."""
+    """One committed resource change in the key-value service's log."""
 
     time_seconds: float
     key: str
@@ -150,7 +150,7 @@
 
 
 def _written_keys(platform: SimulatedPlatform) -> Iterator[tuple[LoggedChange, KeyValue]]:
-    """Yield every key that was written, with the committed change that wrote it."""
+    """Yield every write with the committed change it belongs to."""
     for entry in platform.key_value.log:
         if isinstance(entry, LoggedChange):
             for event in entry.events:
@@ -175,7 +175,7 @@
     return commits
 
 
-def _write_replica_sets(history: History, platform: SimulatedPlatform) -> None:
+def _add_replica_sets(history: History, platform: SimulatedPlatform) -> None:
     for change, item in _written_keys(platform):
         if item.key == REPLICA_SET_KEY:
             committed = msgspec.msgpack.decode(item.value, type=ReplicaSet)
@@ -192,7 +192,7 @@
     return key.startswith(RESOURCE_PREFIX) and key != REPLICA_SET_KEY
 
 
-def _write_commits(history: History, commits: list[_Commit]) -> None:
+def _add_commits(history: History, commits: list[_Commit]) -> None:
     for commit in commits:
         execution_id = f"{CONFIGURATION_BACKEND}#{commit.revision}"
         history.add(
@@ -212,12 +212,12 @@
         )
 
 
-def _write_register_operations(
+def _add_register_operations(
     history: History, commits: list[_Commit], changes: list[AttemptedChange]
 ) -> None:
-    """Write compare-and-swaps, and one read of each key's last value.
+    """Add the attempted compare-and-sets, and the first write and a final read of each key.
 
-    The value of a key is the identity of the operation that wrote it.
+    The id of the writing operation stands for the value of a key.
     """
     writers = {(commit.key, commit.revision): commit.operation_id for commit in commits}
     for change in changes:
@@ -232,10 +232,10 @@
                 expected=writers.get((key, change.expected_revision)),
             )
         )
-    _write_first_and_last_values(history, commits)
+    _add_first_and_last_values(history, commits)
 
 
-def _write_first_and_last_values(history: History, commits: list[_Commit]) -> None:
+def _add_first_and_last_values(history: History, commits: list[_Commit]) -> None:
     end = history.end_seconds()
     first: dict[str, _Commit] = {}
     last: dict[str, _Commit] = {}
--- a/drumbay/simulation/observed_engine.py
+++ b/drumbay/simulation/observed_engine.py
@@ -1,4 +1,4 @@
-"""An emulated engine that also keeps the requests it got, to read its log by."""
+"""An emulated engine that records its requests, which its log refers to by attempt."""
 
 from collections.abc import AsyncGenerator
 from contextlib import aclosing
@@ -10,20 +10,20 @@
 
 
 class ObservedEngine(EngineModel):
-    """An engine model whose requests are kept for the history.
+    """An engine model that records requests for the history.
 
     Attributes:
-        requests: Every request that reached the engine, by attempt.
-        active: Streams that are open now.
-        closed_at_seconds: When the stream of an attempt was closed, by either side.
+        requests: Received requests by attempt.
+        active: Number of open streams.
+        closed_at_seconds: Time at which either side closed the stream, by attempt.
     """
 
     requests: dict[AttemptId, GenerationRequest]
     active: int
     closed_at_seconds: dict[AttemptId, float]
 
-    def keep_requests(self) -> None:
-        """Start to keep requests; call it before the first one."""
+    def start_recording(self) -> None:
+        """Initialize the recording; must be called before the first request."""
         self.requests = {}
         self.active = 0
         self.closed_at_seconds = {}
--- a/drumbay/simulation/outside_clock.py
+++ b/drumbay/simulation/outside_clock.py
@@ -1,4 +1,4 @@
-"""The clock of everything that is no simulated process: platform, back ends and callers."""
+"""Clock of everything outside the simulated processes: platform, back ends and callers."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -16,14 +16,14 @@
 
 
 class OutsideClock:
-    """Virtual time without skew, freezes and kills; implements :class:`drumbay.clock.Clock`."""
+    """Virtual time, unaffected by skew, freezes and kills; a :class:`drumbay.clock.Clock`."""
 
     def monotonic(self) -> float:
         """Return virtual time in seconds."""
         return virtual_now()
 
     def wall(self) -> float:
-        """Return the true wall clock in seconds since the Unix epoch."""
+        """Return the wall clock without skew, in seconds since the Unix epoch."""
         return SIMULATION_EPOCH_SECONDS + self.monotonic()
 
     async def sleep(self, seconds: float) -> None:
@@ -31,10 +31,10 @@
         await asyncio.sleep(seconds)
 
     async def wait_for(self, awaitable: Awaitable[ResultT], timeout_seconds: float) -> ResultT:
-        """Await with a time limit.
+        """Await with a timeout.
 
         Raises:
-            DeadlineExceededError: The limit passed first.
+            DeadlineExceededError: The timeout expired first.
         """
         try:
             return await asyncio.wait_for(awaitable, timeout_seconds)
--- a/drumbay/simulation/platform.py
+++ b/drumbay/simulation/platform.py
@@ -19,7 +19,7 @@
 KEY_VALUE_LATENCY_SECONDS = 0.001
 KEY_VALUE_RATE_PER_SECOND = 200.0
 KEY_VALUE_BURST = 200
-_SLOW_SECONDS = 0.7
+_SLOW_LATENCY_SECONDS = 0.7
 _LIMITED_RATE_PER_SECOND = 3.0
 _LIMITED_BURST = 3
 _LOST_ANSWER_PROBABILITY = 0.5
@@ -31,7 +31,7 @@
     """Key-value service, machine list, weight store, engines and application servers.
 
     Attributes:
-        clock: Time of all of them.
+        clock: Clock of all services.
         key_value: The key-value service.
         machine_list: The list of machines.
         weight_store: The store of weight versions.
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, deployment: Deployment, random: Random) -> None:
-        """Start everything, healthy."""
+        """Start all services in a healthy state."""
         self.clock = OutsideClock()
         self.key_value = KeyValueModel(
             self.clock, generator=Random(random.getrandbits(64)), log_renewals=False
@@ -73,7 +73,7 @@
             random,
             weight_source=self.weight_store,
         )
-        engine.keep_requests()
+        engine.start_recording()
         self.engines[plan.base_url] = engine
         self._workers[plan.backend_id] = engine
 
@@ -82,44 +82,44 @@
             self.weight_store.publish(model, FIRST_VERSION)
 
     def worker(self, backend: str) -> Worker:
-        """Return a back end by name."""
+        """Return a back end by id."""
         return self._workers[BackendId(backend)]
 
     def in_flight(self, backend: str) -> int:
-        """Return how many requests a back end has, running or queued."""
+        """Return the number of running and queued requests of a back end."""
         worker = self.worker(backend)
         if isinstance(worker, ObservedEngine):
             return worker.active
         return worker.running + worker.waiting
 
     def disturb_key_value(self, conditions: tuple[KeyValueCondition, ...]) -> None:
-        """Put the key-value service into these conditions, and no others."""
+        """Replace the active conditions of the key-value service."""
         self.key_value.set_faults(key_value_faults(conditions))
 
     def compact_key_value(self) -> None:
-        """Drop the history of the key-value service up to now."""
+        """Compact the history of the key-value service up to the current revision."""
         self.key_value.compact(self.key_value.revision)
 
     def fail_swaps(self, backend: str, count: int, *, acknowledged: bool) -> None:
-        """Let the next weight swaps of an engine fail; none any more if ``count`` is 0."""
+        """Make the next ``count`` weight swaps of an engine fail; 0 ends the fault."""
         kind = FaultKind.SWAP_FAILS_ACKNOWLEDGED if acknowledged else FaultKind.SWAP_FAILS
         self.disturb_answers(backend, kind, count)
 
     def disturb_answers(self, backend: str, kind: FaultKind, count: int) -> None:
-        """Let the next answers of a back end be disturbed; none any more if ``count`` is 0."""
+        """Corrupt or delay the next ``count`` responses of a back end; 0 ends the fault."""
         command = FaultCommand(fault=kind, armed=count > 0, count=count)
         self.worker(backend).faults.apply(command)
 
     async def close(self) -> None:
-        """End all back ends."""
+        """Stop all back ends."""
         for worker in self._workers.values():
             await worker.close()
 
 
 def key_value_faults(conditions: tuple[KeyValueCondition, ...]) -> KeyValueFaults:
-    """Return the faults that these conditions amount to, usual latency and limit included."""
+    """Return the settings of the key-value service under these conditions."""
     slow = KeyValueCondition.SLOW in conditions
-    latency = _SLOW_SECONDS if slow else KEY_VALUE_LATENCY_SECONDS
+    latency = _SLOW_LATENCY_SECONDS if slow else KEY_VALUE_LATENCY_SECONDS
     limited = KeyValueCondition.RATE_LIMITED in conditions
     answers_lost = KeyValueCondition.ANSWERS_LOST in conditions
     return KeyValueFaults(
--- a/drumbay/simulation/process.py
+++ b/drumbay/simulation/process.py
@@ -1,8 +1,8 @@
-"""One run of a simulated operating-system process: freezing, killing and its tasks.
+"""Simulated operating-system process that can be frozen and killed.
 
-Everything that reaches a process from outside (timers, messages, answers of services)
-passes :meth:`SimulatedProcess.deliver`. A frozen process keeps these events until it
-wakes; a killed one drops them.
+All external events of a process (timers, messages, service responses) go through
+:meth:`SimulatedProcess.deliver`. A frozen process queues them until it resumes; a killed one
+drops them.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 
 ResultT = TypeVar("ResultT")
 
-SHORTEST_WAIT_SECONDS = 2e-6
-"""Above the clock resolution of the simulation loop."""
+MIN_TIMER_DELAY_SECONDS = 2e-6
+"""Must exceed the clock resolution of the simulation loop."""
 
 _current_process: ContextVar["SimulatedProcess | None"] = ContextVar(
     "current_process", default=None
@@ -27,7 +27,7 @@
     coroutine: Any,
     context: Context | None = None,
 ) -> "asyncio.Task[Any]":
-    """Task factory that records each task with the process whose code created it."""
+    """Task factory that registers each task with the process that created it."""
     task: asyncio.Task[Any] = asyncio.Task(coroutine, loop=loop, context=context)
     process = process_of(context)
     if process is not None:
@@ -36,17 +36,17 @@
 
 
 def process_of(context: Context | None) -> "SimulatedProcess | None":
-    """Return the process to which code run in ``context`` belongs."""
+    """Return the process that ``context`` belongs to."""
     if context is None:
         return _current_process.get()
     return context.get(_current_process)
 
 
 class SimulatedProcess:
-    """One run of a process from start to kill.
+    """A process from its start until it is killed.
 
     Attributes:
-        boot_id: Identity of this run.
+        boot_id: Identity of the process.
     """
 
     def __init__(self, boot_id: BootId) -> None:
@@ -54,35 +54,35 @@
         self.boot_id = boot_id
         self._alive = True
         self._frozen = False
-        self._deferred: list[Callable[[], None]] = []
-        # A dict keeps the order of creation, so that a kill cancels in the same order.
+        self._queued_callbacks: list[Callable[[], None]] = []
+        # A dict, so that a kill cancels the tasks in order of creation.
         self._tasks: dict[asyncio.Task[Any], None] = {}
 
     @property
     def alive(self) -> bool:
-        """Return whether the process has not been killed."""
+        """Return whether the process has not been killed yet."""
         return self._alive
 
     @property
     def frozen(self) -> bool:
-        """Return whether the process is stopped."""
+        """Return whether the process is suspended."""
         return self._frozen
 
     def add_task(self, task: "asyncio.Task[Any]") -> None:
-        """Record a task of this process; a kill cancels it."""
+        """Register a task, which a kill cancels."""
         self._tasks[task] = None
-        task.add_done_callback(self._forget_task)
+        task.add_done_callback(self._remove_task)
 
-    def _forget_task(self, task: "asyncio.Task[Any]") -> None:
+    def _remove_task(self, task: "asyncio.Task[Any]") -> None:
         self._tasks.pop(task, None)
 
     def spawn(self, coroutine: Coroutine[Any, Any, ResultT], name: str) -> "asyncio.Task[ResultT]":
-        """Start a task that belongs to this process, as do all tasks it starts."""
+        """Start a task of this process; tasks that it creates belong to the process too."""
         loop = asyncio.get_running_loop()
         return loop.create_task(coroutine, name=name, context=self._context())
 
     def run(self, function: Callable[[], None]) -> None:
-        """Run a synchronous function as code of this process."""
+        """Run a synchronous function in the context of this process."""
         self._context().run(function)
 
     def _context(self) -> Context:
@@ -91,27 +91,27 @@
         return context
 
     def deliver(self, callback: Callable[[], None]) -> None:
-        """Run ``callback`` now, on waking if frozen, never if killed."""
+        """Run ``callback`` now, on resuming if frozen, never if killed."""
         if not self._alive:
             return
         if self._frozen:
-            self._deferred.append(callback)
+            self._queued_callbacks.append(callback)
             return
         callback()
 
     def schedule(self, seconds: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Deliver ``callback`` after ``seconds``, rounded up to the shortest wait.
+        """Deliver ``callback`` after ``seconds``, or the minimum timer delay if that is longer.
 
-        NOTE: the loop runs timers that are due within its clock resolution without moving
-        time. A process that waits for "deadline minus now" and is woken a rounding error
-        early would then wait again and again for ever while time stands still.
+        The loop runs timers that are due within its clock resolution without advancing time.
+        Without the minimum, a process that wakes a rounding error before its deadline and
+        waits again would loop forever at the same virtual time.
         """
         loop = asyncio.get_running_loop()
-        delay_seconds = max(seconds, SHORTEST_WAIT_SECONDS) if seconds > 0 else 0.0
+        delay_seconds = max(seconds, MIN_TIMER_DELAY_SECONDS) if seconds > 0 else 0.0
         return loop.call_later(delay_seconds, self.deliver, callback)
 
-    def require_alive(self) -> None:
-        """End clean-up code of a killed process at its first use of the outside.
+    def raise_if_killed(self) -> None:
+        """Abort the clean-up code of a killed process before it has an external effect.
 
         Raises:
             asyncio.CancelledError: The process has been killed.
@@ -119,77 +119,78 @@
         if not self._alive:
             raise asyncio.CancelledError
 
-    async def call_out(self, outside: Awaitable[ResultT]) -> ResultT:
-        """Await something that runs outside the process.
+    async def await_external(self, external: Awaitable[ResultT]) -> ResultT:
+        """Await an operation that runs outside the process.
 
-        The outside runs on while the process is frozen; its outcome is seen on waking.
+        The operation continues while the process is frozen; its result is delivered on
+        resuming.
         """
-        outside_task = start_outside(outside)
+        external_task = start_external_task(external)
         if not self._alive:
-            outside_task.cancel()
-        self.require_alive()
+            external_task.cancel()
+        self.raise_if_killed()
         outcome: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-        def announce() -> None:
+        def signal_done() -> None:
             if not outcome.done():
                 outcome.set_result(None)
 
-        outside_task.add_done_callback(lambda _task: self.deliver(announce))
+        external_task.add_done_callback(lambda _task: self.deliver(signal_done))
         try:
             await outcome
         finally:
-            outside_task.cancel()
-        return outside_task.result()
+            external_task.cancel()
+        return external_task.result()
 
-    async def iterate_out(self, outside: AsyncIterator[ResultT]) -> AsyncIterator[ResultT]:
-        """Yield the items of an iterator that runs outside the process."""
+    async def iterate_external(self, external: AsyncIterator[ResultT]) -> AsyncIterator[ResultT]:
+        """Yield the items of an asynchronous iterator that runs outside the process."""
         try:
             while True:
                 try:
-                    item = await self.call_out(outside.__anext__())
+                    item = await self.await_external(external.__anext__())
                 except StopAsyncIteration:
                     return
                 yield item
         finally:
-            if isinstance(outside, AsyncGenerator):
-                start_outside(outside.aclose())
+            if isinstance(external, AsyncGenerator):
+                start_external_task(external.aclose())
 
     def freeze(self) -> None:
-        """Stop the process, as SIGSTOP does."""
+        """Suspend the process, as SIGSTOP does."""
         self._frozen = True
 
     def wake(self) -> None:
-        """Continue the process; events that came meanwhile are seen in their order."""
+        """Resume the process and deliver the queued events in order."""
         self._frozen = False
-        while self._deferred and not self._frozen and self._alive:
-            self._deferred.pop(0)()
+        while self._queued_callbacks and not self._frozen and self._alive:
+            self._queued_callbacks.pop(0)()
 
     async def kill(self) -> None:
-        """End the process, as SIGKILL does; nothing that it does afterwards has an effect."""
+        """Kill the process, as SIGKILL does; its later actions have no external effect."""
         self._alive = False
         self._frozen = False
-        self._deferred.clear()
+        self._queued_callbacks.clear()
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def start_outside(outside: Awaitable[ResultT]) -> "asyncio.Task[ResultT]":
-    """Start a task that belongs to no simulated process."""
+def start_external_task(external: Awaitable[ResultT]) -> "asyncio.Task[ResultT]":
+    """Start a task outside all simulated processes."""
 
     async def run() -> ResultT:
-        return await outside
+        return await external
 
     task = asyncio.get_running_loop().create_task(run(), context=Context())
     task.add_done_callback(_retrieve_exception)
-    if isinstance(outside, Coroutine):
-        # A task that is cancelled before its first step never awaits what it was given.
-        task.add_done_callback(lambda _task: outside.close())
+    if isinstance(external, Coroutine):
+        # Closes a coroutine that a task cancelled before its first step never awaited.
+        task.add_done_callback(lambda _task: external.close())
     return task
 
 
 def _retrieve_exception(task: "asyncio.Task[Any]") -> None:
-    """Mark an outcome as seen; the process that asked may be gone."""
+    """Mark an exception as retrieved, since the calling process may have been killed."""
     if not task.cancelled():
         task.exception()
--- a/drumbay/simulation/runner.py
+++ b/drumbay/simulation/runner.py
@@ -27,7 +27,7 @@
     SampleConsumed,
 )
 from drumbay.simulation.latency import LatencyModel
-from drumbay.simulation.observation import write_platform_logs
+from drumbay.simulation.observation import add_platform_logs
 from drumbay.simulation.scenario import NetworkSection, Scenario
 from drumbay.simulation.trace import Trace
 from drumbay.simulation.virtual_time import run_simulation
@@ -38,23 +38,23 @@
 
 
 class RunReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcome of one run.
+    """Result of one run.
 
     Attributes:
         scenario: Name of the scenario.
         seed: Seed of the run.
         digest: Digest of the trace; equal for equal seeds.
-        events: Events in the trace.
-        faults: Faults that struck.
+        events: Number of trace events.
+        faults: Number of injected faults.
         virtual_seconds: Length of the run in virtual time.
-        wall_seconds: Time that it took, checks included.
+        wall_seconds: Wall-clock time of the run, checks included.
         requests: Invocations by callers and operators.
-        answered: Invocations that were answered.
-        completions: Completions returned.
+        answered: Answered invocations.
+        completions: Returned completions.
         samples: Samples consumed by trainers.
-        idle_shares: Share of time that each trainer waited, by stream.
-        bytes_sent: Bytes that nodes sent to each other.
-        violations: Promises that the history breaks.
+        idle_shares: Share of time in which the trainer waited for samples, by stream.
+        bytes_sent: Bytes sent between nodes.
+        violations: Violations found by the checkers.
     """
 
     scenario: str
@@ -74,12 +74,12 @@
 
     @property
     def hours_per_second(self) -> float:
-        """Return the simulated hours per second of real time."""
+        """Return the simulated hours per second of wall-clock time."""
         return self.virtual_seconds / SECONDS_PER_HOUR / self.wall_seconds
 
 
 class RunResult(msgspec.Struct, frozen=True, kw_only=True):
-    """A report with the history and the plan of faults that it was made from."""
+    """The report of a run with its history and fault plan."""
 
     report: RunReport
     history: History
@@ -87,7 +87,7 @@
 
 
 class _Totals(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures that are known when the virtual time of a run has ended."""
+    """Figures taken at the end of the virtual time of a run."""
 
     digest: str
     events: int
@@ -103,14 +103,14 @@
     on_progress: Callable[[float], None] = lambda _seconds: None,
     plan: FaultPlan | None = None,
 ) -> RunResult:
-    """Run a scenario to its end and check the history.
+    """Run a scenario and check its history.
 
     Args:
-        scenario: What is run.
-        seed: Seed of all chance.
-        make_node: Makes one node.
-        on_progress: Told of the virtual seconds that have passed, now and then.
-        plan: Faults to inject; drawn from the seed if not given.
+        scenario: Scenario to run.
+        seed: Seed of all random choices.
+        make_node: Creates a node.
+        on_progress: Called periodically with the elapsed virtual seconds.
+        plan: Faults to inject; drawn from the seed by default.
     """
     started_at = time.perf_counter()
     with tempfile.TemporaryDirectory(prefix="drumbay-simulation-") as folder:
@@ -149,11 +149,11 @@
         )
 
     def _random_for(self, purpose: str) -> Random:
-        # NOTE: a string is hashed by SHA-512 here, not by the process's own hash seed.
+        # Random() seeds from a string by SHA-512, independently of PYTHONHASHSEED.
         return Random(f"{self._seed}/{purpose}")
 
     async def main(self) -> _Totals:
-        """Run to the end and write what the platform's logs show into the history."""
+        """Run the scenario and add the platform logs to the history."""
         cluster = SimulatedCluster(
             self._deployment,
             _latency_model(self._scenario.network),
@@ -167,28 +167,28 @@
             self._scenario, self._deployment, cluster, self.history, self._random_for
         )
         await cluster.start()
-        self._note_starts(cluster)
-        await self._work(cluster, workload)
+        self._record_starts(cluster)
+        await self._run_workload(cluster, workload)
         totals = self._totals(cluster, workload)
         await cluster.stop()
-        write_platform_logs(self.history, cluster.platform, workload.operators.changes)
+        add_platform_logs(self.history, cluster.platform, workload.operators.changes)
         for trainer in workload.trainers:
-            trainer.write_consumption()
+            trainer.add_consumed_samples()
         return totals
 
-    def _note_starts(self, cluster: SimulatedCluster) -> None:
+    def _record_starts(self, cluster: SimulatedCluster) -> None:
         now = asyncio.get_running_loop().time()
         for node_id, node_run in cluster.gateway.runs.items():
             boot_id = node_run.process.boot_id
             self.history.add(NodeStarted(time_seconds=now, node_id=node_id, boot_id=boot_id))
 
-    async def _work(self, cluster: SimulatedCluster, workload: Workload) -> None:
+    async def _run_workload(self, cluster: SimulatedCluster, workload: Workload) -> None:
         scenario = self._scenario
         recorder = DisturbanceRecorder(self._deployment, self.history, self._trace)
         injector = FaultInjector(self.plan, cluster, recorder.record)
         background = [
             asyncio.ensure_future(ConfigurationProbe(cluster, self.history).run()),
-            asyncio.ensure_future(self._tell_progress()),
+            asyncio.ensure_future(self._report_progress()),
             asyncio.ensure_future(injector.run()),
         ]
         await workload.set_up()
@@ -200,7 +200,7 @@
             if isinstance(result, Exception):
                 raise result
 
-    async def _tell_progress(self) -> None:
+    async def _report_progress(self) -> None:
         while True:
             self._on_progress(asyncio.get_running_loop().time())
             await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
--- a/drumbay/simulation/scenario.py
+++ b/drumbay/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: a deployment, its load and its faults, as TOML."""
+"""Scenario files in TOML: a deployment with its load and faults."""
 
 from enum import StrEnum
 from importlib import resources
@@ -23,13 +23,13 @@
 
 
 class ScenarioError(SettingsError):
-    """A scenario file is not valid; names the file, the key and what was expected."""
+    """A scenario file is not valid; names the file, the key and the expected value."""
 
     code = "invalid_scenario"
 
 
 class _Section(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of the sections: an unknown key is an error."""
+    """Base class of sections; rejects unknown keys."""
 
 
 class ZoneSection(_Section, frozen=True, kw_only=True):
@@ -39,7 +39,7 @@
         name: Name of the zone.
         region: Region of the zone.
         nodes: Drumbay nodes in the zone.
-        disks: How many of them have a data folder.
+        disks: Number of nodes with a data folder.
     """
 
     name: Name
@@ -49,19 +49,19 @@
 
 
 class PoolKind(StrEnum):
-    """What the workers of a pool are."""
+    """Kind of the workers of a pool."""
 
     ENGINE = "engine"
     APPLICATION = "application"
 
 
 class PoolSection(_Section, frozen=True, kw_only=True):
-    """Back ends of one kind, spread over the zones in turn.
+    """Back ends of one kind, assigned to the zones round robin.
 
     Attributes:
-        name: Name of the group.
-        kind: What its workers are.
-        workers: How many there are.
+        name: Name of the back end group.
+        kind: Kind of the workers.
+        workers: Number of workers.
         model: Model that engines serve; empty for applications.
     """
 
@@ -72,16 +72,16 @@
 
 
 class TrainerSection(_Section, frozen=True, kw_only=True):
-    """One trainer and the rollouts it asks for.
+    """One trainer and the rollouts it requests.
 
     Attributes:
-        stream: Its sample stream.
-        model: The model it trains.
-        samples_per_step: Samples of one step.
-        step_seconds: Time of one step once its samples are there.
-        max_tokens: Most tokens of one sample.
-        max_staleness_versions: Oldest weights of a sample, in versions behind.
-        objective: What is weighed more.
+        stream: Name of its sample stream.
+        model: Model that it trains.
+        samples_per_step: Samples per training step.
+        step_seconds: Duration of a step once its samples have arrived.
+        max_tokens: Maximum tokens of a sample.
+        max_staleness_versions: Maximum staleness of a sample, in versions.
+        objective: Objective of the rollout scheduling.
     """
 
     stream: Name
@@ -94,21 +94,21 @@
 
 
 class LoadSection(_Section, frozen=True, kw_only=True):
-    """Live traffic; all rates are of the whole deployment.
+    """Live traffic and maintenance; rates apply to the whole deployment.
 
     Attributes:
         completions_per_second: Live completion requests.
-        completion_tokens: Most tokens of one of them.
-        lookups_per_second: Application requests that may be repeated.
-        bookings_per_second: Application requests that may run at most once.
-        burst_factor: Rate within a burst over the usual one.
+        completion_tokens: Maximum tokens of a live completion.
+        lookups_per_second: Idempotent application requests.
+        bookings_per_second: At-most-once application requests.
+        burst_factor: Rate within a burst relative to the rate outside bursts.
         burst_interval_seconds: Mean time between bursts.
         burst_seconds: Length of a burst.
-        retry_probability: How often a caller without a certain answer tries another node.
-        operators: Operators who change the same resources.
+        retry_probability: Probability that a caller retries when the outcome is unknown.
+        operators: Number of operators that change the same resources.
         change_interval_seconds: Mean time between the changes of one operator.
-        stop_interval_seconds: Mean time between planned stops of nodes.
-        leave_interval_seconds: Mean time between back ends that leave for a while.
+        stop_interval_seconds: Mean time between graceful restarts of nodes.
+        leave_interval_seconds: Mean time between planned restarts of back ends.
     """
 
     completions_per_second: NonNegativeFloat = 0.0
@@ -146,15 +146,15 @@
 
     Attributes:
         name: Name of the scenario.
-        description: What it stands for.
-        duration_seconds: Virtual length of a run, quiet time at the end included.
-        zones: Where nodes and workers are.
-        pools: The back ends.
-        trainers: The trainers.
-        load: Live traffic and operators.
-        network: Delays.
-        faults: How often which faults strike.
-        limits: Bounds that the checkers use.
+        description: One-line description.
+        duration_seconds: Virtual length of a run, including the fault-free time at the end.
+        zones: Zones with their nodes.
+        pools: Pools of back ends.
+        trainers: Trainers.
+        load: Live traffic and maintenance.
+        network: Network delays.
+        faults: Kinds and frequency of faults.
+        limits: Bounds for the checkers.
     """
 
     name: Name
@@ -170,7 +170,7 @@
 
 
 def load_scenario(file: Path) -> Scenario:
-    """Read and check a scenario file.
+    """Read and validate a scenario file.
 
     Raises:
         ScenarioError: The file cannot be read, or a value is not valid.
@@ -212,7 +212,7 @@
 
 
 def shipped_scenarios() -> tuple[str, ...]:
-    """Return the names of the scenarios that come with the package."""
+    """Return the names of the scenarios shipped with the package."""
     folder = resources.files("drumbay.simulation") / "scenarios"
     names = [entry.name for entry in folder.iterdir() if entry.name.endswith(_SCENARIO_SUFFIX)]
     return tuple(sorted(name.removesuffix(_SCENARIO_SUFFIX) for name in names))
@@ -222,7 +222,7 @@
     """Return a shipped scenario by name, or one from a file.
 
     Raises:
-        ScenarioError: There is no such scenario, or it is not valid.
+        ScenarioError: The scenario does not exist or is not valid.
     """
     if name_or_file in shipped_scenarios():
         source = resources.files("drumbay.simulation") / "scenarios"
--- a/drumbay/simulation/shrink.py
+++ b/drumbay/simulation/shrink.py
@@ -1,28 +1,28 @@
-"""Makes the plan of faults of a failing run as short as it can be.
+"""Minimizes the fault plan of a failing run.
 
 Delta debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing
-Input", 2002, section 3): parts of the plan are left out as long as the same promise still
-breaks.
+Input", 2002, section 3): parts of the plan are removed as long as the same promise is still
+broken.
 """
 
 from collections.abc import Callable
 
 from drumbay.simulation.faults import AnyFault, FaultPlan
 
-Breaks = Callable[[FaultPlan], bool]
+FailurePredicate = Callable[[FaultPlan], bool]
 
 
-def shrink_plan(plan: FaultPlan, breaks: Breaks) -> FaultPlan:
-    """Return a plan that still breaks, from which no single fault can be left out.
+def shrink_plan(plan: FaultPlan, still_fails: FailurePredicate) -> FaultPlan:
+    """Return a failing plan from which no single fault can be removed.
 
     Args:
-        plan: A plan for which ``breaks`` holds.
-        breaks: Runs a plan and tells whether the promise still breaks.
+        plan: A plan for which ``still_fails`` holds.
+        still_fails: Runs a plan and returns whether the promise is still broken.
     """
     faults = plan.faults
     parts = 2
     while len(faults) > 1:
-        shorter = _first_breaking(faults, parts, breaks)
+        shorter = _first_failing_remainder(faults, parts, still_fails)
         if shorter is not None:
             faults = shorter
             parts = max(parts - 1, 2)
@@ -30,18 +30,18 @@
             parts = min(parts * 2, len(faults))
         else:
             break
-    if len(faults) == 1 and breaks(FaultPlan(faults=())):
+    if len(faults) == 1 and still_fails(FaultPlan(faults=())):
         faults = ()
     return FaultPlan(faults=faults)
 
 
-def _first_breaking(
-    faults: tuple[AnyFault, ...], parts: int, breaks: Breaks
+def _first_failing_remainder(
+    faults: tuple[AnyFault, ...], parts: int, still_fails: FailurePredicate
 ) -> tuple[AnyFault, ...] | None:
-    """Return the faults without the first part whose absence leaves the promise broken."""
+    """Return the faults without the first part whose removal leaves the promise broken."""
     size = -(-len(faults) // parts)
     for start in range(0, len(faults), size):
-        rest = faults[:start] + faults[start + size :]
-        if breaks(FaultPlan(faults=rest)):
-            return rest
+        remaining = faults[:start] + faults[start + size :]
+        if still_fails(FaultPlan(faults=remaining)):
+            return remaining
     return None
--- a/drumbay/simulation/trace.py
+++ b/drumbay/simulation/trace.py
@@ -1,4 +1,4 @@
-"""The trace of a simulation: a digest of all events and the latest ones in full."""
+"""Trace of a simulation: a digest of all events and the most recent events in full."""
 
 import asyncio
 from collections import deque
@@ -17,7 +17,7 @@
     Attributes:
         time_seconds: Virtual time.
         name: Kind of the event.
-        values: What it was about, in an order fixed by the kind.
+        values: Details, in an order fixed by the kind.
     """
 
     time_seconds: float
@@ -28,8 +28,8 @@
 class Trace:
     """Collects the events of one simulation.
 
-    Two runs with the same seed must give the same digest; a difference means that
-    something depended on more than the seed.
+    Two runs with the same seed must have the same digest; a difference reveals
+    nondeterminism.
     """
 
     def __init__(self, kept_events: int = DEFAULT_KEPT_EVENTS) -> None:
@@ -45,7 +45,7 @@
         return self._count
 
     def record(self, name: str, *values: TraceValue) -> None:
-        """Add one event at the present virtual time."""
+        """Add one event at the current virtual time."""
         event = TraceEvent(asyncio.get_running_loop().time(), name, values)
         self._hash.update(self._encoder.encode(event))
         self._recent.append(event)
@@ -56,7 +56,7 @@
         return self._hash.hexdigest()
 
     def between(self, start_seconds: float, end_seconds: float) -> tuple[TraceEvent, ...]:
-        """Return the kept events of a span of virtual time, ends included."""
+        """Return the kept events of a virtual time span, ends included."""
         return tuple(
             event for event in self._recent if start_seconds <= event.time_seconds <= end_seconds
         )
--- a/drumbay/simulation/trainers.py
+++ b/drumbay/simulation/trainers.py
@@ -1,4 +1,4 @@
-"""Trainers of a simulated deployment, and what reaches them."""
+"""Trainers of a simulated deployment and the samples they consume."""
 
 import asyncio
 from random import Random
@@ -29,29 +29,29 @@
 from drumbay.standins.weight_store_model import WeightStoreModel
 
 CALL_TIMEOUT_SECONDS = 20.0
-RETRY_PAUSE_SECONDS = 1.0
-STEPS_AHEAD = 1
-"""Steps that are submitted before the trainer needs them."""
+RETRY_DELAY_SECONDS = 1.0
+PREFETCHED_STEPS = 1
+"""Number of steps submitted ahead of the current one."""
 
 
 class PullFailedError(UnavailableError):
-    """A pull had no answer; the trainer pulls again with the same cursor."""
+    """A pull failed; the trainer retries with the same cursor."""
 
     code = "simulation_pull_failed"
 
 
 def sample_id_of(stream: StreamName, step: int, index: int) -> SampleId:
-    """Return the identity of a place in a step, whatever was generated for it."""
+    """Return the identity of a sample by its position in a step."""
     return SampleId(f"{stream}/{step}/{index}")
 
 
 def prompt_of(stream: StreamName, step: int, index: int) -> str:
-    """Return the prompt of a sample; it names the operation in engines' logs."""
+    """Return the prompt of a sample, which identifies the operation in engine logs."""
     return f"{stream}/{step}/{index} in many words"
 
 
 class SimulatedTrainer:
-    """One trainer that submits steps, pulls samples and publishes weights.
+    """A trainer that submits steps, pulls samples and publishes weights.
 
     Attributes:
         stream: The trainer's sample stream.
@@ -67,7 +67,7 @@
         node_ids: tuple[NodeId, ...],
         weight_store: WeightStoreModel,
     ) -> None:
-        """Create a trainer that has asked for nothing."""
+        """Create a trainer that has not submitted any step."""
         self._section = section
         self.stream = StreamName(section.stream)
         self._gateway = gateway
@@ -95,14 +95,14 @@
 
     @property
     def outstanding_steps(self) -> int:
-        """Return how many submitted steps are not yet trained."""
+        """Return the number of submitted steps that are not trained yet."""
         return self._submitted_steps - self.model.step
 
     async def run(self, until_seconds: float) -> None:
-        """Ask for steps and train them; ask for none after ``until_seconds``."""
+        """Submit and train steps; submit none after ``until_seconds``."""
         while True:
-            asking = virtual_now() < until_seconds
-            while asking and self.outstanding_steps <= STEPS_AHEAD:
+            may_submit = virtual_now() < until_seconds
+            while may_submit and self.outstanding_steps <= PREFETCHED_STEPS:
                 await self._submit(self._submitted_steps)
             if self.outstanding_steps == 0:
                 return
@@ -110,7 +110,7 @@
             await self._checkpoint()
 
     async def _submit(self, step: int) -> None:
-        """Submit one step to nodes in turn until one has taken it."""
+        """Submit one step to random nodes until one accepts it."""
         section = self._section
         prompts = tuple(
             RolloutPrompt(
@@ -124,7 +124,7 @@
         submission = RolloutSubmission(
             stream=section.stream, step=step, model=section.model, prompts=prompts
         )
-        self._note_request(step)
+        self._record_request(step)
         self._submitted_steps += 1
         while True:
             try:
@@ -135,9 +135,9 @@
                 )
                 return
             except DrumbayError:
-                await asyncio.sleep(RETRY_PAUSE_SECONDS)
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
 
-    def _note_request(self, step: int) -> None:
+    def _record_request(self, step: int) -> None:
         sample_ids = tuple(
             sample_id_of(self.stream, step, index)
             for index in range(self._section.samples_per_step)
@@ -157,7 +157,7 @@
         """Return samples from ``cursor`` on; implements the trainer's sample source.
 
         Raises:
-            PullFailedError: No answer could be had.
+            PullFailedError: The pull failed.
         """
         try:
             batch = await self._gateway.call(
@@ -169,16 +169,15 @@
             return PulledBatch(samples=(), next_cursor=Cursor(cursor + 1))
         except DrumbayError as error:
             raise PullFailedError(error.code) from error
-        # NOTE: the trainer consumes every sample of a pull that returned, so the two lists
-        # stay in step.
+        # The trainer consumes every sample of a returned pull, so that this list matches its log.
         self._delivered += batch.samples
-        return _pulled(batch)
+        return _to_pulled_batch(batch)
 
     async def publish(self, model: str, version: WeightVersion) -> None:
-        """Make a version available; implements the trainer's publisher.
+        """Publish and announce a version; implements the trainer's publisher.
 
         Raises:
-            DrumbayError: It was not published.
+            DrumbayError: The announcement failed.
         """
         if version not in self._weight_store.versions(model):
             self._weight_store.publish(model, version)
@@ -205,31 +204,31 @@
         return self._random.choice(self._node_ids)
 
     def idle_share(self) -> float:
-        """Return the share of time that the trainer waited for samples."""
+        """Return the share of time in which the trainer waited for samples."""
         steps = [record for record in self.model.log.records() if isinstance(record, StepFinished)]
         idle = sum(step.idle_seconds for step in steps)
         total = idle + sum(step.busy_seconds for step in steps)
         return idle / total if total > 0 else 0.0
 
-    def write_consumption(self) -> None:
-        """Write the trainer's own log of consumed samples into the history."""
+    def add_consumed_samples(self) -> None:
+        """Add the trainer's log of consumed samples to the history."""
         records = self.model.log.records()
         consumed = [record for record in records if isinstance(record, LoggedSample)]
         for record, delivered in zip(consumed, self._delivered, strict=True):
-            self._history.add(self._consumption(record, delivered))
+            self._history.add(self._consumed_record(record, delivered))
 
-    def _consumption(self, record: LoggedSample, delivered: DeliveredSample) -> SampleConsumed:
+    def _consumed_record(self, record: LoggedSample, delivered: DeliveredSample) -> SampleConsumed:
         return SampleConsumed(
             time_seconds=record.time_seconds,
             stream=self.stream,
             sample_id=sample_id_of(self.stream, delivered.step, delivered.index),
             operation_id=delivered.prompt,
             trainer_version=record.trainer_version,
-            spans=_spans(delivered),
+            spans=_version_spans(delivered),
         )
 
 
-def _pulled(batch: BatchBody) -> PulledBatch:
+def _to_pulled_batch(batch: BatchBody) -> PulledBatch:
     samples = tuple(
         PulledSample(
             sample_id=sample.sample_id,
@@ -241,7 +240,7 @@
     return PulledBatch(samples=samples, next_cursor=Cursor(batch.next_cursor))
 
 
-def _spans(delivered: DeliveredSample) -> tuple[VersionSpan, ...]:
+def _version_spans(delivered: DeliveredSample) -> tuple[VersionSpan, ...]:
     spans = []
     for span in delivered.spans:
         end = span.first_index + span.token_count
--- a/drumbay/simulation/transport.py
+++ b/drumbay/simulation/transport.py
@@ -20,7 +20,7 @@
 from drumbay.simulation.process import SimulatedProcess
 
 _ESTABLISHED_CONNECTION_PROBABILITY = 0.5
-"""How often a cut is met by an open connection, so that the caller cannot know the outcome."""
+"""Probability that a call over a cut path used an open connection: its outcome is unknown."""
 
 
 class MissingHandlerError(DrumbayError):
@@ -49,13 +49,13 @@
 
 
 class SimulatedTransport:
-    """Messages of one process over a :class:`SimulatedNetwork`.
+    """Transport of one process over a :class:`SimulatedNetwork`.
 
-    Every message is encoded and decoded as on a real network, so that a type that cannot
-    be encoded fails here too.
+    Messages are encoded and decoded as on a real network, so that types that cannot be
+    encoded fail in simulations too.
 
     Attributes:
-        process: The process whose transport this is.
+        process: Process that owns the transport.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
 
     @property
     def address(self) -> Address:
-        """Return the address at which this process is reached."""
+        """Return the address of this process."""
         return self._address
 
     def handle_calls(self, request_type: type[Message], handler: CallHandler) -> None:
@@ -86,15 +86,15 @@
         """Send a request and return the peer's reply.
 
         Raises:
-            PeerUnreachableError: The request was certainly not handled.
+            PeerUnreachableError: The request was not handled.
             ReplyLostError: The request may have been handled.
             RemoteFailureError: The peer's handler raised.
         """
-        self.process.require_alive()
+        self.process.raise_if_killed()
         frame = _Frame(request)
         outcome: asyncio.Future[_Frame] = asyncio.get_running_loop().create_future()
-        expire = self._timeout_error(peer, timeout_seconds)
-        timer = self.process.schedule(timeout_seconds, lambda: _fail(outcome, expire))
+        timeout_error = self._timeout_error(peer, timeout_seconds)
+        timer = self.process.schedule(timeout_seconds, lambda: _set_error(outcome, timeout_error))
         try:
             self._send_request(peer, frame, outcome)
             reply = (await outcome).decode()
@@ -105,7 +105,7 @@
         return reply
 
     def _timeout_error(self, peer: Address, timeout_seconds: float) -> Exception:
-        """Return what a call will raise if nothing is heard in time."""
+        """Return the error of a call that times out."""
         cut = self._network.is_cut(self._address, peer)
         if cut and self._network.random.random() > _ESTABLISHED_CONNECTION_PROBABILITY:
             return PeerUnreachableError(f"no connection to {peer.host} in {timeout_seconds:.3f} s")
@@ -119,29 +119,32 @@
             "call", self._address.host, peer.host, frame.message_type.__name__, frame.payload
         )
         if network.is_cut(self._address, peer):
-            # Nothing arrives, now or later: the connection was never made, or its frames
-            # are lost. Which one the caller believes is decided in _timeout_error.
+            # The request never arrives: either no connection was established or its frames
+            # are lost. _timeout_error decides which of the two the caller observes.
             return
         if network.transport_at(peer) is None:
             round_trip = 2 * network.draw_delay(self._address, peer)
-            refused = PeerUnreachableError(f"connection refused by {peer.host}")
-            self.process.schedule(round_trip, lambda: _fail(outcome, refused))
+            refused_error = PeerUnreachableError(f"connection refused by {peer.host}")
+            self.process.schedule(round_trip, lambda: _set_error(outcome, refused_error))
             return
 
-        def arrive() -> None:
+        def on_arrival() -> None:
             receiver = network.transport_at(peer)
             if receiver is None:
                 self.receive_reset(peer, outcome)
                 return
             receiver.process.deliver(lambda: receiver.serve(self, frame, outcome))
 
-        network.carry(self._address, peer, len(frame.payload), arrive)
+        network.transmit_frame(self._address, peer, len(frame.payload), on_arrival)
 
     def receive_reset(self, peer: Address, outcome: "asyncio.Future[_Frame]") -> None:
-        """Learn that ``peer`` closed the connection before it replied."""
-        lost = ReplyLostError(f"connection reset by {peer.host}")
-        self._network.carry(
-            peer, self._address, 0, lambda: self.process.deliver(lambda: _fail(outcome, lost))
+        """Handle a connection that ``peer`` closed before it replied."""
+        reset_error = ReplyLostError(f"connection reset by {peer.host}")
+        self._network.transmit_frame(
+            peer,
+            self._address,
+            0,
+            lambda: self.process.deliver(lambda: _set_error(outcome, reset_error)),
         )
 
     def serve(
@@ -157,15 +160,15 @@
         try:
             reply = _Frame(await self._handle(frame))
         except asyncio.CancelledError:
-            # The operating system closes the connections of a process that ends.
+            # The operating system closes the connections of an exiting process.
             caller.receive_reset(self._address, outcome)
             raise
         self._network.trace.record("reply", self._address.host, caller.address.host, reply.payload)
-        self._network.carry(
+        self._network.transmit_frame(
             self._address,
             caller.address,
             len(reply.payload),
-            lambda: caller.process.deliver(lambda: _succeed(outcome, reply)),
+            lambda: caller.process.deliver(lambda: _set_reply(outcome, reply)),
         )
 
     async def _handle(self, frame: _Frame) -> Message:
@@ -177,11 +180,11 @@
         except DrumbayError as error:
             return Failure(code=error.code, detail=str(error))
         except Exception as error:
-            # The peer must learn of any failure; this one is a defect of the handler.
+            # An unexpected error in the handler is reported to the peer as well.
             return Failure(code=DrumbayError.code, detail=f"{type(error).__name__}: {error}")
 
     def send_datagram(self, peer: Address, message: Message) -> None:
-        """Send one message without delivery guarantee; never raises for network reasons."""
+        """Send one message without delivery guarantee; network failures raise no error."""
         if not self.process.alive:
             return
         network = self._network
@@ -190,25 +193,25 @@
             "datagram", self._address.host, peer.host, frame.message_type.__name__, frame.payload
         )
 
-        def arrive() -> None:
+        def on_arrival() -> None:
             receiver = network.transport_at(peer)
             if receiver is not None:
                 receiver.process.deliver(lambda: receiver.receive_datagram(self._address, frame))
 
-        network.carry_datagram(self._address, peer, len(frame.payload), arrive)
+        network.transmit_datagram(self._address, peer, len(frame.payload), on_arrival)
 
     def receive_datagram(self, source: Address, frame: _Frame) -> None:
-        """Hand a datagram to its handler; one that nobody handles is dropped."""
+        """Pass a datagram to its handler; drop it if there is none."""
         handler = self._datagram_handlers.get(frame.message_type)
         if handler is not None:
             self.process.run(lambda: handler(source, frame.decode()))
 
 
-def _succeed(outcome: "asyncio.Future[_Frame]", reply: _Frame) -> None:
+def _set_reply(outcome: "asyncio.Future[_Frame]", reply: _Frame) -> None:
     if not outcome.done():
         outcome.set_result(reply)
 
 
-def _fail(outcome: "asyncio.Future[_Frame]", error: Exception) -> None:
+def _set_error(outcome: "asyncio.Future[_Frame]", error: Exception) -> None:
     if not outcome.done():
         outcome.set_exception(error)
