--- a/drumbay/simulation/virtual_time.py
+++ b/drumbay/simulation/virtual_time.py
@@ -1,8 +1,7 @@
 """Runs a coroutine on an event loop whose time is virtual.
 
-The loop is asyncio's own, patched by :class:`aiotools.VirtualClock`: when nothing is
-ready, time jumps to the next timer. The order of events then depends only on the code
-and on the seeds passed to it.
+The loop is asyncio's own, patched by :class:`aiotools.VirtualClock`: when no task is ready,
+time advances to the next timer. The order of events depends only on the code and its seeds.
 """
 
 import asyncio
@@ -14,20 +13,20 @@
 
 from aiotools import VirtualClock
 
-from drumbay.simulation.exceptions import RealInputOutputError, SimulationWedgedError
+from drumbay.simulation.exceptions import RealInputOutputError, SimulationDeadlockError
 from drumbay.simulation.process import create_task_of_current_process
 
 ResultT = TypeVar("ResultT")
 ArgumentTs = TypeVarTuple("ArgumentTs")
 
 CLOCK_RESOLUTION_SECONDS = 1e-6
-"""Timers due within this span fire together; far below every simulated latency."""
+"""Timers due within this span fire together; must be below every simulated latency."""
 
 _LOOP_OWN_REGISTRATIONS = 1
 
 
-class _ClosedSelector(selectors.SelectSelector):
-    """A selector that admits the loop's own wake-up pipe and nothing else."""
+class _LoopOnlySelector(selectors.SelectSelector):
+    """A selector that accepts only the loop's own wake-up pipe."""
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         """Register the loop's wake-up pipe.
@@ -46,22 +45,22 @@
     _clock_resolution: float
 
     def __init__(self) -> None:
-        """Create the loop; tasks are recorded with the simulated process they belong to."""
-        super().__init__(_ClosedSelector())
+        """Create a loop that registers each task with its simulated process."""
+        super().__init__(_LoopOnlySelector())
         self.set_task_factory(create_task_of_current_process)
 
     def use_fine_clock_resolution(self) -> None:
-        """Make timers fire at their own time.
+        """Set the clock resolution to :data:`CLOCK_RESOLUTION_SECONDS`.
 
-        NOTE: ``patch_loop`` sets one millisecond. Two processes half a millisecond apart
-        would then exchange messages for ever without time passing.
+        ``patch_loop`` sets one millisecond, which would let two processes with a lower
+        latency exchange messages forever without time advancing.
         """
         self._clock_resolution = CLOCK_RESOLUTION_SECONDS
 
     def run_in_executor(
         self, executor: Executor | None, func: Callable[[*ArgumentTs], ResultT], *args: *ArgumentTs
     ) -> "asyncio.Future[ResultT]":
-        """Refuse threads: their timing is not virtual.
+        """Reject threads, whose timing is not virtual.
 
         Raises:
             RealInputOutputError: Always.
@@ -69,14 +68,14 @@
         raise RealInputOutputError("simulated code used a thread")
 
 
-class _WedgeDetectingClock(VirtualClock):
-    """A virtual clock that reports a loop which would wait for ever."""
+class _DeadlockDetectingClock(VirtualClock):
+    """A virtual clock that raises an error if the loop would wait forever."""
 
     def _virtual_select(self, orig_select: Callable[..., Any], timeout: float | None) -> Any:
         if timeout is None:
-            raise SimulationWedgedError(f"no timer and nothing ready at {self.vtime:.6f} s")
+            raise SimulationDeadlockError(f"no timer and nothing ready at {self.vtime:.6f} s")
         self.vtime += timeout
-        # No file descriptor is registered, so the system call is left out.
+        # The system call is skipped: no external file descriptor is registered.
         return []
 
 
@@ -88,13 +87,13 @@
 
 
 def run_simulation(main: Callable[[], Awaitable[ResultT]]) -> ResultT:
-    """Run ``main()`` to its end in virtual time that starts at 0 and return its result.
+    """Run ``main()`` in virtual time starting at 0 and return its result.
 
     Args:
         main: Called inside the running loop.
 
     Raises:
-        SimulationWedgedError: The simulation can make no progress.
+        SimulationDeadlockError: The simulation can make no progress.
         RealInputOutputError: Simulated code used a real socket or thread.
     """
 
@@ -102,7 +101,7 @@
         return await main()
 
     with ExitStack() as stack, asyncio.Runner(loop_factory=SimulationLoop) as runner:
-        # NOTE: the patch outlives main(), so that tasks cancelled at the end which still
-        # sleep in their clean-up do so in virtual time too.
-        runner.run(_enter_virtual_time(stack, _WedgeDetectingClock()))
+        # The patch stays active after main(), so that the clean-up of cancelled tasks runs in
+        # virtual time too.
+        runner.run(_enter_virtual_time(stack, _DeadlockDetectingClock()))
         return runner.run(run_main())
--- a/tests/simulated_runs.py
+++ b/tests/simulated_runs.py
@@ -1,4 +1,4 @@
-"""A small deployment for tests that run the whole system in virtual time."""
+"""A small scenario for tests that run whole nodes in virtual time."""
 
 from drumbay.resources.schema import RolloutObjective
 from drumbay.simulation.fault_plan import FaultSchedule
@@ -31,7 +31,7 @@
         max_tokens=128,
         objective=RolloutObjective.STALENESS,
     )
-    usual_load = LoadSection(
+    default_load = LoadSection(
         completions_per_second=0.3,
         lookups_per_second=1.0,
         bookings_per_second=1.0,
@@ -49,7 +49,7 @@
             PoolSection(name="balie-app", kind=PoolKind.APPLICATION, workers=3),
         ),
         trainers=(trainer,) if with_trainer else (),
-        load=load or usual_load,
+        load=load or default_load,
         faults=FaultSchedule(
             kinds=kinds,
             mean_interval_seconds=8.0,
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -1,4 +1,4 @@
-"""Every checker accepts a good history and reports a bad one."""
+"""Each checker accepts valid histories and reports violations."""
 
 import itertools
 import unittest
@@ -116,7 +116,7 @@
     )
 
 
-def asked(at: float, step: int, *names: str) -> StepRequested:
+def requested(at: float, step: int, *names: str) -> StepRequested:
     sample_ids = tuple(SampleId(name) for name in names)
     return StepRequested(time_seconds=at, stream=STREAM, step=step, sample_ids=sample_ids)
 
@@ -209,19 +209,19 @@
 
     def test_sample_versions(self) -> None:
         log = (produced(1, span(1, 0, 10, 11)), produced(2, span(2, 2, 12), last=True))
-        step = asked(0, 0, "s0")
+        step = requested(0, 0, "s0")
         self.assert_good(step, *log, consumed(3, span(1, 0, 10, 11), span(2, 2, 12)))
         self.assert_bad(Promise.SAMPLE_VERSIONS, step, *log, consumed(3, span(2, 0, 10, 11, 12)))
         self.assert_bad(Promise.SAMPLE_VERSIONS, step, *log, consumed(3, span(1, 0, 10, 11)))
 
     def test_staleness_counts_at_consumption(self) -> None:
-        log = (asked(0, 0, "s0"), produced(1, span(1, 0, 10), last=True))
+        log = (requested(0, 0, "s0"), produced(1, span(1, 0, 10), last=True))
         self.assert_good(*log, consumed(3, span(1, 0, 10), trainer=2))
         self.assert_bad(Promise.STALENESS, *log, consumed(9, span(1, 0, 10), trainer=3))
 
     def test_exactly_once(self) -> None:
         tokens = span(2, 0, 10)
-        log = (produced(0, tokens, last=True), asked(0, 0, "s0", "s1"))
+        log = (produced(0, tokens, last=True), requested(0, 0, "s0", "s1"))
         first, second = consumed(1, tokens, name="s0"), consumed(1, tokens, name="s1")
         self.assert_good(*log, first, second)
         self.assert_bad(Promise.EXACTLY_ONCE, *log, first, second, consumed(2, tokens, name="s0"))
@@ -229,12 +229,12 @@
         self.assert_bad(Promise.EXACTLY_ONCE, *log, first, second, consumed(2, tokens, name="s9"))
         running = Limits(settled=False)
         self.assert_good(*log, first, limits=running)
-        self.assert_bad(Promise.EXACTLY_ONCE, *log, first, asked(2, 1), limits=running)
+        self.assert_bad(Promise.EXACTLY_ONCE, *log, first, requested(2, 1), limits=running)
 
     def test_leaving_backends(self) -> None:
         leaving = BackendLeaving(time_seconds=1, backend_id=ENGINE)
-        back = BackendReturned(time_seconds=7, backend_id=ENGINE)
-        self.assert_good(leaving, started(5.9), back, started(8))
+        recovered = BackendReturned(time_seconds=7, backend_id=ENGINE)
+        self.assert_good(leaving, started(5.9), recovered, started(8))
         self.assert_bad(Promise.LEAVING_BACKENDS, leaving, started(6.1))
 
     def test_planned_stop_of_a_node(self) -> None:
@@ -257,8 +257,8 @@
         self.assert_bad(Promise.PLANNED_STOP, run, planned)
         before = ExecutionAborted(time_seconds=2, execution_id=run.execution_id)
         self.assert_good(run, before, planned)
-        with_it = ExecutionAborted(time_seconds=3, execution_id=run.execution_id)
-        self.assert_bad(Promise.PLANNED_STOP, run, with_it, planned)
+        aborted = ExecutionAborted(time_seconds=3, execution_id=run.execution_id)
+        self.assert_bad(Promise.PLANNED_STOP, run, aborted, planned)
 
     def test_configuration_never_reverts(self) -> None:
         self.assert_good(in_force(0, 5), in_force(1, 5, boot=2), in_force(2, 6, boot=2))
@@ -274,12 +274,10 @@
         self.assert_bad(Promise.CONFIGURATION_IN_FORCE, *history, in_force(12, 2), end)
         self.assert_bad(Promise.CONFIGURATION_IN_FORCE, *history, disturbed, restored, end)
 
-    def test_configuration_is_owed_while_somebody_can_vouch_for_it(self) -> None:
-        """On seed 136 nobody could: no check may ask a node to guess what was in force.
+    def test_configuration_change_is_due_only_with_an_authoritative_source(self) -> None:
+        """No violation while neither the service nor a majority of intact replicas is available.
 
-        The service was away from 40.7 to 78.0 s, one of three replicas was frozen and another
-        had lost its disk. ``configuration_unconfirmed detail="2 of 2 replicas answered"`` was
-        the emptied replica and one that may have been behind.
+        A starting node cannot know the newest revision then.
         """
         replicas = ReplicaSetCommitted(time_seconds=0, members=(NODE, OTHER_NODE, THIRD_NODE))
         history: tuple[AnyHistoryEvent, ...] = (
@@ -294,20 +292,20 @@
         history = (*history, others_in_force)
         frozen = NodeDisturbed(time_seconds=4, node_id=OTHER_NODE)
         cut_off = NodeDisturbed(time_seconds=4, node_id=OTHER_NODE, cut_off=True)
-        woken = NodeRestored(time_seconds=18, node_id=OTHER_NODE)
-        back = KeyValueOutage(time_seconds=18, began=False)
+        resumed = NodeRestored(time_seconds=18, node_id=OTHER_NODE)
+        recovered = KeyValueOutage(time_seconds=18, began=False)
         end = invoked(30)
         self.assert_good(*history, frozen, end)
-        # With the service, or with a majority of the replicas, the limit begins again.
-        for returned_source in (woken, back):
-            self.assert_good(*history, frozen, returned_source, in_force(27, 2), end)
-            self.assert_bad(Promise.CONFIGURATION_IN_FORCE, *history, frozen, returned_source, end)
-        # Two replicas with their disks are a majority; a cut of other paths takes none away.
+        # The limit starts again once the service or a majority of the replicas is available.
+        for restored_source in (resumed, recovered):
+            self.assert_good(*history, frozen, restored_source, in_force(27, 2), end)
+            self.assert_bad(Promise.CONFIGURATION_IN_FORCE, *history, frozen, restored_source, end)
+        # Two replicas with intact disks are a majority, also if their paths to others are cut.
         for others in ((), (cut_off,)):
             self.assert_bad(Promise.CONFIGURATION_IN_FORCE, *history, *others, end)
-        # The service alone is enough.
-        answering = tuple(each for each in history if not isinstance(each, KeyValueOutage))
-        self.assert_bad(Promise.CONFIGURATION_IN_FORCE, *answering, frozen, end)
+        # The service alone is sufficient.
+        without_outage = tuple(each for each in history if not isinstance(each, KeyValueOutage))
+        self.assert_bad(Promise.CONFIGURATION_IN_FORCE, *without_outage, frozen, end)
 
     def test_configuration_is_a_register(self) -> None:
         self.assert_good(operation(WRITE, 0, 1, "x"), operation(READ, 2, 3, "x"))
--- a/tests/test_claimed_once.py
+++ b/tests/test_claimed_once.py
@@ -1,4 +1,4 @@
-"""A claimed request gets its final answer within its time limit."""
+"""A claimed request times out at its limit if the claim does not finish."""
 
 import asyncio
 import unittest
@@ -17,21 +17,21 @@
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.virtual_time import run_simulation
 
-LIMIT_SECONDS = 3.0
-SLOW_CLAIM_SECONDS = 60.0
+TIMEOUT_SECONDS = 3.0
+HANGING_CLAIM_SECONDS = 60.0
 
 
-async def wait_for_final_answer() -> tuple[float, Execution | None]:
-    """Return how long a caller waits while the claim does not end, and what it is told."""
+async def run_with_hanging_claim() -> tuple[float, Execution | None]:
+    """Run a request whose claim hangs; return its duration and the reported execution state."""
     host = SimulatedHost("node", Address("10.0.0.1", 1), Location(zone="z", region="r"))
     host.start()
     clock = host.clock()
 
-    async def run_slowly(*_arguments: object) -> None:
-        await asyncio.sleep(SLOW_CLAIM_SECONDS)
+    async def hang(*_arguments: object) -> None:
+        await asyncio.sleep(HANGING_CLAIM_SECONDS)
 
     claims = mock.create_autospec(ClaimService, instance=True)
-    claims.run_once = run_slowly
+    claims.run_once = hang
     runner = ClaimedOnceRunner(claims, clock, NodeMetrics(CollectorRegistry()))
     started_at = clock.monotonic()
     execution = None
@@ -41,7 +41,7 @@
             key=IdempotencyKey("key"),
             digest="00",
             dispatch=mock.AsyncMock(spec=ApplicationAnswer),
-            remaining_seconds=LIMIT_SECONDS,
+            remaining_seconds=TIMEOUT_SECONDS,
         )
     except RequestTimeoutError as error:
         execution = error.execution
@@ -49,7 +49,7 @@
 
 
 class ClaimedOnceTest(unittest.TestCase):
-    def test_final_answer_at_the_limit(self) -> None:
-        waited_seconds, execution = run_simulation(wait_for_final_answer)
-        self.assertAlmostEqual(waited_seconds, LIMIT_SECONDS, places=3)
+    def test_request_times_out_at_its_limit(self) -> None:
+        elapsed_seconds, execution = run_simulation(run_with_hanging_claim)
+        self.assertAlmostEqual(elapsed_seconds, TIMEOUT_SECONDS, places=3)
         self.assertEqual(execution, Execution.MAY_HAVE_RUN)
--- a/tests/test_closed_loop.py
+++ b/tests/test_closed_loop.py
@@ -1,4 +1,4 @@
-"""The closed-loop generator counts and measures what it sends."""
+"""The closed-loop load generator counts its requests and measures their latency."""
 
 import asyncio
 import os
@@ -11,7 +11,7 @@
 
 
 class ClosedLoopTest(unittest.TestCase):
-    def test_latencies_failures_and_bounds(self) -> None:
+    def test_requests_failures_and_latencies_are_counted(self) -> None:
         sent: list[int] = []
 
         async def send(number: int) -> None:
@@ -34,7 +34,7 @@
 
         run_simulation(scenario)
 
-    def test_time_ends_a_run(self) -> None:
+    def test_run_ends_at_its_time_limit(self) -> None:
         async def send(number: int) -> None:
             await asyncio.sleep(1.0)
 
--- a/tests/test_lone_node.py
+++ b/tests/test_lone_node.py
@@ -1,23 +1,7 @@
-"""A node that has the key-value service, and no majority of the configuration's replicas.
-
-What happened: on the seeds 9175 and 150 of ``drumbay simulate --scenario small`` a node that had
-been restarted served nothing for over 10 s, though the key-value service answered it all the time
-and the changes had been accepted long before. Its log (``--log-file``) said
-``configuration_unconfirmed detail="revision 34: 1 of 3 stored it"`` every half second: it had read
-the newest configuration from the service that orders all changes, and would not act on it before
-a majority of the replicas had stored it again. On seed 9175 two of the three replicas were down; on
-seed 150 all were up, but the node did not know the others for 5.5 s, since the network lost a
-quarter of the datagrams, and a call to one of them took another 5.5 s.
-
-Seed 94, played for the mend, showed the same in a node that ran: back from a cut, it heard of two
-changes that had been accepted meanwhile, and held them back as ``configuration_not_durable``, since
-the replicas that had stored them were down by then.
-
-Seed 56 of ``vakhandel-oost-short`` showed it in a node without a disk, for which the disk of the
-one replica that is left has to do.
-
-Why: storing first keeps a change from being lost in an outage of the service. That is a reason to
-wait for a while, and none to serve nobody, or by old rules, for as long as the replicas are away.
+"""Configuration of a node that reaches the key-value service but no majority of the replicas.
+
+After a limited wait the node must apply the revision that the service has committed, instead of
+waiting for a majority to store it. A node without a disk needs one replica that has stored it.
 """
 
 import asyncio
@@ -45,10 +29,10 @@
 from tests.configuration_support import ZONES, route
 
 IN_FORCE_SECONDS = 10.0
-"""Within this an accepted change is in force on a node that nothing disturbs."""
+"""Limit for an accepted change to be in force on an undisturbed node."""
 
 SETTLE_SECONDS = 60.0
-SEEDS_THAT_BROKE_THE_PROMISE = (
+REGRESSION_SEEDS = (
     ("small", 9175),
     ("small", 150),
     ("small", 94),
@@ -63,17 +47,17 @@
     logger.remove()
 
 
-class WaitingService(ConfigurationService):
-    """Fault: a node waits for a majority of the replicas without end."""
+class ServiceWithoutFallback(ConfigurationService):
+    """Fault: waits for a majority of the replicas forever."""
 
     lone_wait_seconds: ClassVar[float] = float("inf")
 
 
-class LoneNodeTest(unittest.TestCase):
+class MajorityFallbackTest(unittest.TestCase):
     def run_cluster(
         self, scenario: Scenario, service_type: ServiceType = ConfigurationService
     ) -> ConfigurationCluster:
-        """Run five nodes, of which three have disks; two of these are dead then."""
+        """Run ``scenario`` on five nodes, three of them with disks."""
 
         async def main(folder: Path) -> ConfigurationCluster:
             cluster = ConfigurationCluster(
@@ -113,19 +97,19 @@
         self.run_cluster(scenario, service_type)
         return self.in_time
 
-    def test_a_node_with_a_disk_takes_the_services_word(self) -> None:
-        self.assertFalse(self.is_ready_in_time(WaitingService))
+    def test_starting_node_with_disk_applies_committed_revision(self) -> None:
+        self.assertFalse(self.is_ready_in_time(ServiceWithoutFallback))
         self.assertTrue(self.is_ready_in_time(ConfigurationService))
 
     def is_change_in_force_in_time(self, service_type: ServiceType) -> bool:
-        """Tell whether a node that comes back from a cut takes a change of the meantime."""
+        """Return whether a node applies a change that was accepted while it was disconnected."""
         cut = Cut(scope=Scope.HOST, source="node-002", target="node-000")
-        other_cut = Cut(scope=Scope.HOST, source="node-002", target="node-001")
+        second_cut = Cut(scope=Scope.HOST, source="node-002", target="node-001")
 
         async def scenario(cluster: ConfigurationCluster) -> None:
             returning = cluster.nodes["node-002"]
-            for each in (cut, other_cut):
-                cluster.network.cut(each, both_ways=True)
+            for path in (cut, second_cut):
+                cluster.network.cut(path, both_ways=True)
             returning.store.cut = True
             for name in ("node-003", "node-004"):
                 await cluster.nodes[name].kill()
@@ -134,8 +118,8 @@
                 await cluster.nodes[name].kill()
             cluster.set_members([returning])
             returning.store.cut = False
-            for each in (cut, other_cut):
-                cluster.network.heal(each, both_ways=True)
+            for path in (cut, second_cut):
+                cluster.network.heal(path, both_ways=True)
             await asyncio.sleep(IN_FORCE_SECONDS)
             self.in_time = returning.service.snapshot().revision >= self.last_revision
 
@@ -143,11 +127,11 @@
         self.assertEqual(find_reversions(cluster.observations), [])
         return self.in_time
 
-    def test_a_node_that_runs_takes_the_services_word_too(self) -> None:
-        self.assertFalse(self.is_change_in_force_in_time(WaitingService))
+    def test_running_node_applies_committed_revision(self) -> None:
+        self.assertFalse(self.is_change_in_force_in_time(ServiceWithoutFallback))
         self.assertTrue(self.is_change_in_force_in_time(ConfigurationService))
 
-    def test_a_node_without_a_disk_takes_it_once_one_replica_has_it(self) -> None:
+    def test_node_without_disk_applies_revision_stored_by_one_replica(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             await self.lose_majority(cluster)
             await cluster.nodes["node-003"].kill()
@@ -157,7 +141,7 @@
             await asyncio.sleep(IN_FORCE_SECONDS)
             started = cluster.nodes["node-003"]
             self.assertTrue(started.service.readiness().ready)
-            # Its restart in an outage meets the replica that has it, and one that was behind.
+            # On its restart in an outage one replica has the change and another one is behind.
             cluster.model.set_faults(KeyValueFaults(outage=True))
             await started.kill()
             cluster.nodes["node-000"].start()
@@ -168,7 +152,7 @@
 
         self.assertEqual(find_reversions(self.run_cluster(scenario).observations), [])
 
-    def test_a_node_without_a_disk_waits_for_a_replica(self) -> None:
+    def test_node_without_disk_waits_for_a_replica(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             await self.lose_majority(cluster)
             await cluster.nodes["node-003"].kill()
@@ -178,42 +162,42 @@
 
         self.run_cluster(scenario)
 
-    def test_a_service_that_has_lost_what_the_disk_holds_is_not_believed(self) -> None:
+    def test_service_behind_the_local_disk_is_not_trusted(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             await self.lose_majority(cluster)
             started = cluster.nodes["node-002"]
-            emptied = KeyValueModel(cluster.clock)
-            started.store = MeteredStore(MemoryKeyValueStore(emptied, cluster.clock))
+            empty_model = KeyValueModel(cluster.clock)
+            started.store = MeteredStore(MemoryKeyValueStore(empty_model, cluster.clock))
             started.start()
             await asyncio.sleep(3 * IN_FORCE_SECONDS)
             self.assertFalse(started.service.readiness().ready)
 
         self.run_cluster(scenario)
 
-    def test_what_was_taken_alone_is_accepted_and_told_only_once_a_majority_has_it(self) -> None:
+    def test_revision_is_acknowledged_and_spread_only_once_a_majority_has_stored_it(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             await self.lose_majority(cluster)
             cluster.nodes["node-002"].start()
             await asyncio.sleep(1.0)
-            # This one has no way to the service: it hears of changes from its peers alone.
-            deaf = cluster.nodes["node-003"]
-            deaf.store.cut = True
-            # Committed by the service before the lone start, stored by no majority.
+            # Cut off from the service, this node learns of changes only from its peers.
+            disconnected = cluster.nodes["node-003"]
+            disconnected.store.cut = True
+            # Committed by the service, but not stored by a majority.
             self.assertIs(await self.write(cluster, "node-004", 2), WriteOutcome.UNKNOWN_YET)
             await asyncio.sleep(IN_FORCE_SECONDS)
-            alone = cluster.nodes["node-002"]
-            self.assertEqual(alone.service.snapshot().routes["consulta"].priority, 2)
-            self.assertEqual(deaf.service.snapshot().routes["consulta"].priority, 1)
-            status = await alone.operators.operation_status("set-2")
+            fallback_node = cluster.nodes["node-002"]
+            self.assertEqual(fallback_node.service.snapshot().routes["consulta"].priority, 2)
+            self.assertEqual(disconnected.service.snapshot().routes["consulta"].priority, 1)
+            status = await fallback_node.operators.operation_status("set-2")
             self.assertIs(status.outcome, WriteOutcome.UNKNOWN_YET)
             cluster.nodes["node-000"].start()
             await cluster.wait_in_force(self.last_revision, IN_FORCE_SECONDS)
-            status = await alone.operators.operation_status("set-2")
+            status = await fallback_node.operators.operation_status("set-2")
             self.assertIs(status.outcome, WriteOutcome.ACCEPTED)
 
         self.assertEqual(find_reversions(self.run_cluster(scenario).observations), [])
 
-    def test_a_later_start_in_an_outage_does_not_go_back(self) -> None:
+    def test_restart_in_an_outage_does_not_revert(self) -> None:
         async def scenario(cluster: ConfigurationCluster) -> None:
             await self.lose_majority(cluster)
             cluster.nodes["node-002"].start()
@@ -235,8 +219,8 @@
 
 
 class SeedsTest(unittest.TestCase):
-    def test_the_seeds_that_broke_the_promise_keep_it(self) -> None:
-        for scenario, seed in SEEDS_THAT_BROKE_THE_PROMISE:
+    def test_regression_seeds(self) -> None:
+        for scenario, seed in REGRESSION_SEEDS:
             with self.subTest(scenario=scenario, seed=seed):
                 report = run_scenario(find_scenario(scenario), seed, Node).report
                 self.assertEqual(report.violations, ())
--- a/tests/test_replica_set_news.py
+++ b/tests/test_replica_set_news.py
@@ -1,4 +1,4 @@
-"""Nodes that do not watch the replica set hear of a change from others."""
+"""Nodes that do not watch the replica set learn of changes from their peers."""
 
 import asyncio
 import unittest
@@ -29,14 +29,14 @@
 WATCHER_COUNT = 2
 
 
-class SilentWatcher(ReplicaSetWatcher):
-    """Test-only fault: neither tells nor asks other nodes."""
+class IsolatedWatcher(ReplicaSetWatcher):
+    """Fault: neither notifies nor queries other nodes."""
 
     def _others(self, count: int) -> list[Address]:
         return []
 
 
-class World:
+class WatcherCluster:
     def __init__(self, watcher_type: type[ReplicaSetWatcher]) -> None:
         self.model = KeyValueModel(OutsideClock())
         self.network = SimulatedNetwork(Random(1), LatencyModel(), Trace(0))
@@ -65,51 +65,51 @@
         compare = ModRevisionIs(key=REPLICA_SET_KEY, mod_revision=Revision(expected))
         assert self.model.transact((compare,), (put,)).succeeded
 
-    def informed(self, epoch: int) -> int:
-        known = [watcher.replica_set() for watcher in self.watchers]
-        return sum(each is not None and each.epoch == epoch for each in known)
+    def informed_count(self, epoch: int) -> int:
+        replica_sets = [watcher.replica_set() for watcher in self.watchers]
+        return sum(known is not None and known.epoch == epoch for known in replica_sets)
 
 
-class ReplicaSetNewsTest(unittest.TestCase):
-    def test_all_nodes_hear_within_a_second_and_few_ask_the_service(self) -> None:
+class ReplicaSetPropagationTest(unittest.TestCase):
+    def test_change_reaches_all_nodes_with_few_service_requests(self) -> None:
         async def main() -> None:
-            world = World(ReplicaSetWatcher)
-            world.write(1, 0)
+            cluster = WatcherCluster(ReplicaSetWatcher)
+            cluster.write(1, 0)
             await asyncio.sleep(30.0)
-            self.assertEqual(world.informed(1), NODE_COUNT)
-            operations = world.store.operations
-            world.write(2, world.model.revision)
+            self.assertEqual(cluster.informed_count(1), NODE_COUNT)
+            operations = cluster.store.operations
+            cluster.write(2, cluster.model.revision)
             await asyncio.sleep(1.0)
-            self.assertGreaterEqual(world.informed(2), NODE_COUNT - 4)
+            self.assertGreaterEqual(cluster.informed_count(2), NODE_COUNT - 4)
             await asyncio.sleep(100.0)
-            self.assertEqual(world.informed(2), NODE_COUNT)
-            self.assertLessEqual(world.store.operations - operations, 12)
+            self.assertEqual(cluster.informed_count(2), NODE_COUNT)
+            self.assertLessEqual(cluster.store.operations - operations, 12)
 
         run_simulation(main)
 
-    def test_without_the_news_only_watchers_know(self) -> None:
+    def test_without_notifications_only_watchers_learn_of_a_change(self) -> None:
         async def main() -> None:
-            world = World(SilentWatcher)
-            world.write(1, 0)
+            cluster = WatcherCluster(IsolatedWatcher)
+            cluster.write(1, 0)
             await asyncio.sleep(30.0)
-            world.write(2, world.model.revision)
+            cluster.write(2, cluster.model.revision)
             await asyncio.sleep(100.0)
-            self.assertEqual(world.informed(2), WATCHER_COUNT)
+            self.assertEqual(cluster.informed_count(2), WATCHER_COUNT)
 
         run_simulation(main)
 
-    def test_a_node_that_was_cut_off_asks(self) -> None:
+    def test_disconnected_node_queries_its_peers(self) -> None:
         async def main() -> None:
-            world = World(ReplicaSetWatcher)
-            world.write(1, 0)
+            cluster = WatcherCluster(ReplicaSetWatcher)
+            cluster.write(1, 0)
             await asyncio.sleep(30.0)
             cut = Cut(scope=Scope.REGION, source="near", target="far")
-            world.network.cut(cut, both_ways=True)
-            world.write(2, world.model.revision)
+            cluster.network.cut(cut, both_ways=True)
+            cluster.write(2, cluster.model.revision)
             await asyncio.sleep(60.0)
-            self.assertEqual(world.informed(2), NODE_COUNT - 1)
-            world.network.heal(cut, both_ways=True)
+            self.assertEqual(cluster.informed_count(2), NODE_COUNT - 1)
+            cluster.network.heal(cut, both_ways=True)
             await asyncio.sleep(12.0)
-            self.assertEqual(world.informed(2), NODE_COUNT)
+            self.assertEqual(cluster.informed_count(2), NODE_COUNT)
 
         run_simulation(main)
--- a/tests/test_simulation_cluster.py
+++ b/tests/test_simulation_cluster.py
@@ -1,4 +1,4 @@
-"""The whole system in virtual time: it works, and a run depends on its seed alone."""
+"""Whole nodes in virtual time: a run serves requests and is determined by its seed."""
 
 import os
 import subprocess
@@ -17,7 +17,7 @@
 
 
 def digest_of(seed: int) -> str:
-    """Return the digest of a short run with faults."""
+    """Return the trace digest of a short run with faults."""
     logger.remove()
     scenario = small_scenario(*KINDS, duration_seconds=70.0)
     return run_scenario(scenario, seed, Node).report.digest
@@ -28,18 +28,18 @@
     def setUpClass(cls) -> None:
         logger.remove()
 
-    def assert_worked(self, report: RunReport) -> None:
+    def assert_served(self, report: RunReport) -> None:
         self.assertEqual(report.violations, ())
         self.assertGreater(report.answered, 0)
         self.assertGreater(report.completions, 0)
         self.assertGreater(report.samples, 0)
 
-    def test_a_calm_run_keeps_every_promise_and_answers_everything(self) -> None:
+    def test_run_without_faults_answers_every_request(self) -> None:
         report = run_scenario(small_scenario(), 1, Node).report
-        self.assert_worked(report)
+        self.assert_served(report)
         self.assertEqual(report.answered, report.requests)
 
-    def test_a_run_depends_on_the_seed_alone(self) -> None:
+    def test_run_depends_only_on_the_seed(self) -> None:
         digests = {digest_of(5)}
         for hash_seed in ("0", "424242"):
             environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
--- a/tests/test_simulation_faults.py
+++ b/tests/test_simulation_faults.py
@@ -1,4 +1,4 @@
-"""Scenario files, and the drawing and carrying out of faults."""
+"""Scenario files, fault plans and fault injection."""
 
 import asyncio
 import tempfile
@@ -37,67 +37,67 @@
 
 
 class RecordingEnvironment:
-    """Notes every state change with its virtual time."""
+    """Records every state change with its virtual time."""
 
     def __init__(self) -> None:
         self.changes: list[tuple[float, str]] = []
 
-    def note(self, change: str) -> None:
+    def record(self, change: str) -> None:
         self.changes.append((round(asyncio.get_running_loop().time(), 3), change))
 
     async def kill_host(self, host: str) -> None:
-        self.note(f"kill {host}")
+        self.record(f"kill {host}")
 
     async def start_host(self, host: str) -> None:
-        self.note(f"start {host}")
+        self.record(f"start {host}")
 
     def freeze_host(self, host: str) -> None:
-        self.note(f"freeze {host}")
+        self.record(f"freeze {host}")
 
-    def wake_host(self, host: str) -> None:
-        self.note(f"wake {host}")
+    def resume_host(self, host: str) -> None:
+        self.record(f"wake {host}")
 
     def cut(self, cut: Cut, *, both_ways: bool) -> None:
-        self.note(f"cut {cut} {both_ways}")
+        self.record(f"cut {cut} {both_ways}")
 
     def heal(self, cut: Cut, *, both_ways: bool) -> None:
-        self.note(f"heal {cut} {both_ways}")
+        self.record(f"heal {cut} {both_ways}")
 
     def degrade_network(self, faults: tuple[DegradeNetwork, ...]) -> None:
-        self.note(f"degrade {len(faults)}")
+        self.record(f"degrade {len(faults)}")
 
     def disturb_key_value(self, conditions: tuple[KeyValueCondition, ...]) -> None:
-        self.note(f"key-value {','.join(conditions)}")
+        self.record(f"key-value {','.join(conditions)}")
 
     def compact_key_value(self) -> None:
-        self.note("compact")
+        self.record("compact")
 
     def crash_backend(self, backend: str) -> None:
-        self.note(f"crash {backend}")
+        self.record(f"crash {backend}")
 
     def restart_backend(self, backend: str) -> None:
-        self.note(f"restart {backend}")
+        self.record(f"restart {backend}")
 
     def fail_swaps(self, backend: str, count: int, *, acknowledged: bool) -> None:
-        self.note(f"fail swaps {backend}")
+        self.record(f"fail swaps {backend}")
 
     def disturb_answers(self, backend: str, kind: BackendFaultKind, count: int) -> None:
-        self.note(f"{kind} {backend}")
+        self.record(f"{kind} {backend}")
 
     def set_machine_list_lag(self, lag_seconds: float | None) -> None:
-        self.note(f"lag {lag_seconds}")
+        self.record(f"lag {lag_seconds}")
 
     def jump_clock(self, host: str, seconds: float) -> None:
-        self.note(f"jump {host}")
+        self.record(f"jump {host}")
 
     def set_disk_full(self, host: str, *, full: bool) -> None:
-        self.note(f"disk {host} full={full}")
+        self.record(f"disk {host} full={full}")
 
     def set_disk_busy(self, host: str, commit_seconds: float) -> None:
-        self.note(f"disk {host} takes {commit_seconds}")
+        self.record(f"disk {host} takes {commit_seconds}")
 
     def lose_disk(self, host: str) -> None:
-        self.note(f"lose disk {host}")
+        self.record(f"lose disk {host}")
 
 
 def inject(*faults: AnyFault) -> list[tuple[float, str]]:
@@ -112,7 +112,7 @@
 
 
 class FaultPlanTest(unittest.TestCase):
-    def test_a_plan_depends_on_the_seed_alone(self) -> None:
+    def test_plan_depends_only_on_the_seed(self) -> None:
         plans = [
             draw_fault_plan(Random(seed), TARGETS, FaultSchedule(), 1800.0) for seed in (1, 1, 2)
         ]
@@ -126,7 +126,7 @@
         self.assertGreaterEqual(len(types), len(FaultKind))
         self.assertLessEqual(plan.until_seconds(), 3600.0 - schedule.quiet_seconds)
 
-    def test_a_full_plan_can_be_carried_out(self) -> None:
+    def test_complete_plan_can_be_injected(self) -> None:
         schedule = FaultSchedule(mean_interval_seconds=5.0)
         plan = draw_fault_plan(Random(3), TARGETS, schedule, 1800.0)
         changes = [change for _, change in inject(*plan.faults)]
@@ -135,18 +135,18 @@
 
 
 class ShrinkTest(unittest.TestCase):
-    def test_only_what_breaks_the_promise_is_left(self) -> None:
+    def test_minimal_failing_plan_remains(self) -> None:
         schedule = FaultSchedule(mean_interval_seconds=5.0)
         plan = draw_fault_plan(Random(1), TARGETS, schedule, 1800.0)
         kill = KillHost(at_seconds=1.0, host="n1")
         freeze = FreezeHost(at_seconds=2.0, host="n2")
         faults = (*plan.faults[:40], kill, *plan.faults[40:80], freeze, *plan.faults[80:])
 
-        def breaks(shorter: FaultPlan) -> bool:
-            return kill in shorter.faults and freeze in shorter.faults
+        def still_fails(candidate: FaultPlan) -> bool:
+            return kill in candidate.faults and freeze in candidate.faults
 
-        shortest = shrink_plan(FaultPlan(faults=faults), breaks)
-        self.assertEqual(shortest.faults, (kill, freeze))
+        minimized = shrink_plan(FaultPlan(faults=faults), still_fails)
+        self.assertEqual(minimized.faults, (kill, freeze))
 
 
 class FaultInjectorTest(unittest.TestCase):
@@ -162,14 +162,14 @@
         second = FreezeHost(at_seconds=2.0, duration_seconds=10.0, host="n1")
         self.assertEqual(inject(first, second)[-1], (12.0, "wake n1"))
 
-    def test_the_slowest_of_overlapping_causes_counts_for_each_disk(self) -> None:
+    def test_overlapping_slow_disks_use_the_longest_commit_time(self) -> None:
         changes = inject(
             SlowDisks(at_seconds=1.0, duration_seconds=9.0, hosts=("a", "b"), commit_seconds=1.0),
             SlowDisks(at_seconds=2.0, duration_seconds=4.0, hosts=("a",), commit_seconds=3.0),
         )
-        takes = [(at, change) for at, change in changes if change.startswith("disk")]
+        disk_changes = [(at, change) for at, change in changes if change.startswith("disk")]
         self.assertEqual(
-            takes,
+            disk_changes,
             [
                 (1.0, "disk a takes 1.0"),
                 (1.0, "disk b takes 1.0"),
@@ -180,7 +180,7 @@
             ],
         )
 
-    def test_key_value_conditions_add_up(self) -> None:
+    def test_overlapping_key_value_conditions_are_combined(self) -> None:
         slow = DisturbKeyValue(
             at_seconds=1.0, duration_seconds=4.0, condition=KeyValueCondition.SLOW
         )
@@ -193,7 +193,7 @@
 
 
 class ScenarioTest(unittest.TestCase):
-    def test_shipped_scenarios_are_valid_and_bear_their_names(self) -> None:
+    def test_shipped_scenarios_are_valid_and_named_after_their_files(self) -> None:
         names = shipped_scenarios()
         expected = (
             "bitacora-andina",
@@ -211,7 +211,7 @@
         zones = find_scenario("target-size").zones
         self.assertEqual(sum(zone.nodes for zone in zones), 410)
 
-    def test_a_faulty_file_is_named_with_its_key_and_what_was_expected(self) -> None:
+    def test_errors_name_the_file_the_key_and_the_expected_value(self) -> None:
         base = 'name = "x"\ndescription = ""\nduration_seconds = 900.0\n'
         zone = '[[zones]]\nname = "a"\nregion = "r"\nnodes = 1\n'
         cases = {
--- a/tests/test_simulation_hosts.py
+++ b/tests/test_simulation_hosts.py
@@ -1,4 +1,4 @@
-"""Virtual time, freezing, killing and the simulated network."""
+"""Virtual time, frozen and killed processes, and the simulated network."""
 
 import asyncio
 import socket
@@ -14,7 +14,7 @@
     ReplyLostError,
 )
 from drumbay.exceptions import DeadlineExceededError
-from drumbay.simulation.exceptions import RealInputOutputError, SimulationWedgedError
+from drumbay.simulation.exceptions import RealInputOutputError, SimulationDeadlockError
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.latency import LatencyModel
 from drumbay.simulation.network import Cut, Scope, SimulatedNetwork
@@ -35,8 +35,8 @@
     return asyncio.get_running_loop().time()
 
 
-class Pair:
-    """Two hosts in two zones; the second one echoes calls and collects datagrams."""
+class HostPair:
+    """Two hosts in two zones that echo calls and record datagrams."""
 
     def __init__(self, latency: LatencyModel | None = None) -> None:
         self.network = SimulatedNetwork(Random(1), latency or LatencyModel(), Trace())
@@ -77,15 +77,15 @@
         )
 
 
-def run_with_pair(main: Callable[[Pair], Awaitable[None]]) -> None:
+def run_with_pair(main: Callable[[HostPair], Awaitable[None]]) -> None:
     async def build_and_run() -> None:
-        await main(Pair())
+        await main(HostPair())
 
     run_simulation(build_and_run)
 
 
 class VirtualTimeTest(unittest.TestCase):
-    def test_hours_pass_and_timers_fire_at_their_own_time(self) -> None:
+    def test_timers_fire_at_their_exact_time(self) -> None:
         async def main() -> list[float]:
             times: list[float] = []
             for delay in (0.0001, 0.0005, 7200.0):
@@ -95,14 +95,14 @@
 
         self.assertEqual(run_simulation(main), [0.0001, 0.0006, 7200.0006])
 
-    def test_wedge_is_an_error(self) -> None:
+    def test_deadlock_is_an_error(self) -> None:
         async def main() -> None:
             await asyncio.get_running_loop().create_future()
 
-        with self.assertRaises(SimulationWedgedError):
+        with self.assertRaises(SimulationDeadlockError):
             run_simulation(main)
 
-    def test_sockets_and_threads_are_refused(self) -> None:
+    def test_sockets_and_threads_are_rejected(self) -> None:
         async def use_socket() -> None:
             with socket.socket() as server:
                 server.setblocking(False)
@@ -117,21 +117,24 @@
 
 
 class HostTest(unittest.TestCase):
-    def test_frozen_process_sees_timers_late(self) -> None:
-        async def main(pair: Pair) -> None:
+    def test_frozen_process_handles_timers_on_resuming(self) -> None:
+        async def main(pair: HostPair) -> None:
             clock = pair.client.clock()
 
-            async def nap() -> float:
+            async def sleep_once() -> float:
                 await clock.sleep(1)
                 return clock.monotonic()
 
-            async def limited() -> float:
+            async def wait_with_timeout() -> float:
                 with self.assertRaises(DeadlineExceededError):
                     await clock.wait_for(clock.sleep(60), 2)
                 return clock.monotonic()
 
             process = pair.client.process
-            tasks = [process.spawn(nap(), "nap"), process.spawn(limited(), "limited")]
+            tasks = [
+                process.spawn(sleep_once(), "nap"),
+                process.spawn(wait_with_timeout(), "limited"),
+            ]
             await asyncio.sleep(0.5)
             pair.client.freeze()
             await asyncio.sleep(30)
@@ -141,8 +144,8 @@
 
         run_with_pair(main)
 
-    def test_killed_process_has_no_effect_and_its_successor_another_boot(self) -> None:
-        async def main(pair: Pair) -> None:
+    def test_killed_process_has_no_effect_and_a_new_one_has_another_boot_id(self) -> None:
+        async def main(pair: HostPair) -> None:
             process = pair.client.process
             clock = pair.client.clock()
 
@@ -168,7 +171,7 @@
         run_with_pair(main)
 
     def test_wall_clock_jumps_and_monotonic_does_not(self) -> None:
-        async def main(pair: Pair) -> None:
+        async def main(pair: HostPair) -> None:
             clock = pair.client.clock()
             before = clock.wall()
             pair.client.wall_clock.jump(-300)
@@ -180,22 +183,22 @@
 
 class NetworkTest(unittest.TestCase):
     def test_call_returns_the_reply_after_the_latency(self) -> None:
-        async def main(pair: Pair) -> None:
+        async def main(pair: HostPair) -> None:
             self.assertEqual(await pair.call(), SimulationEcho(text="hello"))
             self.assertGreaterEqual(now(), 0.001)
 
         run_with_pair(main)
 
-    def test_failure_of_the_handler_travels_back(self) -> None:
-        async def main(pair: Pair) -> None:
+    def test_handler_error_is_returned_to_the_caller(self) -> None:
+        async def main(pair: HostPair) -> None:
             with self.assertRaises(RemoteFailureError) as caught:
                 await pair.call("fail")
             self.assertEqual(caught.exception.remote_code, "deadline_exceeded")
 
         run_with_pair(main)
 
-    def test_unreachable_is_claimed_only_if_not_handled(self) -> None:
-        async def main(pair: Pair) -> None:
+    def test_peer_unreachable_is_reported_only_if_not_handled(self) -> None:
+        async def main(pair: HostPair) -> None:
             forward = Cut(scope=Scope.ZONE, source="miraflores", target="surquillo")
             outcomes: dict[str, int] = {}
             for cut in (forward, forward.reversed()):
@@ -220,7 +223,7 @@
         run_with_pair(main)
 
     def test_kill_resets_open_calls_and_refuses_new_ones(self) -> None:
-        async def main(pair: Pair) -> None:
+        async def main(pair: HostPair) -> None:
             task = asyncio.get_running_loop().create_task(pair.call("slow", 60))
             await asyncio.sleep(1)
             await pair.server.kill()
@@ -232,8 +235,8 @@
 
         run_with_pair(main)
 
-    def test_call_to_a_frozen_peer_is_handled_after_waking(self) -> None:
-        async def main(pair: Pair) -> None:
+    def test_call_to_a_frozen_peer_is_handled_on_resuming(self) -> None:
+        async def main(pair: HostPair) -> None:
             pair.server.freeze()
             with self.assertRaises(ReplyLostError):
                 await pair.call()
@@ -245,7 +248,7 @@
         run_with_pair(main)
 
     def test_datagrams_are_lost_duplicated_and_reordered(self) -> None:
-        async def main(pair: Pair) -> None:
+        async def main(pair: HostPair) -> None:
             pair.network.latency = LatencyModel(
                 loss_probability=0.2, duplicate_probability=0.2, reorder_probability=0.2
             )
@@ -261,8 +264,8 @@
 
         run_with_pair(main)
 
-    def test_messages_are_really_encoded(self) -> None:
-        async def main(pair: Pair) -> None:
+    def test_messages_are_encoded(self) -> None:
+        async def main(pair: HostPair) -> None:
             with self.assertRaises(TypeError):
                 pair.client_transport.send_datagram(
                     pair.server.address, SimulationUnencodable(value=object())
--- a/tests/test_simulation_promises.py
+++ b/tests/test_simulation_promises.py
@@ -1,7 +1,6 @@
-"""Each promise breaks with its mechanism switched off, and holds with it on.
+"""Each promise is broken without the mechanism that ensures it, and holds with it.
 
-Both runs have the same seed, load and faults. The verdict is that of the checkers, which
-read what back ends, callers and trainers saw.
+Both runs have the same seed, load and faults and are judged by the history checkers.
 """
 
 import unittest
@@ -30,15 +29,15 @@
 from tests.simulated_runs import ZONES, small_scenario
 
 SEED = 3
-SWAPS_THAT_FAIL = 2
-"""Per engine: enough for samples to be generated while the old weights serve."""
+FAILED_SWAPS = 2
+"""Per engine; enough for samples to be generated with the old weights."""
 BOOKINGS = LoadSection(bookings_per_second=3.0, operators=0)
 LOOKUPS = LoadSection(lookups_per_second=5.0, operators=0)
 APPLICATIONS = ("balie-app-1", "balie-app-2", "balie-app-3")
 ENGINES = ("advies-llm-1", "advies-llm-2", "advies-llm-3")
 
 
-def answers(kind: BackendFaultKind, count: int) -> tuple[AnyFault, ...]:
+def disturb_applications(kind: BackendFaultKind, count: int) -> tuple[AnyFault, ...]:
     return tuple(
         DisturbAnswers(
             at_seconds=15.0,
@@ -63,7 +62,7 @@
         report = run_scenario(scenario, SEED, make_node, plan=plan).report
         return {violation.promise for violation in report.violations}
 
-    def assert_guarded(
+    def assert_requires_mechanism(
         self,
         promise: Promise,
         scenario: Scenario,
@@ -74,24 +73,24 @@
         self.assertEqual(self.broken_promises(scenario, faults, Node), set())
 
     def test_at_most_once_needs_claims(self) -> None:
-        self.assert_guarded(
+        self.assert_requires_mechanism(
             Promise.AT_MOST_ONCE,
             small_scenario(load=BOOKINGS, with_trainer=False),
-            answers(BackendFaultKind.TRUNCATED_ANSWER, 5),
+            disturb_applications(BackendFaultKind.TRUNCATED_ANSWER, 5),
             broken_nodes.make_node_without_claims,
         )
 
     def test_refused_not_run_needs_the_kind_of_failure(self) -> None:
-        self.assert_guarded(
+        self.assert_requires_mechanism(
             Promise.REFUSED_NOT_RUN,
             small_scenario(load=LOOKUPS, with_trainer=False),
-            answers(BackendFaultKind.TRUNCATED_ANSWER, 20),
+            disturb_applications(BackendFaultKind.TRUNCATED_ANSWER, 20),
             broken_nodes.make_optimistic_node,
         )
 
     def test_whole_answers_need_matching(self) -> None:
         scenario = small_scenario(load=LOOKUPS, with_trainer=False)
-        faults = answers(BackendFaultKind.CROSSED_ANSWER, 5)
+        faults = disturb_applications(BackendFaultKind.CROSSED_ANSWER, 5)
         with mock.patch.object(
             MemoryApplicationClient, "exchange", broken_nodes.exchange_without_matching
         ):
@@ -105,12 +104,12 @@
                 at_seconds=10.0,
                 duration_seconds=40.0,
                 backend=engine,
-                count=SWAPS_THAT_FAIL,
+                count=FAILED_SWAPS,
                 acknowledged=True,
             )
             for engine in ENGINES
         )
-        self.assert_guarded(
+        self.assert_requires_mechanism(
             Promise.SAMPLE_VERSIONS, small_scenario(), faults, broken_nodes.order_trusting_nodes()
         )
 
@@ -120,7 +119,9 @@
             for at in (35.0, 41.0, 47.0)
             for engine in ENGINES
         )
-        self.assert_guarded(Promise.STALENESS, small_scenario(), faults, broken_nodes.UnboundedNode)
+        self.assert_requires_mechanism(
+            Promise.STALENESS, small_scenario(), faults, broken_nodes.UnboundedNode
+        )
 
     def test_exactly_once_needs_the_replicated_log(self) -> None:
         scenario = small_scenario()
@@ -135,7 +136,7 @@
 
     def test_leaving_backends_need_the_machine_list(self) -> None:
         load = msgspec.structs.replace(LOOKUPS, leave_interval_seconds=10.0)
-        self.assert_guarded(
+        self.assert_requires_mechanism(
             Promise.LEAVING_BACKENDS,
             small_scenario(load=load, with_trainer=False),
             (),
@@ -144,10 +145,10 @@
 
     def test_planned_stops_need_draining(self) -> None:
         load = msgspec.structs.replace(LOOKUPS, stop_interval_seconds=5.0)
-        self.assert_guarded(
+        self.assert_requires_mechanism(
             Promise.PLANNED_STOP,
             small_scenario(load=load, with_trainer=False),
-            answers(BackendFaultKind.LATE_ANSWER, 200),
+            disturb_applications(BackendFaultKind.LATE_ANSWER, 200),
             broken_nodes.ImpatientNode,
         )
 
--- a/tests/test_simulation_trace.py
+++ b/tests/test_simulation_trace.py
@@ -1,4 +1,4 @@
-"""One seed gives one trace."""
+"""Runs with the same seed have the same trace."""
 
 import asyncio
 import os
@@ -15,7 +15,7 @@
 from drumbay.simulation.transport import SimulatedTransport
 from drumbay.simulation.virtual_time import run_simulation
 
-HOSTS = 12
+HOST_COUNT = 12
 SIMULATED_SECONDS = 20.0
 PROGRAM = "from tests.test_simulation_trace import gossip_digest; print(gossip_digest(7))"
 
@@ -25,7 +25,7 @@
 
 
 def gossip_digest(seed: int) -> str:
-    """Let hosts gossip over a bad network while one is killed and restarted."""
+    """Gossip over a lossy network with a killed and a frozen host; return the trace digest."""
 
     async def main() -> str:
         random = Random(seed)
@@ -34,7 +34,7 @@
         )
         network = SimulatedNetwork(random, latency, Trace())
         hosts = []
-        for index in range(HOSTS):
+        for index in range(HOST_COUNT):
             location = Location(zone=f"zone-{index % 3}", region="nl-oost")
             host = SimulatedHost(f"host-{index}", Address(f"10.0.0.{index}", 7000), location)
             network.add_host(host)
@@ -81,15 +81,15 @@
 
 
 class TraceTest(unittest.TestCase):
-    def test_runs_of_one_seed_agree_in_one_process_and_under_any_hash_seed(self) -> None:
+    def test_same_seed_gives_same_trace_under_any_hash_seed(self) -> None:
         digests = [gossip_digest(7), gossip_digest(7)]
         digests += [digest_in_new_process(hash_seed) for hash_seed in ("0", "1", "424242")]
         self.assertEqual(len(set(digests)), 1, digests)
 
-    def test_another_seed_gives_another_trace(self) -> None:
+    def test_different_seeds_give_different_traces(self) -> None:
         self.assertNotEqual(gossip_digest(7), gossip_digest(8))
 
-    def test_events_of_a_span_are_kept(self) -> None:
+    def test_latest_events_are_kept(self) -> None:
         async def main() -> None:
             trace = Trace(kept_events=3)
             for number in range(5):
--- a/tests/test_simulation_transport_contract.py
+++ b/tests/test_simulation_transport_contract.py
@@ -1,4 +1,4 @@
-"""The in-memory transport of the simulation keeps the contract of a transport."""
+"""The simulated transport fulfils the transport contract."""
 
 import unittest
 from random import Random
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -1,17 +1,7 @@
-"""A stream whose replicas' disks are slow still gets an owner.
+"""Ownership, replica sets and claims on disks whose writes take seconds.
 
-What happened: the test of real processes (``tests.test_processes``) failed once beside heavy other
-work, since no node owned the stream within 30 s of its owner's pause. With writers that filled
-the page cache beside it (a small fsync took 2.1 s at the 99th percentile, 8.5 s at most), the
-nodes' logs said why, again and again, and trainers' steps were refused with 503:
-
-    take_over_failed error=quorum_unavailable
-        detail="reply_lost: no reply within 1.000 s; reply_lost: no reply within 1.000 s"
-
-Why: an owner reads the log from a majority of its replicas, each of which makes its promise durable
-first, and so for each entry. With one replica paused both others have to answer. An owner gave each
-of them one second and then began anew with a higher ballot, which has to be made durable again: on
-a disk that takes longer than the limit no attempt ever succeeds, however many follow.
+Timeouts for durable replies must exceed the commit time of a busy disk: with shorter ones no
+attempt to take over a stream, to form a replica set or to claim a booking ever succeeds.
 """
 
 import asyncio
@@ -47,19 +37,18 @@
 
 STREAM = StreamName("drafts")
 LOCATION = Location(zone="callao", region="lima")
-REPLICAS = 3
+REPLICA_COUNT = 3
 
 BUSY_COMMIT_SECONDS = 2.1
-"""What one small write took at the 99th percentile beside writers that filled the page cache."""
 
 SUCCESSOR_SECONDS = 30.0
-"""Within this, its lease included, a paused owner has a successor (``tests.test_processes``)."""
+"""Limit for replacing a paused owner, including its lease; as in ``tests.test_processes``."""
 
 LEASE_SECONDS = 15.0
 RETRY_SECONDS = 0.5
 
 ONE_SECOND_CALLS = DeliveryParameters(call_timeout_seconds=1.0)
-"""Fault: a call to a replica ends before a busy disk has made its reply durable."""
+"""Fault: calls to replicas time out before a busy disk has committed the reply."""
 
 
 def setUpModule() -> None:
@@ -67,18 +56,18 @@
 
 
 class SlowDisksTest(unittest.TestCase):
-    def own_stream(self, parameters: DeliveryParameters | None = None) -> bool:
-        """Tell whether a successor owns the stream in time and takes a step of its trainer.
+    def takes_over_in_time(self, parameters: DeliveryParameters | None = None) -> bool:
+        """Return whether a successor takes the stream over and records a step in time.
 
-        The third replica is paused: it was the owner's.
+        The third replica, on the previous owner's node, is frozen.
         """
-        return run_simulation(lambda: self._own_stream(parameters))
+        return run_simulation(lambda: self._take_over_in_time(parameters))
 
-    async def _own_stream(self, parameters: DeliveryParameters | None) -> bool:
+    async def _take_over_in_time(self, parameters: DeliveryParameters | None) -> bool:
         network = SimulatedNetwork(random.Random(1), LatencyModel(), Trace(kept_events=0))
         hosts = [
             SimulatedHost(f"node-{number}", Address(f"10.0.0.{number + 1}", 7000), LOCATION)
-            for number in range(REPLICAS)
+            for number in range(REPLICA_COUNT)
         ]
         transports = [self._start_replica(network, host) for host in hosts]
         hosts[-1].freeze()
@@ -91,9 +80,9 @@
             lambda: view,
             parameters=parameters,
         )
-        owning = hosts[0].process.spawn(self._own(successor), "successor")
-        done, _ = await asyncio.wait([owning], timeout=SUCCESSOR_SECONDS - LEASE_SECONDS)
-        owning.cancel()
+        takeover = hosts[0].process.spawn(self._take_over_and_submit(successor), "successor")
+        done, _ = await asyncio.wait([takeover], timeout=SUCCESSOR_SECONDS - LEASE_SECONDS)
+        takeover.cancel()
         return bool(done)
 
     @staticmethod
@@ -111,8 +100,8 @@
         return transport
 
     @staticmethod
-    async def _own(successor: DeliveryService) -> None:
-        """Take the stream over as a node does, and have a step recorded as its trainer does."""
+    async def _take_over_and_submit(successor: DeliveryService) -> None:
+        """Take the stream over and submit a step, with retries."""
         prompts = (RolloutPrompt(text="prompt", group="1", max_tokens=4, seed=1),)
         while True:
             try:
@@ -123,17 +112,15 @@
             except QuorumUnavailableError:
                 await asyncio.sleep(RETRY_SECONDS)
 
-    def test_a_successor_is_found_however_busy_the_disks_are(self) -> None:
-        self.assertFalse(self.own_stream(ONE_SECOND_CALLS))
-        self.assertTrue(self.own_stream())
+    def test_stream_is_taken_over_on_busy_disks(self) -> None:
+        self.assertFalse(self.takes_over_in_time(ONE_SECOND_CALLS))
+        self.assertTrue(self.takes_over_in_time())
 
 
 class ReplicaSetTest(unittest.TestCase):
-    """Without a replica set there are neither streams nor bookings.
+    """Replica sets form and replace members on busy disks.
 
-    In one trial beside such writers the first set took 25 s, in which an owner that had been
-    elected logged ``take_over_failed`` 49 times: a member has to make the order that lets it vote
-    durable, and was given 2 s.
+    A member must durably store the order that lets it vote before it replies.
     """
 
     def run_world(self, scenario: Callable[[World], Awaitable[None]]) -> None:
@@ -147,21 +134,21 @@
 
     @staticmethod
     async def wait_active(world: World, epoch: int) -> bool:
-        ends_at = world.clock.monotonic() + SUCCESSOR_SECONDS
-        while world.clock.monotonic() < ends_at:
+        deadline = world.clock.monotonic() + SUCCESSOR_SECONDS
+        while world.clock.monotonic() < deadline:
             found = world.replica_set()
             if found is not None and found.is_active and found.epoch >= epoch:
                 return True
             await world.clock.sleep(0.1)
         return False
 
-    def test_a_first_set_forms(self) -> None:
+    def test_first_replica_set_forms(self) -> None:
         async def scenario(world: World) -> None:
             self.assertTrue(await self.wait_active(world, epoch=1))
 
         self.run_world(scenario)
 
-    def test_a_frozen_member_is_replaced(self) -> None:
+    def test_frozen_member_is_replaced(self) -> None:
         async def scenario(world: World) -> None:
             self.assertTrue(await self.wait_active(world, epoch=1))
             first = world.replica_set()
@@ -173,11 +160,7 @@
 
 
 class BookingTest(unittest.TestCase):
-    """Beside such writers eight of eight plays of the test of real processes lost bookings.
-
-    Each vote of a replica had 0.5 s, so that every booking was refused as not run for as long as
-    the disks were busy: ``the victim dispatched nothing``.
-    """
+    """Bookings succeed on busy disks and fail fast without a responsive majority."""
 
     def run_world(
         self, scenario: Callable[[World], Awaitable[None]], *, commit_seconds: float
@@ -189,7 +172,7 @@
 
         run_simulation(main)
 
-    def test_a_booking_runs_however_busy_the_disks_are(self) -> None:
+    def test_booking_runs_on_busy_disks(self) -> None:
         async def scenario(world: World) -> None:
             outcome = await world.call("n1", "booking", patience=SUCCESSOR_SECONDS)
             self.assertIsInstance(outcome, ClaimAnswered)
@@ -197,7 +180,7 @@
 
         self.run_world(scenario, commit_seconds=BUSY_COMMIT_SECONDS)
 
-    def test_while_a_majority_is_silent_bookings_are_refused_soon(self) -> None:
+    def test_bookings_fail_fast_without_a_responsive_majority(self) -> None:
         async def scenario(world: World) -> None:
             for name in ("d1", "d2"):
                 world.hosts[name].freeze()
@@ -218,9 +201,9 @@
 
 
 class BusyDisksScenarioTest(unittest.TestCase):
-    """Whole nodes under every kind of fault, on disks whose writes take up to four seconds."""
+    """Whole nodes under every kind of fault, on busy disks."""
 
-    def test_every_promise_holds(self) -> None:
+    def test_no_violations(self) -> None:
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
                 report = run_scenario(find_scenario("busy-disks"), seed, Node).report
--- a/tests/test_transport_bench.py
+++ b/tests/test_transport_bench.py
@@ -1,4 +1,4 @@
-"""The transport bench on a small load: it runs and counts what it says."""
+"""The transport bench reports the number of its calls and their concurrency."""
 
 import unittest
 
