--- a/drumbay/bench/__init__.py
+++ b/drumbay/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load generation, experiments and reports."""
+"""Benchmarks, load generation and simulated clusters for tests."""
--- a/drumbay/bench/closed_loop.py
+++ b/drumbay/bench/closed_loop.py
@@ -1,8 +1,8 @@
-"""A closed-loop load generator: each worker sends its next request after its last answer.
+"""Closed-loop load generator: each worker waits for a response before its next request.
 
-NOTE: a closed loop slows down with the system it measures, so its latencies say nothing of
-an arrival rate; see Schroeder, Wierman and Harchol-Balter, "Open Versus Closed" (NSDI 2006).
-It compares two ways to the same server under the same concurrency, as ratios.
+The rate of a closed loop adapts to the measured system, so its latencies do not apply to a given
+arrival rate; see Schroeder, Wierman and Harchol-Balter, "Open Versus Closed" (NSDI 2006). It
+compares two paths to the same server under the same concurrency.
 """
 
 import asyncio
@@ -15,24 +15,24 @@
 from drumbay.clock import Clock
 from drumbay.exceptions import DrumbayError
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 600_000_000
-SIGNIFICANT_DIGITS = 3
+MIN_LATENCY_MICROSECONDS = 1
+MAX_LATENCY_MICROSECONDS = 600_000_000
+HISTOGRAM_SIGNIFICANT_DIGITS = 3
 MICROSECONDS_PER_SECOND = 1_000_000
 MICROSECONDS_PER_MILLISECOND = 1_000
 
 SendRequest = Callable[[int], Awaitable[None]]
-"""Sends request number N and returns once its answer is whole."""
+"""Sends a request, given its number, and returns after the complete response."""
 
 
 class ClosedLoopParameters(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of one run; it ends at whichever of count and time is reached first.
+    """Bounds of one run, which ends at the request count or the time limit.
 
     Attributes:
-        concurrency: Workers.
-        requests: Requests measured.
-        warmup_requests: Requests sent before, which are not measured.
-        max_seconds: Limit of the measured part; requests under way are finished.
+        concurrency: Number of workers.
+        requests: Number of measured requests.
+        warmup_requests: Number of unmeasured requests before.
+        max_seconds: Time limit; requests in flight are completed.
     """
 
     concurrency: int = 32
@@ -42,18 +42,18 @@
 
 
 class ClosedLoopResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run measured.
+    """Measurements of one run.
 
     Attributes:
-        requests: Requests answered.
-        failures: Requests that failed, by code of the exception.
+        requests: Answered requests.
+        failures: Failed requests by error code.
         seconds: Duration.
         requests_per_second: Rate of answered requests.
         p50_milliseconds: Median latency.
-        p99_milliseconds: 99th percentile.
-        max_milliseconds: Largest latency.
-        cpu_seconds: CPU time of the watched processes, user and system.
-        requests_per_cpu_second: Answered requests per second of that CPU time.
+        p99_milliseconds: 99th percentile of the latency.
+        max_milliseconds: Maximum latency.
+        cpu_seconds: User and system CPU time of the measured processes.
+        requests_per_cpu_second: Answered requests per second of CPU time.
     """
 
     requests: int
@@ -68,7 +68,7 @@
 
 
 class ClosedLoopRatios(msgspec.Struct, frozen=True, kw_only=True):
-    """One run relative to another."""
+    """Ratios of one run to another."""
 
     requests_per_second: float
     p50: float
@@ -77,7 +77,7 @@
 
 
 def ratios(result: ClosedLoopResult, baseline: ClosedLoopResult) -> ClosedLoopRatios:
-    """Return a run relative to its baseline."""
+    """Return the ratios of a run to its baseline."""
     return ClosedLoopRatios(
         requests_per_second=_ratio(result.requests_per_second, baseline.requests_per_second),
         p50=_ratio(result.p50_milliseconds, baseline.p50_milliseconds),
@@ -93,39 +93,41 @@
 
 
 class _Workers:
-    """Workers that share a budget of requests."""
+    """Workers that share a number of requests."""
 
     def __init__(self, clock: Clock, send: SendRequest) -> None:
         self._clock = clock
         self._send = send
         self._next_number = 0
         self._last_number = 0
-        self._ends_at = 0.0
+        self._deadline = 0.0
         self.failures: dict[str, int] = {}
-        self.histogram = HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+        self.histogram = HdrHistogram(
+            MIN_LATENCY_MICROSECONDS, MAX_LATENCY_MICROSECONDS, HISTOGRAM_SIGNIFICANT_DIGITS
+        )
 
     async def run(self, concurrency: int, requests: int, max_seconds: float) -> None:
-        """Send a number of requests within a time."""
+        """Send ``requests`` requests or as many as the time limit allows."""
         self.failures = {}
         self.histogram.reset()
         self._last_number = self._next_number + requests
-        self._ends_at = self._clock.monotonic() + max_seconds
-        await asyncio.gather(*(self._work() for _ in range(concurrency)))
+        self._deadline = self._clock.monotonic() + max_seconds
+        await asyncio.gather(*(self._run_worker() for _ in range(concurrency)))
 
-    async def _work(self) -> None:
-        while self._next_number < self._last_number and self._clock.monotonic() < self._ends_at:
+    async def _run_worker(self) -> None:
+        while self._next_number < self._last_number and self._clock.monotonic() < self._deadline:
             number = self._next_number
             self._next_number += 1
             await self._measure(number)
 
     async def _measure(self, number: int) -> None:
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         try:
             await self._send(number)
         except DrumbayError as error:
             self.failures[error.code] = self.failures.get(error.code, 0) + 1
             return
-        elapsed = self._clock.monotonic() - began
+        elapsed = self._clock.monotonic() - started_at
         self.histogram.record_value(max(round(elapsed * MICROSECONDS_PER_SECOND), 1))
 
 
@@ -133,24 +135,24 @@
     send: SendRequest,
     clock: Clock,
     parameters: ClosedLoopParameters,
-    watched_processes: tuple[int, ...],
+    process_ids: tuple[int, ...],
 ) -> ClosedLoopResult:
     """Send requests in a closed loop and measure them.
 
     Args:
-        send: Sends one request; a :class:`~drumbay.exceptions.DrumbayError` counts as failure.
-        clock: Time of the measurement.
+        send: Sends one request; a :class:`~drumbay.exceptions.DrumbayError` is a failure.
+        clock: Clock for the measurement.
         parameters: Bounds of the run.
-        watched_processes: Process ids whose CPU time is counted.
+        process_ids: Processes whose CPU time is measured.
     """
     workers = _Workers(clock, send)
     concurrency = parameters.concurrency
     await workers.run(concurrency, parameters.warmup_requests, parameters.max_seconds)
-    cpu_before = cpu_seconds(watched_processes)
-    began = clock.monotonic()
+    cpu_before = cpu_seconds(process_ids)
+    started_at = clock.monotonic()
     await workers.run(concurrency, parameters.requests, parameters.max_seconds)
-    elapsed = clock.monotonic() - began
-    used = cpu_seconds(watched_processes) - cpu_before
+    elapsed = clock.monotonic() - started_at
+    cpu_used = cpu_seconds(process_ids) - cpu_before
     histogram = workers.histogram
     answered = int(histogram.get_total_count())
     return ClosedLoopResult(
@@ -161,15 +163,15 @@
         p50_milliseconds=histogram.get_value_at_percentile(50.0) / MICROSECONDS_PER_MILLISECOND,
         p99_milliseconds=histogram.get_value_at_percentile(99.0) / MICROSECONDS_PER_MILLISECOND,
         max_milliseconds=histogram.get_max_value() / MICROSECONDS_PER_MILLISECOND,
-        cpu_seconds=used,
-        requests_per_cpu_second=_ratio(answered, used),
+        cpu_seconds=cpu_used,
+        requests_per_cpu_second=_ratio(answered, cpu_used),
     )
 
 
-def cpu_seconds(processes: tuple[int, ...]) -> float:
-    """Return the user and system CPU time of processes so far."""
+def cpu_seconds(pids: tuple[int, ...]) -> float:
+    """Return the total user and system CPU time of processes."""
     total = 0.0
-    for number in processes:
+    for number in pids:
         times = psutil.Process(number).cpu_times()
         total += times.user + times.system
     return total
--- a/drumbay/bench/configuration_cluster.py
+++ b/drumbay/bench/configuration_cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster of nodes that run only the configuration service."""
+"""Simulated cluster of nodes that run only the configuration service."""
 
 import asyncio
 import random
@@ -39,57 +39,57 @@
 ServiceType = type[ConfigurationService]
 
 
-class MeteredStore:
-    """One node's path to the key-value service: counted, and cut or slowed at will.
+class InstrumentedStore:
+    """A node's connection to the key-value service, with counters and fault injection.
 
     Attributes:
-        operations: Operations sent, watches included.
-        cut: Whether nothing gets through.
+        operations: Number of operations, watches included.
+        cut: Whether the connection is cut.
         batch_delay_seconds: Extra delay of each watch batch.
     """
 
     def __init__(self, inner: KeyValueStore) -> None:
-        """Count what goes to ``inner``."""
+        """Wrap ``inner``."""
         self._inner = inner
         self.operations = 0
         self.cut = False
         self.batch_delay_seconds = 0.0
 
-    def _pass(self) -> None:
+    def _record_operation(self) -> None:
         self.operations += 1
         if self.cut:
             raise KeyValueUnavailableError("cut off")
 
     async def range_prefix(self, prefix: str) -> RangeResult:
         """Return every key that starts with ``prefix``."""
-        self._pass()
+        self._record_operation()
         return await self._inner.range_prefix(prefix)
 
     async def range_page(self, prefix: str, after: str) -> RangeResult:
         """Return the keys of ``prefix`` that sort after a key."""
-        self._pass()
+        self._record_operation()
         return await self._inner.range_page(prefix, after)
 
     async def transact(
         self, compares: tuple[ModRevisionIs, ...], operations: tuple[Put | Delete, ...]
     ) -> TransactionResult:
-        """Carry out ``operations`` if all ``compares`` hold."""
-        self._pass()
+        """Apply ``operations`` if all ``compares`` hold."""
+        self._record_operation()
         return await self._inner.transact(compares, operations)
 
     async def grant_lease(self, ttl_seconds: float) -> LeaseGrant:
         """Grant a lease."""
-        self._pass()
+        self._record_operation()
         return await self._inner.grant_lease(ttl_seconds)
 
     async def keep_lease_alive(self, lease_id: int) -> float:
         """Renew a lease."""
-        self._pass()
+        self._record_operation()
         return await self._inner.keep_lease_alive(lease_id)
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease."""
-        self._pass()
+        """Revoke a lease."""
+        self._record_operation()
         await self._inner.revoke_lease(lease_id)
 
     async def watch_prefix(
@@ -98,8 +98,8 @@
         start_revision: Revision,
         quiet_seconds: float = MAX_QUIET_SECONDS,
     ) -> AsyncIterator[WatchBatch]:
-        """Yield the changes of ``prefix``, late if batches are delayed."""
-        self._pass()
+        """Yield the changes of ``prefix``, each batch after its extra delay."""
+        self._record_operation()
         async for batch in self._inner.watch_prefix(prefix, start_revision, quiet_seconds):
             await asyncio.sleep(self.batch_delay_seconds)
             if self.cut:
@@ -108,24 +108,24 @@
 
 
 class ConfigurationNode:
-    """A simulated machine with, while it runs, one configuration service.
+    """A simulated machine whose process runs a configuration service.
 
     Attributes:
         host: The machine.
-        store: Its path to the key-value service.
-        service: The service of the running process.
-        operators: The operators' service of the running process.
+        store: Its connection to the key-value service.
+        service: Configuration service of the current process.
+        operators: Operator service of the current process.
     """
 
     service: ConfigurationService
     operators: OperatorService
 
     def __init__(self, cluster: "ConfigurationCluster", host: SimulatedHost) -> None:
-        """Create the node without a process."""
+        """Create a node without a process."""
         self._cluster = cluster
         self.host = host
-        self.store = MeteredStore(MemoryKeyValueStore(cluster.model, cluster.clock))
-        self._boots = 0
+        self.store = InstrumentedStore(MemoryKeyValueStore(cluster.model, cluster.clock))
+        self._boot_count = 0
 
     @property
     def name(self) -> str:
@@ -134,7 +134,7 @@
 
     @property
     def peer_view(self) -> PeerView:
-        """Return the node as others see it."""
+        """Return the membership record of the node."""
         return PeerView(
             node_id=NodeId(self.host.name),
             address=self.host.address,
@@ -144,9 +144,9 @@
         )
 
     def start(self, service_type: ServiceType = ConfigurationService) -> None:
-        """Start a process with a service that knows only what is on disk."""
+        """Start a process whose service loads its state from disk only."""
         process = self.host.start()
-        self._boots += 1
+        self._boot_count += 1
         cluster = self._cluster
         store = GatedKeyValueStore(process, self.store)
         clock = self.host.clock()
@@ -156,17 +156,17 @@
             store=store,
             node_id=NodeId(self.host.name),
             members=cluster.members,
-            generator=random.Random(f"{cluster.seed} {self.host.name} {self._boots}"),
+            generator=random.Random(f"{cluster.seed} {self.host.name} {self._boot_count}"),
             task_owner=TaskOwner(),
             data_folder=self.host.data_folder,
         )
         self.operators = OperatorService(clock=clock, store=store, configuration=self.service)
-        boot = self._boots
+        boot = self._boot_count
         self.service.on_change(lambda view: cluster.observe(self.name, boot, view))
         process.run(self.service.start)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         await self.host.kill()
 
 
@@ -174,12 +174,12 @@
     """Nodes, a network and a key-value service on one virtual clock.
 
     Attributes:
-        seed: Seed of every random choice.
-        network: Messages between nodes.
+        seed: Seed of all random choices.
+        network: Network between nodes.
         model: The key-value service.
-        clock: Time of the service.
-        nodes: Every node by name.
-        observations: What each node had in force, in order of time.
+        clock: Clock of the key-value service.
+        nodes: Nodes by name.
+        observations: Configurations applied by the nodes, ordered by time.
     """
 
     def __init__(
@@ -193,7 +193,7 @@
         latency: LatencyModel | None = None,
         history_limit: int = 10_000,
     ) -> None:
-        """Create the cluster; node ``i`` stands at location ``i`` modulo their number."""
+        """Create the cluster; the locations are assigned to the nodes round robin."""
         self.seed = seed
         self.network = SimulatedNetwork(
             random.Random(seed), latency or LatencyModel(), Trace(kept_events=0)
@@ -207,10 +207,10 @@
         self.nodes: dict[str, ConfigurationNode] = {}
         self.observations: list[Observation] = []
         for index in range(node_count):
-            self._add(index, locations[index % len(locations)], index < disk_count, folder)
+            self._add_node(index, locations[index % len(locations)], index < disk_count, folder)
         self._members = tuple(node.peer_view for node in self.nodes.values())
 
-    def _add(self, index: int, location: Location, disk: bool, folder: Path | None) -> None:
+    def _add_node(self, index: int, location: Location, disk: bool, folder: Path | None) -> None:
         name = f"node-{index:03d}"
         data_folder = folder / name if disk and folder is not None else None
         address = Address(f"10.0.{index // 250}.{index % 250 + 1}", NODE_PORT)
@@ -219,11 +219,11 @@
         self.nodes[name] = ConfigurationNode(self, host)
 
     def members(self) -> tuple[PeerView, ...]:
-        """Return the members, as the membership service would."""
+        """Return the current membership."""
         return self._members
 
     def set_members(self, nodes: list[ConfigurationNode]) -> None:
-        """Let the membership consist of these nodes."""
+        """Set the membership to ``nodes``."""
         self._members = tuple(node.peer_view for node in nodes)
 
     def start_all(self, service_type: ServiceType = ConfigurationService) -> None:
@@ -232,7 +232,7 @@
             node.start(service_type)
 
     def observe(self, node: str, boot: int, view: ConfigurationView) -> None:
-        """Record what a node has in force."""
+        """Record the configuration that a node applied."""
         observation = Observation(
             at_seconds=self.clock.monotonic(),
             node=node,
@@ -243,18 +243,18 @@
         self.observations.append(observation)
 
     def running(self) -> list[ConfigurationNode]:
-        """Return the nodes that run a process."""
+        """Return the nodes with a running process."""
         return [node for node in self.nodes.values() if node.host.running]
 
     def operations(self) -> int:
-        """Return the operations sent to the key-value service so far."""
+        """Return the number of operations sent to the key-value service."""
         return sum(node.store.operations for node in self.nodes.values())
 
     async def wait_until(self, condition: Callable[[], bool], limit_seconds: float) -> float:
-        """Wait for a condition, checked every 10 ms; return the seconds it took.
+        """Poll a condition every 10 ms until it holds; return the elapsed seconds.
 
         Raises:
-            TimeoutError: It did not come true in time.
+            TimeoutError: The condition did not hold within the limit.
         """
         start = self.clock.monotonic()
         while not condition():
@@ -264,14 +264,14 @@
         return self.clock.monotonic() - start
 
     async def wait_in_force(self, revision: Revision, limit_seconds: float = 30.0) -> float:
-        """Wait until a revision is in force on every running node; return the seconds."""
+        """Wait until all running nodes apply a revision; return the elapsed seconds."""
         return await self.wait_until(
             lambda: all(node.service.snapshot().revision >= revision for node in self.running()),
             limit_seconds,
         )
 
     async def wait_loaded(self, limit_seconds: float = 60.0) -> float:
-        """Wait until every running node is ready; return the seconds."""
+        """Wait until all running nodes are ready; return the elapsed seconds."""
         return await self.wait_until(
             lambda: all(node.service.readiness().ready for node in self.running()),
             limit_seconds,
--- a/drumbay/bench/configuration_history.py
+++ b/drumbay/bench/configuration_history.py
@@ -1,4 +1,4 @@
-"""What nodes had in force over time, and the check that nothing went back."""
+"""Configurations observed on nodes over time, and a check for reversions."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class Observation(msgspec.Struct, frozen=True, kw_only=True):
-    """The configuration that one node had in force from a time on."""
+    """A configuration that a node applied at a time."""
 
     at_seconds: float
     node: str
@@ -18,7 +18,7 @@
 
 
 class Reversion(msgspec.Struct, frozen=True, kw_only=True):
-    """A node had an older state of a resource in force after a newer one."""
+    """A node applied an older revision of a resource after a newer one."""
 
     at_seconds: float
     node: str
@@ -28,12 +28,12 @@
 
 
 def find_reversions(observations: list[Observation]) -> list[Reversion]:
-    """Check every node's history, over restarts, for a resource that went back."""
-    newest: dict[str, dict[str, Revision]] = {}
+    """Return the resources that reverted on a node, also across restarts."""
+    latest_revisions: dict[str, dict[str, Revision]] = {}
     reversions: list[Reversion] = []
     for observation in observations:
-        known = newest.get(observation.node, {})
-        newest[observation.node] = observation.resource_revisions
+        known = latest_revisions.get(observation.node, {})
+        latest_revisions[observation.node] = observation.resource_revisions
         for resource, before in known.items():
             after = observation.resource_revisions.get(resource, Revision(0))
             if after < before:
@@ -50,7 +50,7 @@
 
 
 def commit_times(model: KeyValueModel) -> dict[Revision, float]:
-    """Return when the key-value service committed each revision."""
+    """Return the commit time of each revision in the key-value service."""
     return {
         entry.revision: entry.at_seconds for entry in model.log if isinstance(entry, LoggedChange)
     }
--- a/drumbay/bench/forwarding.py
+++ b/drumbay/bench/forwarding.py
@@ -1,8 +1,8 @@
-"""What a node adds to a request: latency and CPU time, beside the way straight to the back end.
+"""Forwarding overhead of a node: latency and CPU time compared with direct requests.
 
-The same closed-loop load is sent straight to an emulator and through one node, one after the
-other in one run, and compared as ratios. The processes are started by ``bench/forwarding.sh``
-or by hand; this program sends the load and reads their CPU time.
+The same closed-loop load is sent first directly to an emulated back end and then through one
+node. The processes must be running already, for example from ``bench/forwarding.sh``; this
+module sends the load and measures their CPU time.
 """
 
 import asyncio
@@ -31,16 +31,16 @@
 from drumbay.exceptions import UnavailableError
 
 REQUEST_TIMEOUT_SECONDS = 30.0
-MAXIMUM_ANSWER_BYTES = 1 << 20
+MAX_RESPONSE_BYTES = 1 << 20
 ARTICLE_PATH = "/articles/article-1"
 APPLICATION_PREFIX = "/app"
 BYTES_PER_MEGABYTE = 1_000_000
 MILLISECONDS_PER_SECOND = 1_000
-TOKENS_PER_REPORTED_COST = 1_000
+TOKENS_PER_COST_UNIT = 1_000
 
 
 class UnexpectedStatusError(UnavailableError):
-    """An answer was no success."""
+    """A response has an unexpected status."""
 
     code = "unexpected_status"
 
@@ -49,14 +49,14 @@
     """Processes under load.
 
     Attributes:
-        node: Base URL of the node that carries the load.
-        node_processes: Process ids of all nodes, first the one that carries the load.
-        application: Base URL of the application's emulator.
-        application_process: Its process id.
+        node: Base URL of the node under load.
+        node_processes: Process ids of all nodes, starting with the node under load.
+        application: Base URL of the emulated application server.
+        application_process: Process id of the application server.
         engine: Base URL of the only engine of the model.
-        engine_process: Its process id.
-        model: The model.
-        tokens: Tokens of one completion.
+        engine_process: Process id of the engine.
+        model: Name of the model.
+        tokens: Tokens per completion.
     """
 
     node: str
@@ -70,15 +70,15 @@
 
 
 class ForwardingComparison(msgspec.Struct, frozen=True, kw_only=True):
-    """One kind of request, straight and through the node.
+    """One kind of request, sent directly and through the node.
 
     Attributes:
-        straight: Load sent straight to the emulator; the CPU time is the emulator's.
-        through_node: Load sent through the node; the CPU time is the node's.
+        straight: Load sent directly to the back end, with the CPU time of the back end.
+        through_node: Load sent through the node, with the CPU time of the node.
         ratios: ``through_node`` relative to ``straight``.
-        node_cpu_milliseconds_per_request: CPU time of the node that carried the load.
-        all_nodes_cpu_milliseconds_per_request: The same of all nodes together; replicas of
-            claims work at each.
+        node_cpu_milliseconds_per_request: CPU time of the node under load.
+        all_nodes_cpu_milliseconds_per_request: CPU time of all nodes, which includes the
+            replicas of claims.
     """
 
     straight: ClosedLoopResult
@@ -88,8 +88,8 @@
     all_nodes_cpu_milliseconds_per_request: float
 
 
-class IdleUse(msgspec.Struct, frozen=True, kw_only=True):
-    """A node without traffic: CPU in percent of one core, and memory."""
+class IdleUsage(msgspec.Struct, frozen=True, kw_only=True):
+    """Resource usage of an idle node; CPU in percent of one core."""
 
     seconds: float
     cpu_percent: float
@@ -97,27 +97,27 @@
 
 
 class ForwardingReport(msgspec.Struct, frozen=True, kw_only=True):
-    """All figures of one run."""
+    """Results of one run."""
 
-    idle: tuple[IdleUse, ...]
+    idle: tuple[IdleUsage, ...]
     lookups: ForwardingComparison
     claimed_bookings: ForwardingComparison
     streamed_completions: ForwardingComparison
     node_cpu_milliseconds_per_1000_tokens: float
 
 
-class _Sender:
-    """Sends one kind of request to one URL and checks the answer."""
+class _RequestSender:
+    """Creates senders of requests that check the response status."""
 
     def __init__(self, connector: HttpConnector, name: str) -> None:
         self._connector = connector
         self._name = name
 
     async def _send(self, call: HttpCall) -> None:
-        answer = await self._connector.exchange(call)
-        await answer.body(MAXIMUM_ANSWER_BYTES)
-        if answer.status >= 300:
-            raise UnexpectedStatusError(f"{call.url}: status {answer.status}")
+        response = await self._connector.exchange(call)
+        await response.body(MAX_RESPONSE_BYTES)
+        if response.status >= 300:
+            raise UnexpectedStatusError(f"{call.url}: status {response.status}")
 
     def lookup(self, base_url: str) -> Callable[[int], Awaitable[None]]:
         async def send(number: int) -> None:
@@ -180,8 +180,8 @@
         return send
 
 
-class _Comparer:
-    """Runs one load straight and through the node."""
+class _LoadComparison:
+    """Runs the same load directly and through the node."""
 
     def __init__(
         self, clock: Clock, parameters: ClosedLoopParameters, node_processes: tuple[int, ...]
@@ -203,16 +203,17 @@
         result = await run_closed_loop(
             through_node, self._clock, self._parameters, self._node_processes[:1]
         )
-        # NOTE: the other nodes' share includes the warm-up, which is counted for below.
-        others = cpu_seconds(self._node_processes[1:]) - before
-        sent = result.requests + self._parameters.warmup_requests
-        own = _milliseconds_per(result.cpu_seconds, result.requests)
+        # The CPU time of the other nodes includes the warm-up requests.
+        other_nodes_cpu_seconds = cpu_seconds(self._node_processes[1:]) - before
+        total_requests = result.requests + self._parameters.warmup_requests
+        node_milliseconds = _milliseconds_per(result.cpu_seconds, result.requests)
         return ForwardingComparison(
             straight=baseline,
             through_node=result,
             ratios=ratios(result, baseline),
-            node_cpu_milliseconds_per_request=own,
-            all_nodes_cpu_milliseconds_per_request=own + _milliseconds_per(others, sent),
+            node_cpu_milliseconds_per_request=node_milliseconds,
+            all_nodes_cpu_milliseconds_per_request=node_milliseconds
+            + _milliseconds_per(other_nodes_cpu_seconds, total_requests),
         )
 
 
@@ -222,19 +223,19 @@
 
 async def measure_idle(
     clock: Clock, processes: tuple[int, ...], seconds: float
-) -> tuple[IdleUse, ...]:
-    """Return what processes use while no request is sent."""
+) -> tuple[IdleUsage, ...]:
+    """Measure the resource usage of idle processes."""
     before = [cpu_seconds((process,)) for process in processes]
-    began = clock.monotonic()
+    started_at = clock.monotonic()
     await clock.sleep(seconds)
-    elapsed = clock.monotonic() - began
+    elapsed = clock.monotonic() - started_at
     return tuple(
-        IdleUse(
+        IdleUsage(
             seconds=elapsed,
-            cpu_percent=100.0 * (cpu_seconds((process,)) - used) / elapsed,
+            cpu_percent=100.0 * (cpu_seconds((process,)) - cpu_before) / elapsed,
             resident_megabytes=psutil.Process(process).memory_info().rss / BYTES_PER_MEGABYTE,
         )
-        for process, used in zip(processes, before, strict=True)
+        for process, cpu_before in zip(processes, before, strict=True)
     )
 
 
@@ -243,25 +244,25 @@
 ) -> ForwardingReport:
     clock = SystemClock()
     connector = HttpConnector()
-    comparer = _Comparer(clock, parameters, targets.node_processes)
-    straight = _Sender(connector, "straight")
-    through = _Sender(connector, "through-node")
-    application_at_node = targets.node + APPLICATION_PREFIX
+    comparison = _LoadComparison(clock, parameters, targets.node_processes)
+    straight = _RequestSender(connector, "straight")
+    via_node = _RequestSender(connector, "through-node")
+    application_via_node = targets.node + APPLICATION_PREFIX
     try:
         idle = await measure_idle(clock, targets.node_processes, idle_seconds)
-        lookups = await comparer.compare(
+        lookups = await comparison.compare(
             straight.lookup(targets.application),
-            through.lookup(application_at_node),
+            via_node.lookup(application_via_node),
             targets.application_process,
         )
-        bookings = await comparer.compare(
+        bookings = await comparison.compare(
             straight.booking(targets.application),
-            through.booking(application_at_node),
+            via_node.booking(application_via_node),
             targets.application_process,
         )
-        completions = await comparer.compare(
+        completions = await comparison.compare(
             straight.completion(targets.engine, targets.model, targets.tokens),
-            through.completion(targets.node, targets.model, targets.tokens),
+            via_node.completion(targets.node, targets.model, targets.tokens),
             targets.engine_process,
         )
     finally:
@@ -272,20 +273,18 @@
         lookups=lookups,
         claimed_bookings=bookings,
         streamed_completions=completions,
-        node_cpu_milliseconds_per_1000_tokens=per_request
-        * TOKENS_PER_REPORTED_COST
-        / targets.tokens,
+        node_cpu_milliseconds_per_1000_tokens=per_request * TOKENS_PER_COST_UNIT / targets.tokens,
     )
 
 
 def run_forwarding_bench(
     targets: ForwardingTargets, parameters: ClosedLoopParameters, idle_seconds: float
 ) -> ForwardingReport:
-    """Measure the cost of forwarding.
+    """Measure the forwarding overhead.
 
     Args:
-        targets: The processes, already running.
-        parameters: Bounds of each of the six loads.
-        idle_seconds: How long the idle nodes are watched first.
+        targets: Running processes.
+        parameters: Bounds of each load.
+        idle_seconds: Duration of the idle measurement.
     """
     return asyncio.run(_measure(targets, parameters, idle_seconds))
--- a/drumbay/bench/ownership_cluster.py
+++ b/drumbay/bench/ownership_cluster.py
@@ -1,8 +1,7 @@
-"""Simulated nodes that campaign for resources, and checkers of what came of it.
+"""Simulated nodes that campaign for the ownership of resources, with checkers.
 
-The checkers read the execution log of the key-value stand-in and what the receiver of
-orders accepted; they do not ask the managers who owns what, except for the claims that
-they check.
+The checkers use the log of the emulated key-value service and the orders accepted by a
+receiver. From the ownership managers they use only the claims that they check.
 """
 
 import asyncio
@@ -32,11 +31,11 @@
 
 LOCATION = Location(zone="zone-1", region="region-1")
 CLIENT_TIMEOUT_SECONDS = 5.0
-WRITE_INTERVAL_SECONDS = 1.0
+ORDER_INTERVAL_SECONDS = 1.0
 
 
 class AcceptedOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order that a receiver carried out."""
+    """An order that a receiver accepted."""
 
     at_seconds: float
     node: str
@@ -44,11 +43,11 @@
 
 
 class OrderReceiver:
-    """A back end that obeys orders for one resource unless their fence is old.
+    """A back end that accepts orders unless their fence is stale.
 
     Attributes:
-        accepted: Orders carried out, in their order.
-        refused: Number of orders refused.
+        accepted: Accepted orders in order of arrival.
+        refused: Number of refused orders.
     """
 
     def __init__(self, guard: FenceGuard) -> None:
@@ -58,10 +57,10 @@
         self._guard = guard
 
     def order(self, name: str, order: AcceptedOrder) -> None:
-        """Carry out an order.
+        """Accept an order.
 
         Raises:
-            StaleOwnerError: A newer fence was seen.
+            StaleOwnerError: The receiver has seen a newer fence.
         """
         try:
             self._guard.admit(name, order.fence)
@@ -76,20 +75,20 @@
 
     Attributes:
         host: The machine.
-        manager: The manager of its running process.
-        store: The machine's way to the key-value service.
-        changes: Every change that the managers of this machine announced.
+        manager: Ownership manager of the current process.
+        store: Connection to the key-value service.
+        changes: Ownership changes announced by the managers of this machine.
     """
 
     def __init__(self, cluster: "OwnershipCluster", host: SimulatedHost) -> None:
-        """Create a machine without process."""
+        """Create a machine without a process."""
         self.host = host
         self.store = MemoryKeyValueStore(
             cluster.model, cluster.model.clock, timeout_seconds=CLIENT_TIMEOUT_SECONDS
         )
         self.changes: list[OwnershipChange] = []
         self._cluster = cluster
-        self._boots = 0
+        self._boot_count = 0
 
     @property
     def node_id(self) -> NodeId:
@@ -99,14 +98,14 @@
     def start(self, names: Sequence[str]) -> None:
         """Start a process that campaigns for ``names``."""
         process = self.host.start()
-        self._boots += 1
+        self._boot_count += 1
         cluster = self._cluster
         self.manager = OwnershipManager(
             self.host.clock(),
             GatedKeyValueStore(process, self.store),
             self.node_id,
             TaskOwner(),
-            random.Random(f"{cluster.seed} {self.host.name} {self._boots}"),
+            random.Random(f"{cluster.seed} {self.host.name} {self._boot_count}"),
             live_members=lambda: cluster.live_members(self.node_id),
             parameters=cluster.parameters,
             lease_state=cluster.make_state(cluster.parameters),
@@ -117,17 +116,17 @@
         process.run(self.manager.start)
 
     def start_ordering(self, name: str, receiver: OrderReceiver, gap_seconds: float) -> None:
-        """Let the process give an order each second while it may continue as owner.
+        """Send an order every second while the process is the owner.
 
         Args:
-            name: The resource.
-            receiver: Gets the orders.
-            gap_seconds: Time between the check of ownership and the order.
+            name: Name of the resource.
+            receiver: Receiver of the orders.
+            gap_seconds: Delay between the ownership check and the order.
         """
         process = self.host.process
-        process.spawn(self._give_orders(process, name, receiver, gap_seconds), "orders")
+        process.spawn(self._send_orders(process, name, receiver, gap_seconds), "orders")
 
-    async def _give_orders(
+    async def _send_orders(
         self, process: SimulatedProcess, name: str, receiver: OrderReceiver, gap_seconds: float
     ) -> None:
         clock = self.host.clock()
@@ -142,11 +141,11 @@
                     receiver.order(name, order)
                 except StaleOwnerError:
                     await self.manager.report_refusal(name, fence)
-            await clock.sleep(WRITE_INTERVAL_SECONDS - gap_seconds)
+            await clock.sleep(ORDER_INTERVAL_SECONDS - gap_seconds)
 
 
 class Claim(msgspec.Struct, frozen=True, kw_only=True):
-    """A node claimed at some moment that it may hand out new authority."""
+    """A node considered itself the owner of a resource at a time."""
 
     at_seconds: float
     node: str
@@ -155,14 +154,14 @@
 
 
 class OwnershipCluster:
-    """Nodes and a key-value service on one virtual clock; call it inside a simulation.
+    """Nodes and a key-value service; must be created within a simulation.
 
     Attributes:
-        seed: Seed of every random choice.
-        parameters: Timing of all nodes.
+        seed: Seed of all random choices.
+        parameters: Ownership parameters of all nodes.
         model: The key-value service.
-        nodes: Every node by name.
-        live_members: Returns what a node believes to be the live members.
+        nodes: Nodes by name.
+        live_members: Returns the live members from the view of a node.
         make_state: Creates the lease state of a node.
     """
 
@@ -175,7 +174,7 @@
         make_state: Callable[[OwnershipParameters], LeaseState] = LeaseState,
         log_renewals: bool = True,
     ) -> None:
-        """Create the machines without starting their processes."""
+        """Create the machines without processes."""
         self.seed = seed
         self.parameters = parameters or OwnershipParameters()
         self.make_state = make_state
@@ -192,11 +191,11 @@
         self.live_members: Callable[[NodeId], Sequence[NodeId]] = self.running_members
 
     def running_members(self, _observer: NodeId) -> Sequence[NodeId]:
-        """Return the nodes that run a process, as an ideal membership service would."""
+        """Return the nodes with a running process."""
         return [node.node_id for node in self.nodes.values() if node.host.running]
 
     def claims(self, names: Sequence[str]) -> list[Claim]:
-        """Return what the processes that run now claim; a frozen one claims nothing."""
+        """Return the current ownership claims of all processes that are not frozen."""
         now = self.model.now()
         claims: list[Claim] = []
         for node in self.nodes.values():
@@ -211,23 +210,23 @@
         return claims
 
     async def run_for(self, seconds: float, names: Sequence[str] = ()) -> list[Claim]:
-        """Let time pass and return the claims on ``names``, sampled every 50 ms."""
+        """Advance time and return the claims on ``names``, sampled every 50 ms."""
         claims: list[Claim] = []
-        end = self.model.now() + seconds
-        while self.model.now() < end:
+        ends_at = self.model.now() + seconds
+        while self.model.now() < ends_at:
             claims.extend(self.claims(names))
             await asyncio.sleep(0.05)
         self.model.expire_leases()
         return claims
 
     async def wait_for_owner(self, name: str, limit_seconds: float = 60.0) -> OwnershipNode:
-        """Wait until a running node may hand out new authority for a resource.
+        """Wait until a running node owns a resource.
 
         Raises:
-            TimeoutError: There was none in time.
+            TimeoutError: The resource got no owner within the limit.
         """
-        end = self.model.now() + limit_seconds
-        while self.model.now() < end:
+        ends_at = self.model.now() + limit_seconds
+        while self.model.now() < ends_at:
             found = self.claims([name])
             if found:
                 return self.nodes[found[0].node]
@@ -235,19 +234,19 @@
         raise TimeoutError(f"{name} has no owner after {limit_seconds} s")
 
 
-class Reign(msgspec.Struct, frozen=True, kw_only=True):
-    """A span in which a resource had one owner, from the key-value service's log."""
+class OwnershipPeriod(msgspec.Struct, frozen=True, kw_only=True):
+    """Time span of one ownership of a resource in the key-value service's log."""
 
     fence: Fence
     start_seconds: float
     end_seconds: float
 
 
-def read_reigns(model: KeyValueModel, name: str) -> list[Reign]:
-    """Return the spans of a resource's owners in the order of their fences."""
+def read_reigns(model: KeyValueModel, name: str) -> list[OwnershipPeriod]:
+    """Return the ownership periods of a resource, ordered by fence."""
     key = OWNERSHIP_PREFIX + name
-    reigns: list[Reign] = []
-    current: Reign | None = None
+    periods: list[OwnershipPeriod] = []
+    current: OwnershipPeriod | None = None
     for entry in model.log:
         if not isinstance(entry, LoggedChange):
             continue
@@ -255,35 +254,40 @@
             if event.key != key:
                 continue
             if current is not None:
-                reigns.append(msgspec.structs.replace(current, end_seconds=entry.at_seconds))
+                periods.append(msgspec.structs.replace(current, end_seconds=entry.at_seconds))
             current = None
             if event.item is not None:
-                current = Reign(
+                current = OwnershipPeriod(
                     fence=Fence(event.item.create_revision),
                     start_seconds=entry.at_seconds,
                     end_seconds=float("inf"),
                 )
-    return [*reigns, current] if current is not None else reigns
+    return [*periods, current] if current is not None else periods
 
 
 def find_unfounded_claims(model: KeyValueModel, claims: Sequence[Claim]) -> list[Claim]:
-    """Return the claims made while, by the service's log, the fence was not in force."""
+    """Return the claims outside the ownership period of their fence."""
     names = dict.fromkeys(claim.name for claim in claims)
-    spans = {(name, reign.fence): reign for name in names for reign in read_reigns(model, name)}
-    unfounded: list[Claim] = []
+    periods_by_fence = {
+        (name, period.fence): period for name in names for period in read_reigns(model, name)
+    }
+    invalid: list[Claim] = []
     for claim in claims:
-        span = spans.get((claim.name, claim.fence))
-        if span is None or not span.start_seconds <= claim.at_seconds < span.end_seconds:
-            unfounded.append(claim)
-    return unfounded
+        period_of_fence = periods_by_fence.get((claim.name, claim.fence))
+        if (
+            period_of_fence is None
+            or not period_of_fence.start_seconds <= claim.at_seconds < period_of_fence.end_seconds
+        ):
+            invalid.append(claim)
+    return invalid
 
 
 def find_orders_out_of_turn(accepted: Sequence[AcceptedOrder]) -> list[AcceptedOrder]:
-    """Return the orders carried out after one with a newer fence."""
-    newest = Fence(0)
+    """Return the orders that were accepted after one with a newer fence."""
+    newest_fence = Fence(0)
     found: list[AcceptedOrder] = []
     for order in accepted:
-        if order.fence < newest:
+        if order.fence < newest_fence:
             found.append(order)
-        newest = max(newest, order.fence)
+        newest_fence = max(newest_fence, order.fence)
     return found
--- a/drumbay/bench/rollout.py
+++ b/drumbay/bench/rollout.py
@@ -1,4 +1,4 @@
-"""Trainer idle share and staleness: the rollout policies against the plain baseline."""
+"""Benchmark of rollout scheduling policies: trainer idle time and sample staleness."""
 
 import statistics
 import sys
@@ -7,7 +7,7 @@
 import msgspec
 
 from drumbay.bench.rollout_world import (
-    RolloutWorld,
+    RolloutModel,
     Variant,
     WorldParameters,
     staleness_of,
@@ -19,7 +19,7 @@
 
 
 class Deployment(msgspec.Struct, frozen=True, kw_only=True):
-    """Sizes and agreed bound of one deployment."""
+    """Size, objective and staleness bound of a deployment."""
 
     name: str
     engines: int
@@ -46,15 +46,15 @@
 
 
 class RunFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one run.
+    """Results of one run.
 
     Attributes:
         idle_share: Share of time in which the trainer waited for samples.
-        mean_staleness_versions: Mean over the consumed samples.
-        fresh_share: Share of samples whose every token is of the trainer's version.
-        max_staleness_versions: Largest staleness of a consumed sample.
+        mean_staleness_versions: Mean staleness of the consumed samples.
+        fresh_share: Share of samples generated entirely with the trainer's version.
+        max_staleness_versions: Maximum staleness of a consumed sample.
         seconds_per_step: Mean time between steps.
-        wasted_token_share: Generated tokens that reached no batch and will reach none.
+        wasted_token_share: Share of generated tokens that were discarded.
     """
 
     idle_share: float
@@ -66,7 +66,7 @@
 
 
 class VariantReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one variant over all seeds, and its mean ratios to the baseline."""
+    """Results of one variant for all seeds, with its mean ratios to the baseline."""
 
     name: str
     runs: tuple[RunFigures, ...]
@@ -76,7 +76,7 @@
 
 
 class DeploymentReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Results for the sizes of one deployment."""
+    """Results of all variants for one deployment."""
 
     deployment: Deployment
     seeds: tuple[int, ...]
@@ -90,20 +90,20 @@
 
 
 def variants_for(deployment: Deployment) -> tuple[Variant, ...]:
-    """Return the baseline, the policy of a deployment, and parts of it for comparison."""
+    """Return the baseline, the policy of a deployment and ablations of both."""
     policy = policy_for(deployment.objective)
-    ahead = deployment.max_staleness_versions
+    steps_ahead = deployment.max_staleness_versions
     baseline = Variant(
         name=BASELINE_NAME,
         policy=BASELINE_POLICY,
-        submitted_ahead=ahead,
+        submitted_ahead=steps_ahead,
         deferrable_steps=0,
         drains_before_load=True,
     )
-    ours = Variant(
+    drumbay = Variant(
         name="drumbay",
         policy=policy,
-        submitted_ahead=ahead,
+        submitted_ahead=steps_ahead,
         deferrable_steps=0,
         drains_before_load=False,
     )
@@ -112,34 +112,36 @@
         baseline,
         replace(baseline, name="baseline, swap in place", drains_before_load=False),
         replace(baseline, name="baseline, nothing ahead", submitted_ahead=0),
-        ours,
-        replace(ours, name="drumbay, first come", policy=replace(policy, longest_first=False)),
-        replace(ours, name="drumbay, no moves", policy=replace(policy, move_long=False)),
-        replace(ours, name="drumbay, expiry ignored", policy=replace(policy, avoid_expiry=False)),
+        drumbay,
+        replace(drumbay, name="drumbay, first come", policy=replace(policy, longest_first=False)),
+        replace(drumbay, name="drumbay, no moves", policy=replace(policy, move_long=False)),
+        replace(
+            drumbay, name="drumbay, expiry ignored", policy=replace(policy, avoid_expiry=False)
+        ),
     ]
     if policy.defer_below_quantile > 0.0:
-        none_held = replace(policy, defer_below_quantile=0.0, newest_version_first=False)
-        variants.append(replace(ours, name="drumbay, none held", policy=none_held))
+        without_deferral = replace(policy, defer_below_quantile=0.0, newest_version_first=False)
+        variants.append(replace(drumbay, name="drumbay, none held", policy=without_deferral))
     return tuple(variants)
 
 
 def run_variant(parameters: WorldParameters, variant: Variant, seed: int) -> RunFigures:
-    """Run one variant once."""
-    world = RolloutWorld(parameters, variant, seed)
-    world.run()
-    steps = world.steps[parameters.warm_up_steps :]
-    waited = sum(step.waited_seconds for step in steps)
-    total = waited + sum(step.trained_seconds for step in steps)
+    """Run one variant with one seed."""
+    model = RolloutModel(parameters, variant, seed)
+    model.run()
+    steps = model.steps[parameters.warm_up_steps :]
+    total_waited = sum(step.waited_seconds for step in steps)
+    total_seconds = total_waited + sum(step.trained_seconds for step in steps)
     staleness = list(staleness_of(steps))
-    consumed_tokens = sum(step.token_count for step in world.steps)
-    unused_tokens = world.generated_tokens - consumed_tokens - world.pending_tokens
+    consumed_tokens = sum(step.token_count for step in model.steps)
+    unused_tokens = model.generated_tokens - consumed_tokens - model.pending_tokens
     return RunFigures(
-        idle_share=waited / total,
+        idle_share=total_waited / total_seconds,
         mean_staleness_versions=statistics.fmean(staleness),
         fresh_share=staleness.count(0) / len(staleness),
         max_staleness_versions=max(staleness),
-        seconds_per_step=total / len(steps),
-        wasted_token_share=unused_tokens / world.generated_tokens,
+        seconds_per_step=total_seconds / len(steps),
+        wasted_token_share=unused_tokens / model.generated_tokens,
     )
 
 
@@ -150,16 +152,22 @@
     warm_up_steps: int = 4,
     deployment_names: Sequence[str] = (),
 ) -> RolloutBenchReport:
-    """Run every variant of the deployments (all by default) on the same seeds."""
-    chosen = [d for d in DEPLOYMENTS if not deployment_names or d.name in deployment_names]
-    reports = [run_deployment(d, tuple(seeds), steps, warm_up_steps) for d in chosen]
+    """Run all variants of the deployments (all by default) with the same seeds."""
+    selected = [
+        deployment
+        for deployment in DEPLOYMENTS
+        if not deployment_names or deployment.name in deployment_names
+    ]
+    reports = [
+        run_deployment(deployment, tuple(seeds), steps, warm_up_steps) for deployment in selected
+    ]
     return RolloutBenchReport(deployments=tuple(reports))
 
 
 def run_deployment(
     deployment: Deployment, seeds: tuple[int, ...], steps: int, warm_up_steps: int
 ) -> DeploymentReport:
-    """Run every variant of one deployment."""
+    """Run all variants of one deployment."""
     parameters = WorldParameters(
         engines=deployment.engines,
         max_staleness_versions=deployment.max_staleness_versions,
@@ -193,7 +201,7 @@
 
 
 def _mean_ratio(pairs: Sequence[tuple[float, float]]) -> float:
-    """Return the mean of ratios by seed; 1 where both figures are 0."""
+    """Return the mean of the ratios per seed; 1 where both values are equal."""
     return statistics.fmean(
         1.0 if value == reference else value / max(reference, 1e-9) for value, reference in pairs
     )
--- a/drumbay/bench/rollout_world.py
+++ b/drumbay/bench/rollout_world.py
@@ -1,7 +1,7 @@
-"""Discrete-event model of engines, a trainer and weight changes around the real scheduler.
+"""Discrete-event model of engines, a trainer and weight updates around the scheduler.
 
-The scheduler and the stream owner are the product's own; engines, the trainer and the
-lengths of samples are models. Time is virtual.
+The scheduler and the stream owner are the production code; engines, trainer and sample lengths
+are modelled. Time is virtual.
 """
 
 import random
@@ -43,29 +43,29 @@
 from drumbay.standins.batch_rate import BatchRate
 
 CHUNK_TOKENS = 32
-TICK_SECONDS = 0.5
+TICK_INTERVAL_SECONDS = 0.5
 MAX_TOKENS = 8192
 SimulationProcess = Generator[simpy.Event, None, None]
 
 
 class WorldParameters(msgspec.Struct, frozen=True, kw_only=True):
-    """Sizes, times and the length distribution.
+    """Sizes, durations and length distribution of the model.
 
     Attributes:
         engines: Number of engines.
-        slots_per_engine: Largest batch.
+        slots_per_engine: Maximum batch size of an engine.
         samples_per_step: Samples that the trainer consumes per step.
-        siblings_per_group: Samples with the same prompt.
-        groups: Prompts in the data set; a step draws some of them.
-        train_seconds: Time of one training step.
-        load_seconds: Time from the publication of a version until an engine has it.
-        swap_pause_seconds: Time that an engine stands still while weights are exchanged.
-        max_staleness_versions: Oldest accepted weights, in versions behind the trainer.
+        siblings_per_group: Samples per prompt.
+        groups: Prompts in the data set, from which each step draws.
+        train_seconds: Duration of a training step.
+        load_seconds: Time from the publication of a version until an engine has loaded it.
+        swap_pause_seconds: Pause of an engine while it swaps weights.
+        max_staleness_versions: Maximum staleness of a sample, in versions behind the trainer.
         median_tokens: Median length of a sample.
         group_sigma: Log-normal spread between groups.
         sibling_sigma: Log-normal spread within a group.
-        steps: Training steps that are run.
-        warm_up_steps: First steps that are left out of the figures.
+        steps: Number of training steps.
+        warm_up_steps: Number of first steps excluded from the results.
     """
 
     engines: int
@@ -85,15 +85,15 @@
 
 
 class Variant(msgspec.Struct, frozen=True, kw_only=True):
-    """What is compared.
+    """Variant of the system under comparison.
 
     Attributes:
         name: Name in the report.
-        policy: Parameters of the scheduler.
-        submitted_ahead: Steps that are submitted before the trainer needs them.
-        deferrable_steps: By how many batches a late sample may be put off.
+        policy: Scheduling policy.
+        submitted_ahead: Number of steps submitted ahead of the current one.
+        deferrable_steps: Number of batches by which a late sample may be deferred.
         drains_before_load: Whether an engine finishes its samples before it loads weights;
-            otherwise samples go on under the new weights.
+            otherwise running samples continue with the new weights.
     """
 
     name: str
@@ -107,10 +107,10 @@
     """One training step.
 
     Attributes:
-        waited_seconds: Time without a whole batch.
-        trained_seconds: Time of training.
-        staleness_versions: Per sample, versions that its oldest token lies behind.
-        token_count: Tokens of the batch.
+        waited_seconds: Time spent waiting for a complete batch.
+        trained_seconds: Time spent training.
+        staleness_versions: Staleness of the oldest token of each sample.
+        token_count: Number of tokens in the batch.
     """
 
     waited_seconds: float
@@ -120,7 +120,7 @@
 
 
 class RunningSample(msgspec.Struct, kw_only=True):
-    """A sample on an engine."""
+    """A sample that an engine is generating."""
 
     dispatch: Dispatch
     spans: list[TokenSpan]
@@ -128,10 +128,10 @@
 
 
 class EngineModel:
-    """One engine: a batch that decodes in chunks at a rate that depends on its size."""
+    """An engine that decodes a batch in chunks, at a rate that depends on the batch size."""
 
     def __init__(self, name: str) -> None:
-        """Create an idle engine with version 0."""
+        """Create an idle engine with weight version 0."""
         self.backend_id = BackendId(name)
         self.version = WeightVersion(0)
         self.loading = False
@@ -139,20 +139,20 @@
         self.generated_tokens = 0
 
 
-class RolloutWorld:
-    """One run of one variant."""
+class RolloutModel:
+    """Simulation of one variant with one seed."""
 
     def __init__(self, parameters: WorldParameters, variant: Variant, seed: int) -> None:
-        """Create a world; ``run`` executes it."""
+        """Create the model; :meth:`run` executes it."""
         self._parameters = parameters
         self._variant = variant
-        self._lengths = random.Random(seed)
+        self._random = random.Random(seed)
         self._group_median = [
-            self._lengths.lognormvariate(0, parameters.group_sigma) * parameters.median_tokens
+            self._random.lognormvariate(0, parameters.group_sigma) * parameters.median_tokens
             for _ in range(parameters.groups)
         ]
         self._environment = simpy.Environment()
-        self._rate = BatchRate()
+        self._batch_rate = BatchRate()
         self._scheduler = RolloutScheduler(variant.policy)
         self._owner = StreamOwner(
             StreamName("bench"),
@@ -164,20 +164,20 @@
             BackendId(f"engine-{index}"): EngineModel(f"engine-{index}")
             for index in range(parameters.engines)
         }
-        self._targets: dict[SampleKey, int] = {}
-        self._partial: dict[SampleKey, list[TokenSpan]] = {}
+        self._target_tokens: dict[SampleKey, int] = {}
+        self._partial_spans: dict[SampleKey, list[TokenSpan]] = {}
         self._version = WeightVersion(0)
         self._step_seconds = parameters.train_seconds
         self.steps: list[StepRecord] = []
 
     @property
     def generated_tokens(self) -> int:
-        """Return the tokens that the engines produced, wasted ones included."""
+        """Return the number of generated tokens, discarded ones included."""
         return sum(engine.generated_tokens for engine in self._engines.values())
 
     @property
     def pending_tokens(self) -> int:
-        """Return the tokens that may still reach a batch."""
+        """Return the number of generated tokens that may still be consumed."""
         held = [sample.spans for e in self._engines.values() for sample in e.running.values()]
         running = sum(span.token_count for spans in held for span in spans)
         return running + sum(len(sample.token_ids) for sample in self._owner.ready.values())
@@ -185,7 +185,7 @@
     def run(self) -> None:
         """Run all training steps."""
         for engine in self._engines.values():
-            self._report(engine)
+            self._report_engine(engine)
             self._environment.process(self._decode(engine))
         self._environment.process(self._tick())
         self._environment.run(until=self._environment.process(self._train()))
@@ -194,26 +194,26 @@
         for decision in self._scheduler.handle(event, self._environment.now):
             match decision:
                 case Dispatch():
-                    self._start(decision)
+                    self._start_sample(decision)
                 case Cancel(key=key):
-                    self._cancel(key)
+                    self._cancel_sample(key)
 
-    def _start(self, dispatch: Dispatch) -> None:
-        held = self._partial.pop(dispatch.key, [])
+    def _start_sample(self, dispatch: Dispatch) -> None:
+        held = self._partial_spans.pop(dispatch.key, [])
         kept = [span for span in held if span.first_index < dispatch.kept_tokens]
-        prefill_seconds = self._rate.prefill_seconds(dispatch.kept_tokens + 64)
+        prefill_seconds = self._batch_rate.prefill_seconds(dispatch.kept_tokens + 64)
         running = RunningSample(
             dispatch=dispatch, spans=kept, ready_at=self._environment.now + prefill_seconds
         )
         self._engines[dispatch.backend_id].running[dispatch.key] = running
 
-    def _cancel(self, key: SampleKey) -> None:
+    def _cancel_sample(self, key: SampleKey) -> None:
         for engine in self._engines.values():
             running = engine.running.pop(key, None)
             if running is not None:
-                self._partial[key] = running.spans
+                self._partial_spans[key] = running.spans
 
-    def _report(self, engine: EngineModel) -> None:
+    def _report_engine(self, engine: EngineModel) -> None:
         drains = engine.loading and self._variant.drains_before_load
         self._handle(
             EngineReported(
@@ -225,7 +225,7 @@
 
     def _tick(self) -> SimulationProcess:
         while True:
-            yield self._environment.timeout(TICK_SECONDS)
+            yield self._environment.timeout(TICK_INTERVAL_SECONDS)
             self._handle(Tick())
 
     def _decode(self, engine: EngineModel) -> SimulationProcess:
@@ -233,17 +233,19 @@
             now = self._environment.now
             batch = [sample for sample in engine.running.values() if sample.ready_at <= now]
             if not batch:
-                yield self._environment.timeout(TICK_SECONDS / 10)
+                yield self._environment.timeout(TICK_INTERVAL_SECONDS / 10)
                 continue
-            yield self._environment.timeout(self._rate.decode_seconds(CHUNK_TOKENS, len(batch)))
+            yield self._environment.timeout(
+                self._batch_rate.decode_seconds(CHUNK_TOKENS, len(batch))
+            )
             for sample in batch:
                 if engine.running.get(sample.dispatch.key) is sample:
-                    self._produce(engine, sample)
+                    self._generate_chunk(engine, sample)
 
-    def _produce(self, engine: EngineModel, sample: RunningSample) -> None:
+    def _generate_chunk(self, engine: EngineModel, sample: RunningSample) -> None:
         key, attempt = sample.dispatch.key, sample.dispatch.attempt
         held = sum(span.token_count for span in sample.spans)
-        produced = min(CHUNK_TOKENS, self._targets[key] - held)
+        produced = min(CHUNK_TOKENS, self._target_tokens[key] - held)
         engine.generated_tokens += produced
         span = TokenSpan(
             weight_version=engine.version,
@@ -252,37 +254,37 @@
             first_index=held,
             token_count=produced,
         )
-        _append(sample.spans, span)
+        _append_span(sample.spans, span)
         spans = tuple(sample.spans)
         self._handle(ChunkReceived(key=key, attempt=attempt, version=engine.version, spans=spans))
-        finished = held + produced == self._targets[key]
+        finished = held + produced == self._target_tokens[key]
         if finished and engine.running.get(key) is sample:
             del engine.running[key]
             self._handle(SampleFinished(key=key, attempt=attempt))
-            self._owner.add_sample(_sample(sample))
+            self._owner.add_sample(_to_sample(sample))
 
     def _submit(self, step: int) -> None:
         parameters = self._parameters
         group_count = parameters.samples_per_step // parameters.siblings_per_group
         prompts: list[RolloutPrompt] = []
-        for group in self._lengths.sample(range(parameters.groups), group_count):
+        for group in self._random.sample(range(parameters.groups), group_count):
             for _ in range(parameters.siblings_per_group):
-                spread = self._lengths.lognormvariate(0, parameters.sibling_sigma)
+                spread = self._random.lognormvariate(0, parameters.sibling_sigma)
                 target = max(8, min(MAX_TOKENS, int(self._group_median[group] * spread)))
-                self._targets[SampleKey(step, len(prompts))] = target
+                self._target_tokens[SampleKey(step, len(prompts))] = target
                 prompts.append(RolloutPrompt(text="", group=str(group), max_tokens=MAX_TOKENS))
         entry = self._owner.decide_submit(step, prompts)
         if entry is not None:
             self._owner.choose(entry)
-        self._change_work()
+        self._update_wanted_samples()
 
-    def _change_work(self) -> None:
+    def _update_wanted_samples(self) -> None:
         wanted = [
             WantedSample(key=sample.key, prompt=sample.prompt) for sample in self._owner.missing()
         ]
         self._handle(WantedSamplesChanged(wanted=tuple(wanted)))
 
-    def _floor(self, version: WeightVersion) -> WeightVersion:
+    def _oldest_accepted(self, version: WeightVersion) -> WeightVersion:
         return WeightVersion(max(0, version - self._parameters.max_staleness_versions))
 
     def _train(self) -> SimulationProcess:
@@ -290,26 +292,26 @@
         for step in range(ahead):
             self._submit(step)
         for step in range(self._parameters.steps):
-            began = self._environment.now
-            # NOTE: the scheduler must know the published version before it gets new work.
-            self._forecast(step, began, self._version)
+            started_at = self._environment.now
+            # The scheduler needs the published version before it gets new work.
+            self._forecast(step, started_at, self._version)
             self._submit(step + ahead)
-            while (entry := self._compose(step)) is None:
-                yield self._environment.timeout(TICK_SECONDS / 2)
-            collected = self._environment.now
-            trained_at = collected + self._parameters.train_seconds
+            while (entry := self._collect_batch(step)) is None:
+                yield self._environment.timeout(TICK_INTERVAL_SECONDS / 2)
+            collected_at = self._environment.now
+            trained_at = collected_at + self._parameters.train_seconds
             self._forecast(step + 1, trained_at, WeightVersion(self._version + 1))
             yield self._environment.timeout(self._parameters.train_seconds)
-            self._record(entry, collected - began)
-            self._publish(trained_at - began)
+            self._record_step(entry, collected_at - started_at)
+            self._publish(trained_at - started_at)
 
-    def _compose(self, step: int) -> BatchFixed | None:
-        if self._owner.drop_stale(self._floor(self._version)):
-            self._change_work()
+    def _collect_batch(self, step: int) -> BatchFixed | None:
+        if self._owner.drop_stale(self._oldest_accepted(self._version)):
+            self._update_wanted_samples()
         count = self._parameters.samples_per_step
         try:
             decision = self._owner.decide_pull(
-                Cursor(step), count, self._floor(self._version), min_samples=count
+                Cursor(step), count, self._oldest_accepted(self._version), min_samples=count
             )
         except NothingReadyError:
             return None
@@ -317,12 +319,12 @@
         self._owner.choose(decision.entry)
         return decision.entry
 
-    def _forecast(self, next_step: int, at: float, version_next: WeightVersion) -> None:
+    def _forecast(self, next_step: int, at: float, upcoming_version: WeightVersion) -> None:
         forecast = StalenessForecast(
-            oldest_accepted=self._floor(self._version),
-            next_oldest_accepted=self._floor(version_next),
+            oldest_accepted=self._oldest_accepted(self._version),
+            next_oldest_accepted=self._oldest_accepted(upcoming_version),
             newest_version=self._version,
-            next_version=version_next,
+            next_version=upcoming_version,
             next_step=next_step,
             next_collection_at=at,
             interval_seconds=self._step_seconds,
@@ -330,7 +332,7 @@
         )
         self._handle(StalenessForecastChanged(forecast=forecast))
 
-    def _record(self, entry: BatchFixed, waited_seconds: float) -> None:
+    def _record_step(self, entry: BatchFixed, waited_seconds: float) -> None:
         samples = entry.batch.samples
         self.steps.append(
             StepRecord(
@@ -346,13 +348,13 @@
         self._step_seconds = step_seconds
         for engine in self._engines.values():
             if not engine.loading:
-                self._environment.process(self._load(engine))
+                self._environment.process(self._load_weights(engine))
 
-    def _load(self, engine: EngineModel) -> SimulationProcess:
+    def _load_weights(self, engine: EngineModel) -> SimulationProcess:
         engine.loading = True
-        self._report(engine)
+        self._report_engine(engine)
         while self._variant.drains_before_load and engine.running:
-            yield self._environment.timeout(TICK_SECONDS / 10)
+            yield self._environment.timeout(TICK_INTERVAL_SECONDS / 10)
         while engine.version < self._version:
             version = self._version
             yield self._environment.timeout(self._parameters.load_seconds)
@@ -361,10 +363,10 @@
                 sample.ready_at = max(sample.ready_at, resumes_at)
             engine.version = version
         engine.loading = False
-        self._report(engine)
+        self._report_engine(engine)
 
 
-def _append(spans: list[TokenSpan], added: TokenSpan) -> None:
+def _append_span(spans: list[TokenSpan], added: TokenSpan) -> None:
     last = spans[-1] if spans else None
     if (
         last is not None
@@ -377,7 +379,7 @@
         spans.append(added)
 
 
-def _sample(running: RunningSample) -> Sample:
+def _to_sample(running: RunningSample) -> Sample:
     token_count = sum(span.token_count for span in running.spans)
     return Sample(
         key=running.dispatch.key,
--- a/drumbay/bench/sharing.py
+++ b/drumbay/bench/sharing.py
@@ -1,4 +1,4 @@
-"""Live traffic beside a trainer: what rollouts cost live requests, and the reverse."""
+"""Benchmark of engines shared by live requests and rollouts."""
 
 import statistics
 from collections import Counter
@@ -13,18 +13,18 @@
 DEPLOYMENT_NAMES = ("bitacora-andina", "vakhandel-oost")
 DEFAULT_SEEDS = (1, 2, 3)
 MEDIAN = 0.5
-TAIL = 0.99
+P99 = 0.99
 
 NO_SHARING = EngineSharing(live_weight=0.0, headroom_places=0, preempt=False)
-"""Rollouts may fill every place, and are never stopped for live requests."""
+"""Rollouts may use all slots and are never preempted by live requests."""
 
 
 class SharingVariant(msgspec.Struct, frozen=True, kw_only=True):
-    """What is compared.
+    """Variant under comparison.
 
     Attributes:
         name: Name in the report.
-        sharing: How engines are shared.
+        sharing: Sharing policy of the engines.
         with_rollouts: Whether a trainer runs.
     """
 
@@ -46,19 +46,19 @@
 
 
 class SharingFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one run; times in seconds.
+    """Results of one run; times in seconds.
 
     Attributes:
         seed: Seed of the run.
-        requests: Live requests.
-        first_token_p50: Median time to the first token.
-        first_token_p99: Its 99th percentile.
-        total_p50: Median time to the last token, of answered requests.
-        total_p99: Its 99th percentile.
-        failures: Requests without an answer, by code; refusals are among them.
+        requests: Number of live requests.
+        first_token_p50: Median time to first token.
+        first_token_p99: 99th percentile of the time to first token.
+        total_p50: Median latency of answered requests.
+        total_p99: 99th percentile of the latency of answered requests.
+        failures: Failed and refused requests by error code.
         idle_share: Share of time in which the trainer waited for samples.
-        steps: Steps that the trainer finished.
-        sample_tokens: Tokens of the samples that the trainer consumed.
+        steps: Completed training steps.
+        sample_tokens: Tokens of the consumed samples.
     """
 
     seed: int
@@ -74,7 +74,7 @@
 
 
 class SharingVariantReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one variant on one deployment, with mean ratios to the first variant."""
+    """Results of one variant for one deployment, with mean ratios to the first variant."""
 
     deployment: str
     variant: str
@@ -92,17 +92,17 @@
     seeds: Sequence[int] = DEFAULT_SEEDS,
     load: SharingLoad | None = None,
 ) -> tuple[SharingVariantReport, ...]:
-    """Run the variants (all by default) of the deployments on the same seeds."""
-    usual = load or SharingLoad()
-    reference, *others = VARIANTS
-    chosen = [v for v in others if not variant_names or v.name in variant_names]
+    """Run the variants (all by default) of the deployments with the same seeds."""
+    base_load = load or SharingLoad()
+    baseline, *others = VARIANTS
+    selected = [v for v in others if not variant_names or v.name in variant_names]
     reports: list[SharingVariantReport] = []
     for name in deployment_names:
-        reference_runs: tuple[SharingFigures, ...] = ()
-        for variant in (reference, *chosen):
-            runs = tuple(_figures(seed, _run(name, variant, seed, usual)) for seed in seeds)
-            reference_runs = reference_runs or runs
-            reports.append(_report(name, variant, runs, reference_runs))
+        baseline_runs: tuple[SharingFigures, ...] = ()
+        for variant in (baseline, *selected):
+            runs = tuple(_summarize(seed, _run(name, variant, seed, base_load)) for seed in seeds)
+            baseline_runs = baseline_runs or runs
+            reports.append(_report(name, variant, runs, baseline_runs))
     return tuple(reports)
 
 
@@ -112,29 +112,29 @@
     return run_sharing(find_scenario(deployment), load, seed, variant.sharing)
 
 
-def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value below which a share of the values lies; 0 without values."""
+def percentile(values: Sequence[float], quantile: float) -> float:
+    """Return a quantile of the values; 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
-def _figures(seed: int, run: SharingRun) -> SharingFigures:
-    firsts = [
+def _summarize(seed: int, run: SharingRun) -> SharingFigures:
+    first_token_times = [
         outcome.first_token_seconds
         for outcome in run.live
         if outcome.first_token_seconds is not None
     ]
-    totals = [outcome.total_seconds for outcome in run.live if not outcome.failure]
+    total_times = [outcome.total_seconds for outcome in run.live if not outcome.failure]
     failures = Counter(outcome.failure for outcome in run.live if outcome.failure)
     return SharingFigures(
         seed=seed,
         requests=len(run.live),
-        first_token_p50=percentile(firsts, MEDIAN),
-        first_token_p99=percentile(firsts, TAIL),
-        total_p50=percentile(totals, MEDIAN),
-        total_p99=percentile(totals, TAIL),
+        first_token_p50=percentile(first_token_times, MEDIAN),
+        first_token_p99=percentile(first_token_times, P99),
+        total_p50=percentile(total_times, MEDIAN),
+        total_p99=percentile(total_times, P99),
         failures=dict(sorted(failures.items())),
         idle_share=run.idle_share,
         steps=run.steps,
@@ -146,11 +146,11 @@
     deployment: str,
     variant: SharingVariant,
     runs: tuple[SharingFigures, ...],
-    reference: tuple[SharingFigures, ...],
+    baseline: tuple[SharingFigures, ...],
 ) -> SharingVariantReport:
-    def ratio(figure: Callable[[SharingFigures], float]) -> float:
-        pairs = zip(runs, reference, strict=True)
-        return statistics.fmean(figure(run) / figure(alone) for run, alone in pairs)
+    def ratio(metric: Callable[[SharingFigures], float]) -> float:
+        pairs = zip(runs, baseline, strict=True)
+        return statistics.fmean(metric(run) / metric(baseline_run) for run, baseline_run in pairs)
 
     return SharingVariantReport(
         deployment=deployment,
@@ -164,7 +164,7 @@
 
 
 def format_sharing(reports: Sequence[SharingVariantReport]) -> str:
-    """Return the results as a Markdown table; means over the seeds, ratios in brackets."""
+    """Return a Markdown table of the means over all seeds, with ratios in parentheses."""
     lines = [
         "| deployment | variant | first token p50, s | p99, s (range) | total p50, s | p99, s "
         "| failed | idle share | sample tokens |",
@@ -176,17 +176,17 @@
 def _row(report: SharingVariantReport) -> str:
     runs = report.runs
 
-    def mean(figure: Callable[[SharingFigures], float]) -> float:
-        return statistics.fmean(figure(run) for run in runs)
+    def mean(metric: Callable[[SharingFigures], float]) -> float:
+        return statistics.fmean(metric(run) for run in runs)
 
-    tails = [run.first_token_p99 for run in runs]
+    p99_values = [run.first_token_p99 for run in runs]
     failed = sum(sum(run.failures.values()) for run in runs)
     requests = sum(run.requests for run in runs)
     return (
         f"| {report.deployment} | {report.variant} "
         f"| {mean(lambda run: run.first_token_p50):.3f} ({report.first_token_p50_ratio:.2f}) "
         f"| {mean(lambda run: run.first_token_p99):.3f} ({report.first_token_p99_ratio:.2f}; "
-        f"{min(tails):.2f}-{max(tails):.2f}) "
+        f"{min(p99_values):.2f}-{max(p99_values):.2f}) "
         f"| {mean(lambda run: run.total_p50):.3f} ({report.total_p50_ratio:.2f}) "
         f"| {mean(lambda run: run.total_p99):.3f} ({report.total_p99_ratio:.2f}) "
         f"| {failed} of {requests} "
--- a/drumbay/bench/sharing_world.py
+++ b/drumbay/bench/sharing_world.py
@@ -1,4 +1,4 @@
-"""One run of live traffic beside a trainer: whole nodes and emulated engines in virtual time."""
+"""One run of live traffic and a trainer on whole nodes and emulated engines in virtual time."""
 
 import asyncio
 import tempfile
@@ -26,22 +26,21 @@
 from drumbay.simulation.virtual_time import run_simulation
 
 CALL_TIMEOUT_SECONDS = 60.0
-START_SECONDS = 60.0
-"""Virtual time at which the load starts, after the set-up, so that the arrivals of a seed
-are the same in each variant."""
+LOAD_START_SECONDS = 60.0
+"""Virtual start time of the load, fixed so that arrivals are the same in each variant."""
 
 
 class SharingLoad(msgspec.Struct, frozen=True, kw_only=True):
     """Load of a run.
 
     Attributes:
-        duration_seconds: Virtual time in which live requests start.
-        samples_per_step: Samples of one training step; 0 runs no trainer.
-        step_seconds: Time of one training step.
-        sample_tokens: Most tokens of one sample.
-        live_per_second: Live requests outside bursts; 0 sends none.
-        live_tokens: Most tokens of one live completion.
-        burst_factor: Rate within a burst over the usual one.
+        duration_seconds: Virtual duration of the live traffic.
+        samples_per_step: Samples per training step; 0 runs no trainer.
+        step_seconds: Duration of a training step.
+        sample_tokens: Maximum tokens of a sample.
+        live_per_second: Rate of live requests outside bursts; 0 sends none.
+        live_tokens: Maximum tokens of a live completion.
+        burst_factor: Rate within a burst relative to the rate outside bursts.
         burst_interval_seconds: Mean time between bursts.
         burst_seconds: Length of a burst.
         live_priority: Priority of the live route.
@@ -60,12 +59,12 @@
 
 
 class LiveOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """One live request as its caller saw it.
+    """Outcome of one live request.
 
     Attributes:
-        first_token_seconds: Time to the first token; ``None`` if there was none.
+        first_token_seconds: Time to first token; ``None`` if there was none.
         total_seconds: Time to the last token or to the failure.
-        failure: Code of the failure; empty if it was answered.
+        failure: Error code; empty if the request was answered.
     """
 
     first_token_seconds: float | None
@@ -74,13 +73,13 @@
 
 
 class SharingRun(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run showed.
+    """Result of one run.
 
     Attributes:
-        live: The live requests.
-        idle_share: Share of time that the trainer waited for samples; 0 without one.
-        steps: Steps that the trainer finished.
-        sample_tokens: Tokens of the samples that the trainer consumed.
+        live: Outcomes of the live requests.
+        idle_share: Share of time in which the trainer waited for samples; 0 without a trainer.
+        steps: Completed training steps.
+        sample_tokens: Tokens of the consumed samples.
     """
 
     live: tuple[LiveOutcome, ...]
@@ -95,15 +94,17 @@
     """Run a deployment without faults.
 
     Args:
-        scenario: Gives zones, nodes, engines and delays; its load is replaced.
+        scenario: Zones, nodes, engines and delays; its load is replaced.
         load: Live traffic and trainer.
-        seed: Seed of all chance.
-        sharing: How engines are shared; the default if not given.
+        seed: Seed of all random choices.
+        sharing: Sharing policy of the engines; the default policy if omitted.
     """
     scenario = _with_load(scenario, load)
     with tempfile.TemporaryDirectory(prefix="drumbay-sharing-") as folder:
-        world = _SharingWorld(scenario, load, seed, Path(folder), sharing or EngineSharing())
-        return run_simulation(world.main)
+        simulation = _SharingSimulation(
+            scenario, load, seed, Path(folder), sharing or EngineSharing()
+        )
+        return run_simulation(simulation.main)
 
 
 def _with_load(scenario: Scenario, load: SharingLoad) -> Scenario:
@@ -127,16 +128,16 @@
 
 
 class _MeasuredTrainer(SimulatedTrainer):
-    """A trainer that counts what it consumed."""
+    """A trainer that counts the consumed tokens."""
 
     @property
     def consumed_tokens(self) -> int:
-        """Return the tokens of the samples consumed so far."""
+        """Return the number of tokens in the consumed samples."""
         return sum(len(sample.token_ids) for sample in self._delivered)
 
 
-class _SharingWorld:
-    """The nodes, callers and trainer of one run."""
+class _SharingSimulation:
+    """Nodes, callers and trainer of one run."""
 
     def __init__(
         self,
@@ -153,14 +154,14 @@
         self._deployment = plan_deployment(scenario)
         self._folder = folder
         self._live: list[LiveOutcome] = []
-        self._picks = self._random_for("picks")
+        self._node_random = self._random_for("picks")
         self._model = next(pool.model for pool in scenario.pools if pool.kind is PoolKind.ENGINE)
 
     def _random_for(self, purpose: str) -> Random:
         return Random(f"{self._seed}/{purpose}")
 
     async def main(self) -> SharingRun:
-        """Run to the end."""
+        """Run the simulation and return its result."""
         network = self._scenario.network
         latency = LatencyModel(
             same_zone_seconds=network.same_zone_seconds,
@@ -175,11 +176,11 @@
         await self._set_up()
         trainers = [self._start_trainer(index) for index in range(len(self._scenario.trainers))]
         until_seconds = virtual_now() + self._load.duration_seconds
-        running = [asyncio.ensure_future(trainer.run(until_seconds)) for trainer in trainers]
+        trainer_tasks = [asyncio.ensure_future(trainer.run(until_seconds)) for trainer in trainers]
         await self._send_live(until_seconds)
-        for task in running:
+        for task in trainer_tasks:
             task.cancel()
-        await asyncio.gather(*running, return_exceptions=True)
+        await asyncio.gather(*trainer_tasks, return_exceptions=True)
         await self._cluster.stop()
         return SharingRun(
             live=tuple(self._live),
@@ -196,10 +197,10 @@
             self._cluster.node_ids,
         )
         resources = initial_resources(self._scenario, self._deployment)
-        await operators.set_up(tuple(self._adjusted(resource) for resource in resources))
-        await asyncio.sleep(START_SECONDS - virtual_now())
+        await operators.set_up(tuple(self._adjust_resource(resource) for resource in resources))
+        await asyncio.sleep(LOAD_START_SECONDS - virtual_now())
 
-    def _adjusted(self, resource: AnyResource) -> AnyResource:
+    def _adjust_resource(self, resource: AnyResource) -> AnyResource:
         if isinstance(resource, Route) and resource.route_kind is RouteKind.LIVE:
             return msgspec.structs.replace(resource, priority=self._load.live_priority)
         if isinstance(resource, WeightPolicy):
@@ -236,9 +237,9 @@
                 max_tokens=self._load.live_tokens,
             )
             async for chunk in run.node.generate(request):
-                self._note_first(first_token_at, chunk)
+                self._record_first_token(first_token_at, chunk)
 
-        node_id = self._picks.choice(self._cluster.node_ids)
+        node_id = self._node_random.choice(self._cluster.node_ids)
         failure = ""
         try:
             await self._cluster.gateway.call(node_id, read, CALL_TIMEOUT_SECONDS)
@@ -255,6 +256,6 @@
             )
         )
 
-    def _note_first(self, first_token_at: list[float], chunk: TokenChunk) -> None:
+    def _record_first_token(self, first_token_at: list[float], chunk: TokenChunk) -> None:
         if not first_token_at and chunk.token_ids:
             first_token_at.append(virtual_now())
--- a/drumbay/bench/subset_graph.py
+++ b/drumbay/bench/subset_graph.py
@@ -1,4 +1,4 @@
-"""Graphs between nodes and workers, demands on them, and the capacity they carry."""
+"""Bipartite graphs of nodes and workers, with their usable capacity under demand patterns."""
 
 import random as random_module
 from collections.abc import Sequence
@@ -23,23 +23,23 @@
 
 
 class Demand(StrEnum):
-    """How the arrival rates of the nodes differ."""
+    """Distribution of the arrival rate over the nodes."""
 
     UNIFORM = "uniform"
-    """Every node has the same rate."""
+    """All nodes have the same rate."""
 
     HOT_NODES = "hot_nodes"
-    """A random tenth of the nodes carries half of the demand."""
+    """A random tenth of the nodes receives half of the demand."""
 
     HOT_ZONE = "hot_zone"
-    """The nodes of one zone of six carry two fifths of the demand."""
+    """The nodes of one of six zones receive two fifths of the demand."""
 
     HOT_NEIGHBOURS = "hot_neighbours"
-    """The tenth of the nodes that share most workers with node 0 carries half of it."""
+    """The tenth of the nodes sharing most workers with node 0 receives half of the demand."""
 
 
 class SubsetGraph(msgspec.Struct, frozen=True, kw_only=True):
-    """Worker indexes of each node, and the zones of both."""
+    """Workers assigned to each node, and the zones of nodes and workers."""
 
     worker_sets: tuple[tuple[int, ...], ...]
     node_zones: tuple[int, ...]
@@ -57,12 +57,12 @@
 
     @property
     def mean_degree(self) -> float:
-        """Return the mean number of workers of a node."""
+        """Return the mean number of workers per node."""
         return sum(len(workers) for workers in self.worker_sets) / self.node_count
 
 
 def build_graph(node_count: int, worker_count: int, policy: SubsetPolicy) -> SubsetGraph:
-    """Return the graph that the nodes would form, zones dealt round robin."""
+    """Return the graph formed by a subset policy, with zones assigned round robin."""
     node_zones = tuple(index % ZONE_COUNT for index in range(node_count))
     worker_zones = tuple(index % ZONE_COUNT for index in range(worker_count))
     nodes = [
@@ -85,66 +85,70 @@
 
 
 def demand_shares(graph: SubsetGraph, demand: Demand, random: random_module.Random) -> list[float]:
-    """Return each node's share of the demand; the shares add up to 1."""
+    """Return the share of each node in the demand; the shares sum to 1."""
     nodes = range(graph.node_count)
     if demand is Demand.UNIFORM:
         return [1.0 / graph.node_count] * graph.node_count
     if demand is Demand.HOT_ZONE:
-        hot = [index for index in nodes if graph.node_zones[index] == 0]
-        return _two_level_shares(graph.node_count, hot, HOT_ZONE_DEMAND_SHARE)
+        hot_nodes = [index for index in nodes if graph.node_zones[index] == 0]
+        return _two_level_shares(graph.node_count, hot_nodes, HOT_ZONE_DEMAND_SHARE)
     hot_count = max(1, round(graph.node_count * HOT_NODE_SHARE))
     if demand is Demand.HOT_NODES:
-        hot = random.sample(nodes, hot_count)
+        hot_nodes = random.sample(nodes, hot_count)
     else:
-        first = set(graph.worker_sets[0])
-        hot = sorted(nodes, key=lambda index: -len(first & set(graph.worker_sets[index])))
-        hot = hot[:hot_count]
-    return _two_level_shares(graph.node_count, hot, HOT_DEMAND_SHARE)
+        first_workers = set(graph.worker_sets[0])
+        hot_nodes = sorted(
+            nodes, key=lambda index: -len(first_workers & set(graph.worker_sets[index]))
+        )
+        hot_nodes = hot_nodes[:hot_count]
+    return _two_level_shares(graph.node_count, hot_nodes, HOT_DEMAND_SHARE)
 
 
-def _two_level_shares(node_count: int, hot: Sequence[int], hot_share: float) -> list[float]:
-    shares = [(1.0 - hot_share) / (node_count - len(hot))] * node_count
-    for index in hot:
-        shares[index] = hot_share / len(hot)
+def _two_level_shares(node_count: int, hot_nodes: Sequence[int], hot_share: float) -> list[float]:
+    shares = [(1.0 - hot_share) / (node_count - len(hot_nodes))] * node_count
+    for index in hot_nodes:
+        shares[index] = hot_share / len(hot_nodes)
     return shares
 
 
 def capacity_share(graph: SubsetGraph, shares: Sequence[float]) -> float:
-    """Return the part of the workers' total rate that a demand of this shape can use.
+    """Return the share of the total worker capacity that a demand distribution can use.
 
     This is the largest intensity at which the demand is feasible (Tsitsiklis and Xu 2017,
-    definition 2.2). Each node in turn spreads its rate over its workers so that the
-    fullest are as full as one another; the rounds converge to the flow with the least
-    maximum. The flow found is a real one, so the result is a lower bound.
+    definition 2.2). Each node in turn distributes its rate over its workers by water-filling;
+    the rounds converge to the flow with the smallest maximum load. Every intermediate flow is
+    feasible, so the result is a lower bound.
     """
-    sets: list[IntArray] = [np.array(workers, dtype=np.int64) for workers in graph.worker_sets]
+    worker_sets_by_node: list[IntArray] = [
+        np.array(workers, dtype=np.int64) for workers in graph.worker_sets
+    ]
     flows: list[FloatArray] = [
         np.full(len(workers), share * graph.worker_count / len(workers))
-        for workers, share in zip(sets, shares, strict=True)
+        for workers, share in zip(worker_sets_by_node, shares, strict=True)
     ]
     load: FloatArray = np.zeros(graph.worker_count)
-    for workers, flow in zip(sets, flows, strict=True):
+    for workers, flow in zip(worker_sets_by_node, flows, strict=True):
         load[workers] += flow
-    previous = float(load.max())
+    previous_max_load = float(load.max())
     for _ in range(_MAX_BALANCE_ROUNDS):
-        for index, workers in enumerate(sets):
+        for index, workers in enumerate(worker_sets_by_node):
             load[workers] -= flows[index]
             rate = shares[index] * graph.worker_count
-            flows[index] = _fill_lowest(load[workers], rate)
+            flows[index] = _water_fill(load[workers], rate)
             load[workers] += flows[index]
-        current = float(load.max())
-        if previous - current < _BALANCE_TOLERANCE * current:
+        max_load = float(load.max())
+        if previous_max_load - max_load < _BALANCE_TOLERANCE * max_load:
             break
-        previous = current
+        previous_max_load = max_load
     return min(1.0, 1.0 / float(load.max()))
 
 
-def _fill_lowest(levels: FloatArray, amount: float) -> FloatArray:
-    """Return what to add to each level so that the lowest rise to a common one."""
+def _water_fill(levels: FloatArray, amount: float) -> FloatArray:
+    """Return the amounts that raise the lowest levels to a common level (water-filling)."""
     ordered = np.sort(levels)
     counts = np.arange(1, len(ordered) + 1)
-    common = (np.cumsum(ordered) + amount) / counts
-    fits = common >= ordered
-    level = common[np.flatnonzero(fits)[-1]]
+    common_levels = (np.cumsum(ordered) + amount) / counts
+    is_feasible = common_levels >= ordered
+    level = common_levels[np.flatnonzero(is_feasible)[-1]]
     added: FloatArray = np.maximum(0.0, level - levels)
     return added
--- a/drumbay/bench/transport.py
+++ b/drumbay/bench/transport.py
@@ -1,4 +1,4 @@
-"""Measures calls and datagrams between two transports over loopback, in one process."""
+"""Benchmark of calls between two transports over loopback in one process."""
 
 import asyncio
 import statistics
@@ -17,28 +17,28 @@
 
 
 class BenchCall(Message, frozen=True, kw_only=True):
-    """A call that carries a body."""
+    """A call with a body."""
 
     body: bytes
 
 
 class BenchReply(Message, frozen=True, kw_only=True):
-    """The reply to a :class:`BenchCall`."""
+    """Reply to a :class:`BenchCall`."""
 
     size_bytes: int
 
 
 class TransportBenchReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one run; processor time covers both ends of a call.
+    """Results of one run.
 
     Attributes:
-        call_count: Calls made.
-        concurrency: Calls outstanding at a time.
-        body_bytes: Body of each call.
-        calls_per_second: Calls by wall-clock time.
-        cpu_microseconds_per_call: Processor time per call, both ends.
-        latency_p50_milliseconds: Median time of a call.
-        latency_p99_milliseconds: 99th percentile.
+        call_count: Number of calls.
+        concurrency: Number of concurrent calls.
+        body_bytes: Size of the body of each call.
+        calls_per_second: Calls per second of wall-clock time.
+        cpu_microseconds_per_call: CPU time per call of client and server together.
+        latency_p50_milliseconds: Median latency.
+        latency_p99_milliseconds: 99th percentile of the latency.
     """
 
     call_count: int
@@ -57,42 +57,43 @@
 async def _call_repeatedly(
     client: TornadoTransport, peer: Address, request: BenchCall, count: int
 ) -> list[float]:
-    seconds: list[float] = []
+    latencies: list[float] = []
     for _ in range(count):
         started = time.perf_counter()
         await client.call(peer, request, timeout_seconds=CALL_TIMEOUT_SECONDS)
-        seconds.append(time.perf_counter() - started)
-    return seconds
+        latencies.append(time.perf_counter() - started)
+    return latencies
 
 
 async def _measure(call_count: int, concurrency: int, body_bytes: int) -> TransportBenchReport:
-    owner, clock = TaskOwner(), SystemClock()
-    server = TornadoTransport(LOOPBACK, CLUSTER_KEY, clock, owner)
-    client = TornadoTransport(LOOPBACK, CLUSTER_KEY, clock, owner)
+    task_owner, clock = TaskOwner(), SystemClock()
+    server = TornadoTransport(LOOPBACK, CLUSTER_KEY, clock, task_owner)
+    client = TornadoTransport(LOOPBACK, CLUSTER_KEY, clock, task_owner)
     await server.start()
     await client.start()
     server.handle_calls(BenchCall, _echo_size)
     request = BenchCall(body=bytes(body_bytes))
     await _call_repeatedly(client, server.address, request, concurrency)
-    per_caller = max(1, call_count // concurrency)
+    calls_per_caller = max(1, call_count // concurrency)
     wall_started, cpu_started = time.perf_counter(), time.process_time()
     callers = [
-        _call_repeatedly(client, server.address, request, per_caller) for _ in range(concurrency)
+        _call_repeatedly(client, server.address, request, calls_per_caller)
+        for _ in range(concurrency)
     ]
     results = await asyncio.gather(*callers)
     cpu_seconds = time.process_time() - cpu_started
     wall_seconds = time.perf_counter() - wall_started
     await client.close()
     await server.close()
-    await owner.close()
-    seconds = [each for result in results for each in result]
-    percentiles = statistics.quantiles(seconds, n=100)
+    await task_owner.close()
+    latencies = [latency for result in results for latency in result]
+    percentiles = statistics.quantiles(latencies, n=100)
     return TransportBenchReport(
-        call_count=len(seconds),
+        call_count=len(latencies),
         concurrency=concurrency,
         body_bytes=body_bytes,
-        calls_per_second=len(seconds) / wall_seconds,
-        cpu_microseconds_per_call=1e6 * cpu_seconds / len(seconds),
+        calls_per_second=len(latencies) / wall_seconds,
+        cpu_microseconds_per_call=1e6 * cpu_seconds / len(latencies),
         latency_p50_milliseconds=1000 * percentiles[49],
         latency_p99_milliseconds=1000 * percentiles[98],
     )
--- a/drumbay/bench/weights_cluster.py
+++ b/drumbay/bench/weights_cluster.py
@@ -1,4 +1,4 @@
-"""Emulated engines, a weight store and rollout services on one virtual clock."""
+"""Simulated cluster of emulated engines, a weight store and weight rollout services."""
 
 import asyncio
 import random
@@ -32,8 +32,8 @@
 FIRST_VERSION = WeightVersion(1)
 
 
-class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """One order as the engine received it."""
+class ReceivedOrder(msgspec.Struct, frozen=True, kw_only=True):
+    """An order received by an engine."""
 
     engine: BackendId
     fence: Fence
@@ -41,15 +41,15 @@
     started_at: float
 
 
-class ObservedEngine(EngineModel):
-    """An engine that notes when it receives an order."""
+class RecordingEngine(EngineModel):
+    """An engine that records received orders."""
 
-    loads: list[Load]
+    loads: list[ReceivedOrder]
 
     async def order(self, order: FencedOrder) -> EngineStatus:
-        """Note an order and carry it out."""
+        """Record an order and execute it."""
         clock = self._context.clock
-        load = Load(
+        load = ReceivedOrder(
             engine=self.backend_id,
             fence=order.fence,
             version=order.weight_version,
@@ -60,13 +60,13 @@
 
 
 class RolloutNode:
-    """A simulated machine with a rollout service.
+    """A simulated machine with a weight rollout service.
 
     Attributes:
         host: The machine.
-        lease_fence: Fence that the node believes to hold; ``None`` if it is not the owner.
-        records: Decisions the node explained.
-        service: The service.
+        lease_fence: Fence that the node assumes to hold; ``None`` if it is not the owner.
+        records: Decision records of the node.
+        service: The weight rollout service.
     """
 
     def __init__(
@@ -103,16 +103,16 @@
     """Engines of one model with their weight store.
 
     Attributes:
-        clock: Time of the platform.
+        clock: Clock of the platform.
         store: The weight store.
         engines: The engines.
-        addresses: Where the engines are reached.
+        addresses: Addresses of the engines.
         network: Network between nodes and engines.
         node_network: Network between nodes.
-        owner_address: Where nodes believe the owner of the rollout to be.
-        view: The configuration in force on every node.
-        needs: Versions that running samples need.
-        loads: Orders as the engines saw them.
+        owner_address: Address of the rollout owner from the view of the nodes.
+        view: Configuration in force on all nodes.
+        needs: Versions needed by running samples.
+        loads: Orders received by the engines.
     """
 
     def __init__(
@@ -131,9 +131,9 @@
         self.max_concurrent_loads = max_concurrent_loads
         self.store = WeightStoreModel(self.clock, "weights", store_parameters)
         self.store.publish(MODEL, FIRST_VERSION)
-        self.loads: list[Load] = []
+        self.loads: list[ReceivedOrder] = []
         self.engines = [
-            self._engine(index, engine_parameters or EngineParameters())
+            self._make_engine(index, engine_parameters or EngineParameters())
             for index in range(engine_count)
         ]
         self.addresses = tuple(
@@ -155,8 +155,8 @@
         )
         self.view = ConfigurationView(policies={MODEL: policy})
 
-    def _engine(self, index: int, parameters: EngineParameters) -> ObservedEngine:
-        engine = ObservedEngine(
+    def _make_engine(self, index: int, parameters: EngineParameters) -> RecordingEngine:
+        engine = RecordingEngine(
             self.clock,
             BackendId(f"engine-{index:03d}"),
             MODEL,
@@ -174,17 +174,17 @@
         service_type: type[WeightRolloutService] = WeightRolloutService,
         client: EngineClient | None = None,
     ) -> RolloutNode:
-        """Start a node that owns nothing yet."""
+        """Start a node that is not the owner."""
         return RolloutNode(self, name, service_type, client or self.client)
 
     def publish(self, version: int, *nodes: RolloutNode) -> None:
-        """Publish a version and tell nodes."""
+        """Publish a version and notify ``nodes``."""
         self.store.publish(MODEL, WeightVersion(version))
         for node in nodes:
             node.service.publish(MODEL, WeightVersion(version))
 
     def roll_back(self, keep: int, withdrawn_through: int) -> None:
-        """Put an operator's rollback in force."""
+        """Add an operator's rollback to the configuration."""
         rollback = WeightRollback(
             name=f"keep-{keep}", model=MODEL, keep=keep, withdrawn_through=withdrawn_through
         )
@@ -193,14 +193,14 @@
         )
 
     def true_versions(self) -> list[int]:
-        """Return the version that truly serves on each engine."""
+        """Return the version that each engine actually serves."""
         return [int(engine.true_version) for engine in self.engines]
 
     async def wait_until(self, condition: Callable[[], bool], limit_seconds: float) -> float:
-        """Wait for a condition, checked every 50 ms; return the seconds it took.
+        """Poll a condition every 50 ms until it holds; return the elapsed seconds.
 
         Raises:
-            TimeoutError: It did not come true in time.
+            TimeoutError: The condition did not hold within the limit.
         """
         start = self.clock.monotonic()
         while not condition():
@@ -210,14 +210,14 @@
         return self.clock.monotonic() - start
 
     async def wait_for_version(self, version: int, limit_seconds: float = 120.0) -> float:
-        """Wait until every engine truly serves a version; return the seconds."""
+        """Wait until all engines serve a version; return the elapsed seconds."""
         return await self.wait_until(
-            lambda: all(one == version for one in self.true_versions()), limit_seconds
+            lambda: all(served == version for served in self.true_versions()), limit_seconds
         )
 
     def most_busy(self) -> int:
-        """Return the largest number of engines that worked on orders at once."""
-        # NOTE: an engine goes on with an order whose giver died; its own log has the end.
+        """Return the maximum number of engines that executed orders concurrently."""
+        # The engine log has the end of an order, also if its sender was killed meanwhile.
         ends = {
             (engine.backend_id, entry.fence): entry.time_seconds
             for engine in self.engines
@@ -231,22 +231,22 @@
             if ended_at is not None:
                 changes.append((ended_at, -1, load.engine))
         changes.sort(key=lambda change: (change[0], change[1]))
-        open_loads: dict[BackendId, int] = {}
-        most = 0
-        for _at, step, engine in changes:
-            open_loads[engine] = open_loads.get(engine, 0) + step
-            most = max(most, sum(1 for count in open_loads.values() if count > 0))
-        return most
+        active_orders: dict[BackendId, int] = {}
+        peak = 0
+        for _at, delta, engine in changes:
+            active_orders[engine] = active_orders.get(engine, 0) + delta
+            peak = max(peak, sum(1 for count in active_orders.values() if count > 0))
+        return peak
 
     def steps_back(self) -> list[OrderHandled]:
-        """Return the loads, by the engines' own logs, after which an engine served less."""
-        back: list[OrderHandled] = []
+        """Return the completed loads in the engine logs that loaded an older version."""
+        regressions: list[OrderHandled] = []
         for engine in self.engines:
             newest = FIRST_VERSION
             for entry in engine.log.records():
                 if not isinstance(entry, OrderHandled) or entry.outcome is not OrderOutcome.DONE:
                     continue
                 if entry.weight_version is not None and entry.weight_version < newest:
-                    back.append(entry)
+                    regressions.append(entry)
                 newest = entry.weight_version or newest
-        return back
+        return regressions
--- a/tests/test_lone_node.py
+++ b/tests/test_lone_node.py
@@ -13,7 +13,7 @@
 
 from loguru import logger
 
-from drumbay.bench.configuration_cluster import ConfigurationCluster, MeteredStore, ServiceType
+from drumbay.bench.configuration_cluster import ConfigurationCluster, InstrumentedStore, ServiceType
 from drumbay.bench.configuration_history import find_reversions
 from drumbay.configuration.outcomes import WriteOutcome
 from drumbay.configuration.service import ConfigurationService
@@ -167,7 +167,7 @@
             await self.lose_majority(cluster)
             started = cluster.nodes["node-002"]
             empty_model = KeyValueModel(cluster.clock)
-            started.store = MeteredStore(MemoryKeyValueStore(empty_model, cluster.clock))
+            started.store = InstrumentedStore(MemoryKeyValueStore(empty_model, cluster.clock))
             started.start()
             await asyncio.sleep(3 * IN_FORCE_SECONDS)
             self.assertFalse(started.service.readiness().ready)
--- a/tests/test_replica_set_news.py
+++ b/tests/test_replica_set_news.py
@@ -4,7 +4,7 @@
 import unittest
 from random import Random
 
-from drumbay.bench.configuration_cluster import MeteredStore
+from drumbay.bench.configuration_cluster import InstrumentedStore
 from drumbay.claims.replica_set import (
     REPLICA_SET_KEY,
     ReplicaSet,
@@ -40,7 +40,7 @@
     def __init__(self, watcher_type: type[ReplicaSetWatcher]) -> None:
         self.model = KeyValueModel(OutsideClock())
         self.network = SimulatedNetwork(Random(1), LatencyModel(), Trace(0))
-        self.store = MeteredStore(MemoryKeyValueStore(self.model, OutsideClock()))
+        self.store = InstrumentedStore(MemoryKeyValueStore(self.model, OutsideClock()))
         addresses = tuple(Address(f"10.0.0.{index + 1}", 7000) for index in range(NODE_COUNT))
         self.watchers = []
         for index, address in enumerate(addresses):
