--- a/drumbay/bench/configuration_cluster.py
+++ b/drumbay/bench/configuration_cluster.py
@@ -25,10 +25,10 @@
     WatchBatch,
 )
 from drumbay.kv.memory import MemoryKeyValueStore
-from drumbay.simulation.gated_clients import GatedKeyValueStore
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.latency import LatencyModel
 from drumbay.simulation.network import SimulatedNetwork
+from drumbay.simulation.process_clients import ProcessKeyValueStore
 from drumbay.simulation.trace import Trace
 from drumbay.simulation.transport import SimulatedTransport
 from drumbay.standins.kv_model import KeyValueModel
@@ -148,7 +148,7 @@
         process = self.host.start()
         self._boot_count += 1
         cluster = self._cluster
-        store = GatedKeyValueStore(process, self.store)
+        store = ProcessKeyValueStore(process, self.store)
         clock = self.host.clock()
         self.service = service_type(
             clock=clock,
--- a/drumbay/bench/ownership_cluster.py
+++ b/drumbay/bench/ownership_cluster.py
@@ -22,9 +22,9 @@
     OwnershipParameters,
     StaleOwnerError,
 )
-from drumbay.simulation.gated_clients import GatedKeyValueStore
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.process import SimulatedProcess
+from drumbay.simulation.process_clients import ProcessKeyValueStore
 from drumbay.standins.kv_model import KeyValueModel
 from drumbay.standins.kv_records import LoggedChange
 from drumbay.tasks import TaskOwner
@@ -102,7 +102,7 @@
         cluster = self._cluster
         self.manager = OwnershipManager(
             self.host.clock(),
-            GatedKeyValueStore(process, self.store),
+            ProcessKeyValueStore(process, self.store),
             self.node_id,
             TaskOwner(),
             random.Random(f"{cluster.seed} {self.host.name} {self._boot_count}"),
@@ -115,7 +115,7 @@
             self.manager.campaign(name)
         process.run(self.manager.start)
 
-    def start_ordering(self, name: str, receiver: OrderReceiver, gap_seconds: float) -> None:
+    def start_sending_orders(self, name: str, receiver: OrderReceiver, gap_seconds: float) -> None:
         """Send an order every second while the process is the owner.
 
         Args:
@@ -144,7 +144,7 @@
             await clock.sleep(ORDER_INTERVAL_SECONDS - gap_seconds)
 
 
-class Claim(msgspec.Struct, frozen=True, kw_only=True):
+class OwnershipClaim(msgspec.Struct, frozen=True, kw_only=True):
     """A node considered itself the owner of a resource at a time."""
 
     at_seconds: float
@@ -194,10 +194,10 @@
         """Return the nodes with a running process."""
         return [node.node_id for node in self.nodes.values() if node.host.running]
 
-    def claims(self, names: Sequence[str]) -> list[Claim]:
+    def claims(self, names: Sequence[str]) -> list[OwnershipClaim]:
         """Return the current ownership claims of all processes that are not frozen."""
         now = self.model.now()
-        claims: list[Claim] = []
+        claims: list[OwnershipClaim] = []
         for node in self.nodes.values():
             if not node.host.running or node.host.process.frozen:
                 continue
@@ -205,13 +205,13 @@
                 fence = node.manager.valid_fence(name, now)
                 if fence is not None:
                     claims.append(
-                        Claim(at_seconds=now, node=node.host.name, name=name, fence=fence)
+                        OwnershipClaim(at_seconds=now, node=node.host.name, name=name, fence=fence)
                     )
         return claims
 
-    async def run_for(self, seconds: float, names: Sequence[str] = ()) -> list[Claim]:
+    async def run_for(self, seconds: float, names: Sequence[str] = ()) -> list[OwnershipClaim]:
         """Advance time and return the claims on ``names``, sampled every 50 ms."""
-        claims: list[Claim] = []
+        claims: list[OwnershipClaim] = []
         ends_at = self.model.now() + seconds
         while self.model.now() < ends_at:
             claims.extend(self.claims(names))
@@ -242,7 +242,7 @@
     end_seconds: float
 
 
-def read_reigns(model: KeyValueModel, name: str) -> list[OwnershipPeriod]:
+def read_ownership_periods(model: KeyValueModel, name: str) -> list[OwnershipPeriod]:
     """Return the ownership periods of a resource, ordered by fence."""
     key = OWNERSHIP_PREFIX + name
     periods: list[OwnershipPeriod] = []
@@ -265,13 +265,17 @@
     return [*periods, current] if current is not None else periods
 
 
-def find_unfounded_claims(model: KeyValueModel, claims: Sequence[Claim]) -> list[Claim]:
+def find_invalid_claims(
+    model: KeyValueModel, claims: Sequence[OwnershipClaim]
+) -> list[OwnershipClaim]:
     """Return the claims outside the ownership period of their fence."""
     names = dict.fromkeys(claim.name for claim in claims)
     periods_by_fence = {
-        (name, period.fence): period for name in names for period in read_reigns(model, name)
+        (name, period.fence): period
+        for name in names
+        for period in read_ownership_periods(model, name)
     }
-    invalid: list[Claim] = []
+    invalid: list[OwnershipClaim] = []
     for claim in claims:
         period_of_fence = periods_by_fence.get((claim.name, claim.fence))
         if (
@@ -282,7 +286,7 @@
     return invalid
 
 
-def find_orders_out_of_turn(accepted: Sequence[AcceptedOrder]) -> list[AcceptedOrder]:
+def find_stale_orders(accepted: Sequence[AcceptedOrder]) -> list[AcceptedOrder]:
     """Return the orders that were accepted after one with a newer fence."""
     newest_fence = Fence(0)
     found: list[AcceptedOrder] = []
--- a/drumbay/bench/rollout.py
+++ b/drumbay/bench/rollout.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from drumbay.bench.rollout_world import (
+from drumbay.bench.rollout_model import (
     RolloutModel,
+    RolloutModelParameters,
     Variant,
-    WorldParameters,
     staleness_of,
 )
 from drumbay.resources.schema import RolloutObjective
@@ -125,7 +125,7 @@
     return tuple(variants)
 
 
-def run_variant(parameters: WorldParameters, variant: Variant, seed: int) -> RunFigures:
+def run_variant(parameters: RolloutModelParameters, variant: Variant, seed: int) -> RunFigures:
     """Run one variant with one seed."""
     model = RolloutModel(parameters, variant, seed)
     model.run()
@@ -168,7 +168,7 @@
     deployment: Deployment, seeds: tuple[int, ...], steps: int, warm_up_steps: int
 ) -> DeploymentReport:
     """Run all variants of one deployment."""
-    parameters = WorldParameters(
+    parameters = RolloutModelParameters(
         engines=deployment.engines,
         max_staleness_versions=deployment.max_staleness_versions,
         steps=steps,
--- a/drumbay/bench/rollout_world.py
+++ b/drumbay/bench/rollout_model.py
@@ -48,7 +48,7 @@
 SimulationProcess = Generator[simpy.Event, None, None]
 
 
-class WorldParameters(msgspec.Struct, frozen=True, kw_only=True):
+class RolloutModelParameters(msgspec.Struct, frozen=True, kw_only=True):
     """Sizes, durations and length distribution of the model.
 
     Attributes:
@@ -142,7 +142,7 @@
 class RolloutModel:
     """Simulation of one variant with one seed."""
 
-    def __init__(self, parameters: WorldParameters, variant: Variant, seed: int) -> None:
+    def __init__(self, parameters: RolloutModelParameters, variant: Variant, seed: int) -> None:
         """Create the model; :meth:`run` executes it."""
         self._parameters = parameters
         self._variant = variant
--- a/drumbay/bench/sharing.py
+++ b/drumbay/bench/sharing.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from drumbay.bench.sharing_world import SharingLoad, SharingRun, run_sharing
+from drumbay.bench.sharing_run import SharingLoad, SharingRun, run_sharing
 from drumbay.resources.schema import EngineSharing
 from drumbay.simulation.scenario import find_scenario
 
--- a/drumbay/bench/sharing_world.py
+++ b/drumbay/bench/sharing_run.py
@@ -19,8 +19,8 @@
 from drumbay.simulation.history import History
 from drumbay.simulation.latency import LatencyModel
 from drumbay.simulation.load import BurstClock, generate_arrivals
-from drumbay.simulation.outside_clock import virtual_now
 from drumbay.simulation.scenario import PoolKind, Scenario
+from drumbay.simulation.simulation_clock import virtual_now
 from drumbay.simulation.trace import Trace
 from drumbay.simulation.trainers import SimulatedTrainer
 from drumbay.simulation.virtual_time import run_simulation
--- a/drumbay/bench/weights_cluster.py
+++ b/drumbay/bench/weights_cluster.py
@@ -14,10 +14,10 @@
 from drumbay.explain.records import DecisionRecord
 from drumbay.identifiers import BackendId, Fence, NodeId, StreamName, WeightVersion
 from drumbay.resources.schema import Selector, WeightPolicy, WeightRollback
-from drumbay.simulation.gated_clients import ProcessEngineClient
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.latency import LatencyModel
 from drumbay.simulation.network import SimulatedNetwork
+from drumbay.simulation.process_clients import ProcessEngineClient
 from drumbay.simulation.trace import Trace
 from drumbay.simulation.transport import SimulatedTransport
 from drumbay.standins.engine_model import EngineModel
@@ -192,7 +192,7 @@
             self.view, rollbacks={**self.view.rollbacks, rollback.name: rollback}
         )
 
-    def true_versions(self) -> list[int]:
+    def serving_versions(self) -> list[int]:
         """Return the version that each engine actually serves."""
         return [int(engine.actual_version) for engine in self.engines]
 
@@ -212,10 +212,10 @@
     async def wait_for_version(self, version: int, limit_seconds: float = 120.0) -> float:
         """Wait until all engines serve a version; return the elapsed seconds."""
         return await self.wait_until(
-            lambda: all(served == version for served in self.true_versions()), limit_seconds
+            lambda: all(served == version for served in self.serving_versions()), limit_seconds
         )
 
-    def most_busy(self) -> int:
+    def peak_loading_engines(self) -> int:
         """Return the maximum number of engines that executed orders concurrently."""
         # The engine log has the end of an order, also if its sender was killed meanwhile.
         ends = {
@@ -238,7 +238,7 @@
             peak = max(peak, sum(1 for count in active_orders.values() if count > 0))
         return peak
 
-    def steps_back(self) -> list[OrderHandled]:
+    def find_version_regressions(self) -> list[OrderHandled]:
         """Return the completed loads in the engine logs that loaded an older version."""
         regressions: list[OrderHandled] = []
         for engine in self.engines:
--- a/drumbay/cli/bench_sharing.py
+++ b/drumbay/cli/bench_sharing.py
@@ -30,7 +30,7 @@
         format_sharing,
         run_sharing_bench,
     )
-    from drumbay.bench.sharing_world import SharingLoad
+    from drumbay.bench.sharing_run import SharingLoad
 
     reports = run_sharing_bench(
         deployment_names=deployment or DEPLOYMENT_NAMES,
--- a/drumbay/simulation/callers.py
+++ b/drumbay/simulation/callers.py
@@ -22,7 +22,7 @@
     RequestReturned,
     VersionSpan,
 )
-from drumbay.simulation.outside_clock import virtual_now
+from drumbay.simulation.simulation_clock import virtual_now
 from drumbay.standins.application_model import answer_digest
 
 MAX_INVOCATIONS = 4
--- a/drumbay/simulation/cluster.py
+++ b/drumbay/simulation/cluster.py
@@ -17,12 +17,6 @@
 from drumbay.simulation.backend_partitions import BackendPartitions
 from drumbay.simulation.deployment import Deployment, NodePlan, node_settings
 from drumbay.simulation.faults import DegradeNetwork, KeyValueCondition
-from drumbay.simulation.gated_clients import (
-    GatedKeyValueStore,
-    ProcessApplicationClient,
-    ProcessEngineClient,
-    ProcessWeightStoreClient,
-)
 from drumbay.simulation.gateway import Gateway, NodeRun, SimulatedNode
 from drumbay.simulation.host import SimulatedHost
 from drumbay.simulation.latency import LatencyModel
@@ -30,6 +24,12 @@
 from drumbay.simulation.network import Cut, SimulatedNetwork
 from drumbay.simulation.platform import SimulatedPlatform
 from drumbay.simulation.process import SimulatedProcess
+from drumbay.simulation.process_clients import (
+    ProcessApplicationClient,
+    ProcessEngineClient,
+    ProcessKeyValueStore,
+    ProcessWeightStoreClient,
+)
 from drumbay.simulation.trace import Trace
 from drumbay.simulation.transport import SimulatedTransport
 from drumbay.standins.faults import FaultKind as BackendFaultKind
@@ -158,7 +158,7 @@
         return NodeEnvironment(
             clock=machine.clock(),
             transport=SimulatedTransport(self.network, machine.address, process),
-            store=GatedKeyValueStore(process, store),
+            store=ProcessKeyValueStore(process, store),
             engine_client=ProcessEngineClient(process, engines),
             application_client=ProcessApplicationClient(process, applications),
             machine_list=ProcessMachineListClient(process, platform.machine_list),
@@ -186,7 +186,7 @@
     def resume_host(self, host: str) -> None:
         """Resume the process of a host; no effect if none runs."""
         if self.hosts[NodeId(host)].running:
-            self.hosts[NodeId(host)].wake()
+            self.hosts[NodeId(host)].resume()
 
     def cut(self, cut: Cut, *, both_ways: bool) -> None:
         """Apply a cut between nodes and, for zones and regions, between nodes and back ends."""
--- a/drumbay/simulation/concurrent_operators.py
+++ b/drumbay/simulation/concurrent_operators.py
@@ -18,7 +18,7 @@
     History,
     RequestOutcome,
 )
-from drumbay.simulation.outside_clock import virtual_now
+from drumbay.simulation.simulation_clock import virtual_now
 
 APPLY_TIMEOUT_SECONDS = 40.0
 STATUS_QUERY_INTERVAL_SECONDS = 5.0
--- a/drumbay/simulation/host.py
+++ b/drumbay/simulation/host.py
@@ -183,9 +183,9 @@
         """Suspend the process, as SIGSTOP does."""
         self.process.freeze()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume a frozen process, as SIGCONT does."""
-        self.process.wake()
+        self.process.resume()
 
     async def kill(self) -> None:
         """End the process, as SIGKILL does."""
--- a/drumbay/simulation/maintenance.py
+++ b/drumbay/simulation/maintenance.py
@@ -15,7 +15,7 @@
     NodeRestored,
     PlannedStopStarted,
 )
-from drumbay.simulation.outside_clock import virtual_now
+from drumbay.simulation.simulation_clock import virtual_now
 
 STOP_TIMEOUT_SECONDS = 60.0
 DOWNTIME_SECONDS = 5.0
--- a/drumbay/simulation/observed_engine.py
+++ b/drumbay/simulation/observed_engine.py
@@ -5,7 +5,7 @@
 
 from drumbay.backends.interface import GenerationRequest, TokenChunk
 from drumbay.identifiers import AttemptId
-from drumbay.simulation.outside_clock import virtual_now
+from drumbay.simulation.simulation_clock import virtual_now
 from drumbay.standins.engine_model import EngineModel
 
 
--- a/drumbay/simulation/platform.py
+++ b/drumbay/simulation/platform.py
@@ -7,8 +7,8 @@
 from drumbay.simulation.faults import KeyValueCondition
 from drumbay.simulation.machine_list import SimulatedMachineList
 from drumbay.simulation.observed_engine import ObservedEngine
-from drumbay.simulation.outside_clock import OutsideClock
 from drumbay.simulation.scenario import PoolKind
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.standins.application_model import ApplicationModel
 from drumbay.standins.faults import FaultCommand, FaultKind
 from drumbay.standins.kv_faults import KeyValueFaults
@@ -41,7 +41,7 @@
 
     def __init__(self, deployment: Deployment, random: Random) -> None:
         """Start all services in a healthy state."""
-        self.clock = OutsideClock()
+        self.clock = SimulationClock()
         self.key_value = KeyValueModel(
             self.clock, generator=Random(random.getrandbits(64)), log_renewals=False
         )
--- a/drumbay/simulation/process.py
+++ b/drumbay/simulation/process.py
@@ -159,7 +159,7 @@
         """Suspend the process, as SIGSTOP does."""
         self._frozen = True
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Resume the process and deliver the queued events in order."""
         self._frozen = False
         while self._queued_callbacks and not self._frozen and self._alive:
--- a/drumbay/simulation/gated_clients.py
+++ b/drumbay/simulation/process_clients.py
@@ -35,7 +35,7 @@
 from drumbay.weights.store_interface import WeightStoreUnavailableError
 
 
-class GatedKeyValueStore:
+class ProcessKeyValueStore:
     """A key-value store accessed from one simulated process."""
 
     def __init__(self, process: SimulatedProcess, store: KeyValueStore) -> None:
--- a/drumbay/simulation/outside_clock.py
+++ b/drumbay/simulation/simulation_clock.py
@@ -15,7 +15,7 @@
     return asyncio.get_running_loop().time()
 
 
-class OutsideClock:
+class SimulationClock:
     """Virtual time, unaffected by skew, freezes and kills; a :class:`drumbay.clock.Clock`."""
 
     def monotonic(self) -> float:
--- a/drumbay/simulation/trainers.py
+++ b/drumbay/simulation/trainers.py
@@ -15,9 +15,9 @@
 from drumbay.rollout.sample import RolloutPrompt
 from drumbay.simulation.gateway import Gateway
 from drumbay.simulation.history import History, SampleConsumed, StepRequested, VersionSpan
-from drumbay.simulation.outside_clock import OutsideClock, virtual_now
 from drumbay.simulation.platform import FIRST_VERSION
 from drumbay.simulation.scenario import TrainerSection
+from drumbay.simulation.simulation_clock import SimulationClock, virtual_now
 from drumbay.standins.execution_log import SampleConsumed as LoggedSample
 from drumbay.standins.execution_log import StepFinished
 from drumbay.standins.trainer_model import (
@@ -83,7 +83,7 @@
             max_staleness_versions=section.max_staleness_versions,
         )
         self.model = TrainerModel(
-            OutsideClock(),
+            SimulationClock(),
             section.stream,
             section.model,
             self.stream,
--- a/tests/claims_world.py
+++ b/tests/claims_world.py
@@ -34,10 +34,10 @@
 from drumbay.identifiers import AttemptId, IdempotencyKey, NodeId
 from drumbay.kv.interface import Put
 from drumbay.kv.memory import MemoryKeyValueStore
-from drumbay.simulation.gated_clients import GatedKeyValueStore
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.latency import LatencyModel
 from drumbay.simulation.network import Cut, Scope, SimulatedNetwork
+from drumbay.simulation.process_clients import ProcessKeyValueStore
 from drumbay.simulation.trace import Trace
 from drumbay.simulation.transport import SimulatedTransport
 from drumbay.standins.kv_model import KeyValueModel
@@ -103,7 +103,7 @@
         random = Random(f"{world.settings.seed} {self.process.boot_id}")
         transport = SimulatedTransport(world.network, host.address, self.process)
         self.transport = transport
-        store = GatedKeyValueStore(self.process, MemoryKeyValueStore(world.kv, world.clock))
+        store = ProcessKeyValueStore(self.process, MemoryKeyValueStore(world.kv, world.clock))
         self.watcher = ReplicaSetWatcher(
             clock=clock,
             transport=transport,
--- a/tests/engine_world.py
+++ b/tests/engine_world.py
@@ -12,7 +12,7 @@
 )
 from drumbay.backends.memory import BackendNetwork, MemoryEngineClient
 from drumbay.identifiers import AttemptId, BackendId, Fence, WeightVersion
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.engine_model import EngineModel
 from drumbay.standins.engine_parameters import EngineParameters
@@ -32,7 +32,7 @@
     """One engine with a client."""
 
     def __init__(self, parameters: EngineParameters | None = None) -> None:
-        clock = OutsideClock()
+        clock = SimulationClock()
         rng = random.Random(7)
         version = WeightVersion(1)
         self.engine = EngineModel(clock, BackendId("engine"), MODEL, version, rng, parameters)
--- a/tests/serving_world.py
+++ b/tests/serving_world.py
@@ -31,7 +31,7 @@
 from drumbay.peers.transport import PeerClient, PeerUnavailableError
 from drumbay.serving.node import ServingNode
 from drumbay.serving.settings import ServingEnvironment, ServingSettings
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.kv_model import KeyValueModel
 from drumbay.standins.platform_duties import EmulatedPlatformDuties
@@ -165,7 +165,7 @@
         self.orders_workers = orders_workers
         self.settle_seconds = settle_seconds
         self.workers_check_fences = workers_check_fences
-        self.clock = OutsideClock()
+        self.clock = SimulationClock()
         self.model = KeyValueModel(self.clock)
         self.duties = EmulatedPlatformDuties(self.clock)
         self.workers = EmulatedWorkerPool(self.clock, reports_start_times=workers_keep_ids)
--- a/tests/test_backend_subset.py
+++ b/tests/test_backend_subset.py
@@ -18,7 +18,7 @@
 from drumbay.routing.directory import BackendDirectory
 from drumbay.routing.selectors import compile_selector
 from drumbay.routing.subsets import NodeMember
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.tasks import TaskOwner
 from tests.idle_engines import IdleEngineClient
@@ -135,7 +135,7 @@
         async def main() -> None:
             tasks = TaskOwner()
             directory = BackendDirectory()
-            clock = OutsideClock()
+            clock = SimulationClock()
             directory.apply_configuration(make_view(e=backends), 0.0)
             monitor = BackendMonitor(
                 clock, client, directory, lambda changes: None, tasks, Random(1)
--- a/tests/test_claims_cluster.py
+++ b/tests/test_claims_cluster.py
@@ -104,7 +104,7 @@
             world.hosts["n1"].freeze()
             await world.clock.sleep(9.0)
             self.assert_failed(await world.call("n2", KEY), ClaimFailure.IN_PROGRESS)
-            world.hosts["n1"].wake()
+            world.hosts["n1"].resume()
             self.assert_answered(await first, replayed=False)
 
         self.run_world(scenario)
--- a/tests/test_claims_scenarios.py
+++ b/tests/test_claims_scenarios.py
@@ -170,7 +170,7 @@
     world.hosts["n1"].freeze()
     await world.clock.sleep(30.0)
     await world.call("n2", KEY)
-    world.hosts["n1"].wake()
+    world.hosts["n1"].resume()
     await first
 
 
--- a/tests/test_claims_schedules.py
+++ b/tests/test_claims_schedules.py
@@ -95,7 +95,7 @@
         process = host.process
         process.freeze()
         delay = self.random.uniform(0.0, 6.0)
-        asyncio.get_running_loop().call_later(delay, process.wake)
+        asyncio.get_running_loop().call_later(delay, process.resume)
 
     async def partition(self) -> None:
         if len(self.cuts) > 2:
--- a/tests/test_closed_loop.py
+++ b/tests/test_closed_loop.py
@@ -6,7 +6,7 @@
 
 from drumbay.bench.closed_loop import ClosedLoopParameters, ratios, run_closed_loop
 from drumbay.exceptions import UnavailableError
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 
 
@@ -24,7 +24,7 @@
             parameters = ClosedLoopParameters(
                 concurrency=10, requests=1000, warmup_requests=50, max_seconds=100.0
             )
-            result = await run_closed_loop(send, OutsideClock(), parameters, (os.getpid(),))
+            result = await run_closed_loop(send, SimulationClock(), parameters, (os.getpid(),))
             self.assertEqual(sent, list(range(1050)))
             self.assertEqual(result.requests, 900)
             self.assertEqual(result.failures, {"unavailable": 100})
@@ -42,7 +42,7 @@
             parameters = ClosedLoopParameters(
                 concurrency=2, requests=1000, warmup_requests=0, max_seconds=4.5
             )
-            result = await run_closed_loop(send, OutsideClock(), parameters, ())
+            result = await run_closed_loop(send, SimulationClock(), parameters, ())
             self.assertEqual(result.requests, 10)
             self.assertAlmostEqual(result.seconds, 5.0)
 
--- a/tests/test_machine_list.py
+++ b/tests/test_machine_list.py
@@ -123,7 +123,7 @@
         await asyncio.sleep(5.0)
         self.list.leaving = (ENGINE,)
         await asyncio.sleep(15.0)
-        process.wake()
+        process.resume()
         return await process.spawn(self._would_send(node_id), "request")
 
     async def _would_send(self, node_id: NodeId) -> bool:
--- a/tests/test_node_heartbeat.py
+++ b/tests/test_node_heartbeat.py
@@ -16,7 +16,7 @@
     PREFIX,
     PeerDirectory,
 )
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.kv_model import KeyValueModel
 
@@ -54,7 +54,7 @@
 class NodeHeartbeatTest(unittest.TestCase):
     def renewals(self, *, becomes_watcher: bool, seconds: float) -> int:
         async def scenario() -> int:
-            clock = OutsideClock()
+            clock = SimulationClock()
             store = CountingStore(KeyValueModel(clock), clock)
             directory = PeerDirectory(clock, store, OWN, random.Random(1), lambda: None)
             directory.feed.on_snapshot(entries(own_created=500), 0.0)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -10,13 +10,13 @@
 from loguru import logger
 
 from drumbay.bench.ownership_cluster import (
-    Claim,
     OrderReceiver,
+    OwnershipClaim,
     OwnershipCluster,
     OwnershipNode,
-    find_orders_out_of_turn,
-    find_unfounded_claims,
-    read_reigns,
+    find_invalid_claims,
+    find_stale_orders,
+    read_ownership_periods,
 )
 from drumbay.identifiers import Fence
 from drumbay.kv.interface import Delete
@@ -78,11 +78,11 @@
     cluster, owner, other = await start_pair()
     receiver = OrderReceiver(guard)
     for node in cluster.nodes.values():
-        node.start_ordering(NAME, receiver, gap_seconds=0.5)
+        node.start_sending_orders(NAME, receiver, gap_seconds=0.5)
     await asyncio.sleep(5.25)
     owner.host.freeze()
     await asyncio.sleep(60.0)
-    owner.host.wake()
+    owner.host.resume()
     await asyncio.sleep(10.0)
     assert {order.node for order in receiver.accepted} == {owner.host.name, other.host.name}
     return receiver
@@ -93,7 +93,7 @@
     cluster, owner, _ = await start_pair()
     receiver = OrderReceiver(guard)
     for node in cluster.nodes.values():
-        node.start_ordering(NAME, receiver, gap_seconds=0.5)
+        node.start_sending_orders(NAME, receiver, gap_seconds=0.5)
     owner.store.reachable = False
     await asyncio.sleep(180.0)
     owner.store.reachable = True
@@ -104,11 +104,11 @@
 
 async def claim_under_faults(
     seed: int, make_state: Callable[[OwnershipParameters], LeaseState]
-) -> tuple[OwnershipCluster, list[Claim]]:
+) -> tuple[OwnershipCluster, list[OwnershipClaim]]:
     """Sample claims during random delays, lost answers, outages and freezes."""
     cluster = OwnershipCluster(seed=seed, node_count=3, make_state=make_state)
     generator = random.Random(seed)
-    claims: list[Claim] = []
+    claims: list[OwnershipClaim] = []
     for node in cluster.nodes.values():
         node.start([NAME])
     for _ in range(12):
@@ -124,23 +124,23 @@
         if generator.random() < 0.5:
             node.host.freeze()
         claims.extend(await cluster.run_for(generator.uniform(5.0, 30.0), [NAME]))
-        node.host.wake()
+        node.host.resume()
     return cluster, claims
 
 
 class FencingTest(unittest.TestCase):
     def test_order_of_paused_owner_is_rejected(self) -> None:
         receiver = run_simulation(lambda: pause_owner_before_an_order(FenceGuard()))
-        self.assertEqual(find_orders_out_of_turn(receiver.accepted), [])
+        self.assertEqual(find_stale_orders(receiver.accepted), [])
         self.assertEqual(receiver.refused, 1)
 
     def test_checker_reports_paused_owner_without_fence_check(self) -> None:
         receiver = run_simulation(lambda: pause_owner_before_an_order(UncheckedFenceGuard()))
-        self.assertEqual(len(find_orders_out_of_turn(receiver.accepted)), 1)
+        self.assertEqual(len(find_stale_orders(receiver.accepted)), 1)
 
     def test_order_of_partitioned_owner_is_rejected(self) -> None:
         receiver, owner = run_simulation(lambda: partition_owner(FenceGuard()))
-        self.assertEqual(find_orders_out_of_turn(receiver.accepted), [])
+        self.assertEqual(find_stale_orders(receiver.accepted), [])
         self.assertEqual(receiver.refused, 1)
         self.assertEqual(
             standings(owner)[1:4],
@@ -153,7 +153,7 @@
 
     def test_checker_reports_partitioned_owner_without_fence_check(self) -> None:
         receiver, _ = run_simulation(lambda: partition_owner(UncheckedFenceGuard()))
-        self.assertGreater(len(find_orders_out_of_turn(receiver.accepted)), 100)
+        self.assertGreater(len(find_stale_orders(receiver.accepted)), 100)
 
 
 class ClaimTest(unittest.TestCase):
@@ -162,16 +162,16 @@
         for seed in range(10):
             scenario = functools.partial(claim_under_faults, seed, LeaseState)
             cluster, claims = run_simulation(scenario)
-            self.assertEqual(find_unfounded_claims(cluster.model, claims), [], f"seed {seed}")
+            self.assertEqual(find_invalid_claims(cluster.model, claims), [], f"seed {seed}")
             total += len(claims)
         self.assertGreater(total, 1000)
 
     def test_checker_reports_claims_measured_from_receipt(self) -> None:
-        invalid_claims: list[Claim] = []
+        invalid_claims: list[OwnershipClaim] = []
         for seed in range(10):
             scenario = functools.partial(claim_under_faults, seed, ReceiptTimeLeaseState)
             cluster, claims = run_simulation(scenario)
-            invalid_claims.extend(find_unfounded_claims(cluster.model, claims))
+            invalid_claims.extend(find_invalid_claims(cluster.model, claims))
             if invalid_claims:
                 break
         self.assertNotEqual(invalid_claims, [])
@@ -198,7 +198,7 @@
             now = cluster.model.now()
             self.assertIs(owner.manager.standing(NAME, now), Standing.SUSPENDED)
             self.assertIsNone(owner.manager.fence_to_continue(NAME, now))
-            owner.host.wake()
+            owner.host.resume()
             await asyncio.sleep(1.0)
             # The watch events received during the freeze are processed first.
             self.assertEqual(standings(owner)[-1], (Standing.NOT_HELD, ChangeReason.KEY_REMOVED))
@@ -226,7 +226,7 @@
                     (Standing.NOT_HELD, ChangeReason.KEY_REMOVED),
                 ],
             )
-            fences = [reign.fence for reign in read_reigns(cluster.model, NAME)]
+            fences = [reign.fence for reign in read_ownership_periods(cluster.model, NAME)]
             self.assertEqual(len(fences), 2)
             self.assertLess(fences[0], fences[1])
 
@@ -240,7 +240,7 @@
             cluster.model.set_faults(HEALTHY)
             await asyncio.sleep(30.0)
             self.assertEqual(len(owner.changes), 1)
-            self.assertEqual(len(read_reigns(cluster.model, NAME)), 1)
+            self.assertEqual(len(read_ownership_periods(cluster.model, NAME)), 1)
 
         run_simulation(scenario)
 
@@ -259,7 +259,7 @@
             cluster.model.add_listener(lose_campaign_answer)
             node.start([NAME])
             await cluster.wait_for_owner(NAME)
-            (reign,) = read_reigns(cluster.model, NAME)
+            (reign,) = read_ownership_periods(cluster.model, NAME)
             (change,) = node.changes
             self.assertEqual(change.fence, reign.fence)
             self.assertEqual(cluster.model.injector.unanswered, 2)
@@ -274,7 +274,7 @@
                 node.start([NAME])
             claims = await cluster.run_for(30.0, [NAME])
             self.assertEqual(len({claim.node for claim in claims}), 1)
-            self.assertEqual(len(read_reigns(cluster.model, NAME)), 1)
+            self.assertEqual(len(read_ownership_periods(cluster.model, NAME)), 1)
             await cluster.nodes[claims[0].node].host.kill()
             successor = await cluster.wait_for_owner(NAME)
             self.assertNotEqual(successor.host.name, claims[0].node)
--- a/tests/test_replica_set_news.py
+++ b/tests/test_replica_set_news.py
@@ -19,7 +19,7 @@
 from drumbay.simulation.host import Location, SimulatedHost
 from drumbay.simulation.latency import LatencyModel
 from drumbay.simulation.network import Cut, Scope, SimulatedNetwork
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.trace import Trace
 from drumbay.simulation.transport import SimulatedTransport
 from drumbay.simulation.virtual_time import run_simulation
@@ -38,9 +38,9 @@
 
 class WatcherCluster:
     def __init__(self, watcher_type: type[ReplicaSetWatcher]) -> None:
-        self.model = KeyValueModel(OutsideClock())
+        self.model = KeyValueModel(SimulationClock())
         self.network = SimulatedNetwork(Random(1), LatencyModel(), Trace(0))
-        self.store = InstrumentedStore(MemoryKeyValueStore(self.model, OutsideClock()))
+        self.store = InstrumentedStore(MemoryKeyValueStore(self.model, SimulationClock()))
         addresses = tuple(Address(f"10.0.0.{index + 1}", 7000) for index in range(NODE_COUNT))
         self.watchers = []
         for index, address in enumerate(addresses):
--- a/tests/test_result_listing.py
+++ b/tests/test_result_listing.py
@@ -15,7 +15,7 @@
 )
 from drumbay.identifiers import Revision, WeightVersion
 from drumbay.kv.memory import MemoryKeyValueStore
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.kv_model import KeyValueModel
 from tests.serving_world import batch_spec
@@ -35,7 +35,7 @@
 class RecordingLedger(BatchLedger):
     """Records the time and size of each write."""
 
-    def __init__(self, clock: OutsideClock) -> None:
+    def __init__(self, clock: SimulationClock) -> None:
         super().__init__(MemoryKeyValueStore(KeyValueModel(clock), clock))
         self._clock = clock
         self.writes: list[Write] = []
@@ -66,7 +66,7 @@
     """Run a script against a log of four items; return its writes, relative to the start."""
 
     async def main() -> list[Write]:
-        clock = OutsideClock()
+        clock = SimulationClock()
         ledger = RecordingLedger(clock)
         result_log = ResultLog(
             clock,
--- a/tests/test_rollout_bench.py
+++ b/tests/test_rollout_bench.py
@@ -3,7 +3,7 @@
 import unittest
 
 from drumbay.bench.rollout import DEPLOYMENTS, run_variant, variants_for
-from drumbay.bench.rollout_world import WorldParameters
+from drumbay.bench.rollout_model import RolloutModelParameters
 from drumbay.delivery.exceptions import NothingReadyError
 from drumbay.delivery.log_entries import StreamSnapshot
 from drumbay.delivery.messages import Ballot
@@ -54,7 +54,7 @@
 class RolloutBenchTest(unittest.TestCase):
     def test_policies_against_the_baseline(self) -> None:
         for deployment in DEPLOYMENTS:
-            parameters = WorldParameters(
+            parameters = RolloutModelParameters(
                 engines=deployment.engines, samples_per_step=128, steps=6, warm_up_steps=2
             )
             variants = {variant.name: variant for variant in variants_for(deployment)}
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -16,7 +16,7 @@
 )
 from drumbay.backends.memory import BackendNetwork, MemoryApplicationClient
 from drumbay.identifiers import AttemptId, BackendId
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.application_model import ApplicationModel, answer_digest
 from drumbay.standins.execution_log import ApplicationExecuted, ApplicationRefused
@@ -31,7 +31,7 @@
     """One application server with a client."""
 
     def __init__(self, parameters: ServiceParameters | None = None) -> None:
-        clock = OutsideClock()
+        clock = SimulationClock()
         backend_id = BackendId("application")
         self.server = ApplicationModel(clock, backend_id, random.Random(3), parameters)
         self.network = BackendNetwork(clock)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -9,7 +9,7 @@
 
 from drumbay.backends.interface import GenerationRequest
 from drumbay.bench.sharing import NO_SHARING, percentile
-from drumbay.bench.sharing_world import SharingLoad, SharingRun, run_sharing
+from drumbay.bench.sharing_run import SharingLoad, SharingRun, run_sharing
 from drumbay.identifiers import AttemptId, BackendId, BootId, StreamName, WeightVersion
 from drumbay.limits.engine_priority import live_engine_priority
 from drumbay.limits.engine_share import (
--- a/tests/test_simulation_hosts.py
+++ b/tests/test_simulation_hosts.py
@@ -139,7 +139,7 @@
             pair.client.freeze()
             await asyncio.sleep(30)
             self.assertFalse(any(task.done() for task in tasks))
-            pair.client.wake()
+            pair.client.resume()
             self.assertEqual(await asyncio.gather(*tasks), [30.5, 30.5])
 
         run_with_pair(main)
@@ -241,7 +241,7 @@
             with self.assertRaises(ReplyLostError):
                 await pair.call()
             self.assertEqual(pair.handled, 0)
-            pair.server.wake()
+            pair.server.resume()
             await asyncio.sleep(1)
             self.assertEqual(pair.handled, 1)
 
--- a/tests/test_simulation_trace.py
+++ b/tests/test_simulation_trace.py
@@ -65,7 +65,7 @@
         hosts[5].freeze()
         await asyncio.sleep(SIMULATED_SECONDS / 4)
         start(hosts[3])
-        hosts[5].wake()
+        hosts[5].resume()
         await asyncio.sleep(SIMULATED_SECONDS / 4)
         return network.trace.digest()
 
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -193,7 +193,7 @@
                     world.clock.monotonic() - started_at, 2 * UNRESPONSIVE_CALL_TIMEOUT_SECONDS
                 )
             for name in ("d1", "d2"):
-                world.hosts[name].wake()
+                world.hosts[name].resume()
             await world.clock.sleep(1.0)
             outcome = await world.call("n1", "back", patience=SUCCESSOR_SECONDS)
             self.assertIsInstance(outcome, ClaimAnswered)
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -18,7 +18,7 @@
 from drumbay.peers.directory import PeerDirectory
 from drumbay.peers.freshness import POLL_SECONDS
 from drumbay.peers.store_relay import RelayingStore
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.standins.kv_faults import KeyValueFaults
 from drumbay.standins.kv_model import KeyValueModel
 from tests.serving_world import ServingWorld, WorldNode, run_in_world
@@ -221,7 +221,7 @@
                 prefix="config/", on_snapshot=seen.apply_snapshot, on_event=seen.apply_event
             )
             store = MemoryKeyValueStore(world.model, world.clock)
-            follower = PrefixFollower(OutsideClock(), store, FeedMirror(feed), random.Random(1))
+            follower = PrefixFollower(SimulationClock(), store, FeedMirror(feed), random.Random(1))
             task = asyncio.ensure_future(follower.run())
             await asyncio.sleep(0.1)
             FollowerTest.put(world, b"1")
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -26,7 +26,7 @@
 from drumbay.peers.messages import FollowFeeds, PeerReply, PeerRequest
 from drumbay.peers.pause_detector import PauseDetector
 from drumbay.peers.transport import PeerUnavailableError
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.standins.kv_model import KeyValueModel
 from drumbay.standins.worker_pool import EmulatedWorkerPool
 from drumbay.usage.window_clock import WindowClock
@@ -180,7 +180,7 @@
                 run_on_system_clock(scenario())
 
 
-class SuspendableClock(OutsideClock):
+class SuspendableClock(SimulationClock):
     """Virtual clock that advances during a suspension while timers do not."""
 
     def __init__(self) -> None:
--- a/tests/test_trainer_model.py
+++ b/tests/test_trainer_model.py
@@ -4,7 +4,7 @@
 
 from drumbay.exceptions import UnavailableError
 from drumbay.identifiers import Cursor, SampleId, StreamName, WeightVersion
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.execution_log import SampleConsumed, StepFinished, TrainerRestarted
 from drumbay.standins.trainer_model import (
@@ -56,7 +56,7 @@
 
 class TrainerModelTest(unittest.TestCase):
     def make_trainer(self) -> tuple[TrainerModel, WeightStoreModel]:
-        clock = OutsideClock()
+        clock = SimulationClock()
         store = WeightStoreModel(clock, "store", WeightStoreParameters(version_bytes=1))
         store.publish("m", WeightVersion(1))
         trainer = TrainerModel(
--- a/tests/test_version_loading.py
+++ b/tests/test_version_loading.py
@@ -4,7 +4,7 @@
 import unittest
 
 from drumbay.identifiers import WeightVersion
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.standins.kv_faults import KeyValueFaults
 from drumbay.standins.worker_pool import EmulatedWorkerPool
 from drumbay.weights.version_planner import LoadPolicy, VersionPlanner
@@ -17,7 +17,7 @@
 
 class PlannerTest(unittest.TestCase):
     def make_directory(self, **versions: int) -> WorkerDirectory:
-        pool = EmulatedWorkerPool(OutsideClock())
+        pool = EmulatedWorkerPool(SimulationClock())
         for name, version in versions.items():
             models = {"m": WeightVersion(version), "n": WeightVersion(version)}
             pool.add(name, "engines", models)
--- a/tests/test_weight_rollout.py
+++ b/tests/test_weight_rollout.py
@@ -146,10 +146,10 @@
             self.assertIn("weights_rollout_done", [record.event for record in node.records])
 
         correct = self.run_rollout(scenario)
-        self.assertEqual(correct.most_busy(), MAX_BUSY_ENGINES)
-        self.assertEqual(correct.steps_back(), [])
+        self.assertEqual(correct.peak_loading_engines(), MAX_BUSY_ENGINES)
+        self.assertEqual(correct.find_version_regressions(), [])
         faulty = self.run_rollout(scenario, NoMinimumPlanner)
-        self.assertGreater(faulty.most_busy(), MAX_BUSY_ENGINES)
+        self.assertGreater(faulty.peak_loading_engines(), MAX_BUSY_ENGINES)
 
     def test_versions_needed_by_running_samples_stay_loaded(self) -> None:
         kept_counts: list[int] = []
@@ -158,7 +158,7 @@
             cluster.needs = (VersionNeed(version=WeightVersion(1), engines=2),)
             cluster.publish(2, node)
             await asyncio.sleep(60)
-            kept_counts.append(cluster.true_versions().count(1))
+            kept_counts.append(cluster.serving_versions().count(1))
             cluster.needs = ()
             await cluster.wait_for_version(2)
 
@@ -173,7 +173,7 @@
             always = FaultCommand(fault=FaultKind.SWAP_FAILS)
             cluster.engines[1].faults.apply(always)
             cluster.publish(2, node)
-            await cluster.wait_until(lambda: cluster.true_versions().count(2) == ENGINES - 1, 60)
+            await cluster.wait_until(lambda: cluster.serving_versions().count(2) == ENGINES - 1, 60)
             await asyncio.sleep(30)
             set_aside = [
                 decision
@@ -196,7 +196,7 @@
             fault = FaultCommand(fault=FaultKind.SWAP_FAILS_ACKNOWLEDGED, count=1)
             cluster.engines[0].faults.apply(fault)
             cluster.publish(2, node)
-            await cluster.wait_until(lambda: cluster.true_versions().count(2) == ENGINES - 1, 60)
+            await cluster.wait_until(lambda: cluster.serving_versions().count(2) == ENGINES - 1, 60)
             await asyncio.sleep(5)
             engine = cluster.engines[0]
             cluster.owner_address = node.host.address
@@ -212,8 +212,8 @@
             )
             await asyncio.sleep(30)
 
-        self.assertEqual(set(self.run_rollout(scenario).true_versions()), {2})
-        self.assertIn(1, self.run_rollout(scenario, IgnoreTokenVersionsPlanner).true_versions())
+        self.assertEqual(set(self.run_rollout(scenario).serving_versions()), {2})
+        self.assertIn(1, self.run_rollout(scenario, IgnoreTokenVersionsPlanner).serving_versions())
 
     def test_delayed_order_does_not_revert_a_newer_rollout(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
@@ -222,12 +222,15 @@
             cluster.publish(3, node)
             await cluster.wait_for_version(3)
             await asyncio.sleep(60)
-            self.assertEqual(set(cluster.true_versions()), {3})
+            self.assertEqual(set(cluster.serving_versions()), {3})
 
         order_delays = {BackendId("engine-000"): 40.0}
-        self.assertEqual(self.run_rollout(scenario, order_delays=order_delays).steps_back(), [])
+        self.assertEqual(
+            self.run_rollout(scenario, order_delays=order_delays).find_version_regressions(), []
+        )
         self.assertNotEqual(
-            self.run_rollout(scenario, LeaseFencePlanner, order_delays).steps_back(), []
+            self.run_rollout(scenario, LeaseFencePlanner, order_delays).find_version_regressions(),
+            [],
         )
 
     def test_paused_owner_does_not_revert_its_successor(self) -> None:
@@ -241,9 +244,9 @@
             await cluster.wait_for_version(3)
             cluster.publish(4, successor)
             await asyncio.sleep(1)
-            node.host.wake()
+            node.host.resume()
             await asyncio.sleep(120)
-            self.assertEqual(set(cluster.true_versions()), {4})
+            self.assertEqual(set(cluster.serving_versions()), {4})
 
         def count_stale_loads(cluster: RolloutCluster) -> int:
             """Count loads of the previous owner that took effect after one of its successor."""
@@ -257,7 +260,7 @@
             return count
 
         correct = self.run_rollout(scenario)
-        self.assertEqual((correct.steps_back(), count_stale_loads(correct)), ([], 0))
+        self.assertEqual((correct.find_version_regressions(), count_stale_loads(correct)), ([], 0))
 
     def test_fences_prevent_regressions_with_two_owners(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
@@ -269,30 +272,32 @@
             await asyncio.sleep(100)
 
         order_delays = {BackendId("engine-000"): 60.0}
-        self.assertEqual(self.run_rollout(scenario, order_delays=order_delays).steps_back(), [])
+        self.assertEqual(
+            self.run_rollout(scenario, order_delays=order_delays).find_version_regressions(), []
+        )
         faulty = self.run_rollout(scenario, ConstantFencePlanner, order_delays)
-        self.assertNotEqual(faulty.steps_back(), [])
+        self.assertNotEqual(faulty.find_version_regressions(), [])
 
     def test_successor_of_a_crashed_owner_continues_from_the_reports(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
-            await cluster.wait_until(lambda: cluster.true_versions().count(2) >= 2, 60)
+            await cluster.wait_until(lambda: cluster.serving_versions().count(2) >= 2, 60)
             await node.host.kill()
-            self.assertIn(1, cluster.true_versions())
+            self.assertIn(1, cluster.serving_versions())
             successor = cluster.add_node("successor")
             successor.lease_fence = Fence(11)
             await cluster.wait_for_version(2)
 
         correct = self.run_rollout(scenario)
-        self.assertEqual(correct.most_busy(), MAX_BUSY_ENGINES)
-        self.assertEqual(correct.steps_back(), [])
+        self.assertEqual(correct.peak_loading_engines(), MAX_BUSY_ENGINES)
+        self.assertEqual(correct.find_version_regressions(), [])
 
     def test_rollback_during_a_rollout_survives_a_change_of_owner(self) -> None:
         async def scenario(cluster: RolloutCluster, node: RolloutNode) -> None:
             cluster.publish(2, node)
             await cluster.wait_for_version(2)
             cluster.publish(3, node)
-            await cluster.wait_until(lambda: cluster.true_versions().count(3) >= 4, 60)
+            await cluster.wait_until(lambda: cluster.serving_versions().count(3) >= 4, 60)
             cluster.roll_back(keep=2, withdrawn_through=3)
             await cluster.wait_for_version(2)
             await node.host.kill()
@@ -301,7 +306,7 @@
             for version in (2, 3):
                 successor.service.publish("modelos", WeightVersion(version))
             await asyncio.sleep(60)
-            self.assertEqual(set(cluster.true_versions()), {2})
+            self.assertEqual(set(cluster.serving_versions()), {2})
             cluster.publish(4, successor)
             await cluster.wait_for_version(4)
 
@@ -319,10 +324,10 @@
             )
 
         # A lost reply breaks the connection, so it is detected immediately.
-        self.assertEqual(set(self.run_rollout(scenario).true_versions()), {2})
+        self.assertEqual(set(self.run_rollout(scenario).serving_versions()), {2})
         order_delays = {BackendId("engine-001"): 80.0}
         self.assertEqual(
-            set(self.run_rollout(scenario, order_delays=order_delays).true_versions()), {2}
+            set(self.run_rollout(scenario, order_delays=order_delays).serving_versions()), {2}
         )
         with self.assertRaises(TimeoutError):
             self.run_rollout(scenario, NoReportResolutionPlanner, order_delays)
@@ -334,7 +339,7 @@
             cluster.engines[3].crash()
             await asyncio.sleep(10)
             cluster.engines[3].restart()
-            self.assertEqual(cluster.true_versions()[3], 1)
+            self.assertEqual(cluster.serving_versions()[3], 1)
             await cluster.wait_for_version(2, limit_seconds=30)
 
         self.run_rollout(scenario)
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -26,7 +26,7 @@
 )
 from drumbay.quarantine.service import REPORT_REQUEST_INTERVAL_SECONDS, Quarantine
 from drumbay.quarantine.stored import PREFIX, StoredCrash, StoredQuarantine
-from drumbay.simulation.outside_clock import OutsideClock
+from drumbay.simulation.simulation_clock import SimulationClock
 from drumbay.simulation.virtual_time import run_simulation
 from drumbay.standins.kv_model import KeyValueModel
 from drumbay.standins.worker_pool import RESTART_SECONDS, EmulatedWorkerPool
@@ -231,7 +231,7 @@
     """A quarantine with one emulated worker; collects its notices to other nodes."""
 
     def __init__(self, *, reports_start_times: bool = True) -> None:
-        self.clock = OutsideClock()
+        self.clock = SimulationClock()
         self.pool = EmulatedWorkerPool(self.clock, reports_start_times=reports_start_times)
         self.pool.keep_ids = True
         self.first = self.pool.add("w", SERVICE)
