--- a/drumbay/peers/directory.py
+++ b/drumbay/peers/directory.py
@@ -38,10 +38,10 @@
 """Limits billed calls when the leases of all nodes expire in one outage."""
 
 LEASE_SECONDS = 20.0
-"""Long enough to survive most outages of the store. The entry of a dead node does no harm, since
-unresponsive nodes are skipped."""
+"""Long enough to survive most outages of the store. The entry of a crashed node is harmless,
+since unresponsive nodes are skipped."""
 
-HEARTBEAT_SECONDS = 1.0
+WATCHER_HEARTBEAT_SECONDS = 1.0
 FOLLOWER_HEARTBEAT_SECONDS = 6.0
 """Allows three renewals per lease. Each renewal is a billed call, and followers learn of a store
 outage from the watchers."""
@@ -50,6 +50,8 @@
 """A heartbeat delayed by more than this indicates that the process was paused."""
 
 UNRESPONSIVE_SECONDS = 2.0
+"""How long a node that failed to reply is tried last."""
+
 UNREGISTERED_SECONDS = 30.0
 """How long an unregistered node is kept as a last resort: leases also expire while nodes run."""
 
@@ -251,4 +253,4 @@
 
     def _heartbeat_seconds(self) -> float:
         is_watcher = self.ranking.is_watcher(self._address)
-        return HEARTBEAT_SECONDS if is_watcher else FOLLOWER_HEARTBEAT_SECONDS
+        return WATCHER_HEARTBEAT_SECONDS if is_watcher else FOLLOWER_HEARTBEAT_SECONDS
--- a/drumbay/peers/feeds.py
+++ b/drumbay/peers/feeds.py
@@ -82,7 +82,7 @@
             in_force_seconds: Bound on the time from the acceptance of a configuration until it is
                 in force at every node.
             report_usage: Returns this node's usage counters, which are sent along to a watcher.
-            on_silent_connection: Called when a watch was dead although the store responds.
+            on_silent_connection: Called when a watch was silent although the store responds.
             notify_watchers: Sends a freshness confirmation to the other watchers.
             task_owner: Owner of background tasks.
         """
@@ -104,7 +104,7 @@
         self._generator = generator
         self._mirrors: dict[str, FeedMirror] = {}
         self._source: NetworkAddress | None = None
-        self._direct_until = float("-inf")
+        self._direct_watch_until = float("-inf")
         self._probe_backoff = Backoff(
             generator,
             first_seconds=FIRST_PROBE_BACKOFF_SECONDS,
@@ -165,7 +165,7 @@
             if self._watches_store():
                 await self._follow_store()
             else:
-                await self._follow_nodes()
+                await self._follow_watchers()
 
     async def _load_nodes(self) -> None:
         mirror = self._mirrors[NODES_PREFIX]
@@ -176,10 +176,10 @@
                 await self._clock.sleep(PROBE_DELAY_SECONDS)
 
     def _watches_store(self) -> bool:
-        return self.is_watcher or self._clock.monotonic() < self._direct_until
+        return self.is_watcher or self._clock.monotonic() < self._direct_watch_until
 
     async def _follow_store(self) -> None:
-        """Watch the store for as long as this node has to."""
+        """Watch the store until this node is to follow a watcher."""
         log_event("feeds_from_store", nodes=len(self._directory.ranking.nodes))
         tasks = [
             asyncio.ensure_future(
@@ -231,12 +231,12 @@
         if verifier is not None and self._pause_detector.has_run_for(NOTICE_TIMEOUT_SECONDS):
             verifier.apply_confirmation(confirmed)
 
-    async def _follow_nodes(self) -> None:
+    async def _follow_watchers(self) -> None:
         """Poll the current source for changes, or find another one."""
-        if self._source is not None and await self._poll_node(self._source, self._poll_seconds):
+        if self._source is not None and await self._poll_watcher(self._source, self._poll_seconds):
             return
         for address in self._candidate_sources():
-            if await self._poll_node(address, 0.0):
+            if await self._poll_watcher(address, 0.0):
                 self._source = address
                 self._probe_backoff.reset()
                 log_event("feeds_from_node", source=str(address))
@@ -248,8 +248,8 @@
         found = self._directory.ranking.sources_for(self._address)
         return [address for address in found if not self._directory.is_unresponsive(address)]
 
-    async def _poll_node(self, address: NetworkAddress, wait_seconds: float) -> bool:
-        """Poll a node and apply its changes; return whether its data is recent enough."""
+    async def _poll_watcher(self, address: NetworkAddress, wait_seconds: float) -> bool:
+        """Poll a watcher and apply its changes; return whether its data is recent enough."""
         cursors = tuple(mirror.cursor for mirror in self._mirrors.values())
         request = FollowFeeds(
             cursors=cursors, wait_seconds=wait_seconds, usage=self._report_usage()
@@ -290,7 +290,7 @@
             mirror.apply_snapshot(await self._direct.range_prefix(NODES_PREFIX))
         except KeyValueError:
             return
-        self._direct_until = self._clock.monotonic() + DIRECT_WATCH_SECONDS
+        self._direct_watch_until = self._clock.monotonic() + DIRECT_WATCH_SECONDS
 
     # Serving followers
 
@@ -323,5 +323,5 @@
         try:
             await asyncio.wait(waiters, timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for wait in waiters:
-                wait.cancel()
+            for waiter in waiters:
+                waiter.cancel()
--- a/drumbay/peers/freshness.py
+++ b/drumbay/peers/freshness.py
@@ -27,9 +27,9 @@
 """Interval between verifications, as a fraction of the configuration propagation bound. It leaves
 time for a slow response before followers consider the data too old."""
 
-VERIFY_JITTER = 1.3
-"""Upper bound of the random factor on the interval. With jitter one watcher usually polls first and
-confirms the mirrors of the others."""
+MAX_JITTER_FACTOR = 1.3
+"""The interval is multiplied by a random factor between 1 and this, so that usually one watcher
+polls first and confirms the mirrors of the others."""
 
 POLL_SECONDS = 0.001
 POLL_TIMEOUT_SECONDS = 0.6
@@ -99,7 +99,7 @@
     async def _wait_until_due(self) -> None:
         """Return once the last confirmation is too old, or the mirror is known to be behind."""
         interval_seconds = self._verify_interval_seconds * self._generator.uniform(
-            1.0, VERIFY_JITTER
+            1.0, MAX_JITTER_FACTOR
         )
         while not self._behind.is_set():
             if self._mirror.revision is None or not self._mirror.is_connected:
@@ -137,8 +137,8 @@
                 await batches.aclose()
 
     def _schedule_watch_check(self, revision: Revision, seconds: float) -> None:
-        wait = self._check_watch(revision, max(WATCH_GRACE_SECONDS, seconds))
-        self._task_owner.spawn(wait, "watch-expected")
+        check = self._check_watch(revision, max(WATCH_GRACE_SECONDS, seconds))
+        self._task_owner.spawn(check, "watch-expected")
 
     async def _check_watch(self, revision: Revision, seconds: float) -> None:
         """Report silent connections if the watch does not deliver a change in time."""
--- a/drumbay/peers/messages.py
+++ b/drumbay/peers/messages.py
@@ -104,7 +104,7 @@
 
 
 class BusyReply(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """The owner is alive but did not answer in time. Created by the caller, never sent."""
+    """The owner is alive but did not reply in time. Created by the caller, never sent."""
 
 
 class UnavailableReply(msgspec.Struct, frozen=True, kw_only=True, tag=True):
--- a/drumbay/peers/store_relay.py
+++ b/drumbay/peers/store_relay.py
@@ -59,8 +59,8 @@
 """How late a watch may be before it is ended. It protects callers without a timeout of their own,
 such as leader election, from a silent connection; prefix followers use a shorter one."""
 
-FAILURES_BEFORE_SUSPECT = 2
-"""Tolerates a single lost response."""
+LOST_RESPONSES_BEFORE_SUSPECT = 2
+"""Connections are suspected to be dead after this many lost responses since the last success."""
 
 
 class RelayingStore:
@@ -81,7 +81,7 @@
         self._directory = directory
         self._metrics = metrics
         self._suspect_until = float("-inf")
-        self._failures = 0
+        self._lost_responses = 0
         self._watches_ended = asyncio.Event()
 
     def mark_suspect(self) -> None:
@@ -99,14 +99,14 @@
         reply = await self._call(
             lambda: self._direct.range_prefix(prefix), RelayRange(prefix=prefix)
         )
-        return reply.result if isinstance(reply, RangeReply) else _unexpected(reply)
+        return reply.result if isinstance(reply, RangeReply) else _raise_unexpected(reply)
 
     async def range_page(self, prefix: str, after: str) -> RangeResult:
         """Return one page of the keys of ``prefix`` that sort after a key."""
         reply = await self._call(
             lambda: self._direct.range_page(prefix, after), RelayRange(prefix=prefix, after=after)
         )
-        return reply.result if isinstance(reply, RangeReply) else _unexpected(reply)
+        return reply.result if isinstance(reply, RangeReply) else _raise_unexpected(reply)
 
     async def transact(
         self, compares: tuple[ModRevisionIs, ...], operations: tuple[Put | Delete, ...]
@@ -116,19 +116,23 @@
             compares=compares, operations=tuple(to_relayed(o) for o in operations)
         )
         reply = await self._call(lambda: self._direct.transact(compares, operations), request)
-        return reply.result if isinstance(reply, TransactionReply) else _unexpected(reply)
+        return reply.result if isinstance(reply, TransactionReply) else _raise_unexpected(reply)
 
     async def grant_lease(self, ttl_seconds: float) -> LeaseGrant:
         """Grant a lease."""
         request = RelayGrant(ttl_seconds=ttl_seconds)
         reply = await self._call(lambda: self._direct.grant_lease(ttl_seconds), request)
-        return reply.lease if isinstance(reply, GrantReply) else _unexpected(reply)
+        return reply.lease if isinstance(reply, GrantReply) else _raise_unexpected(reply)
 
     async def keep_lease_alive(self, lease_id: int) -> float:
         """Renew a lease and return its remaining time in seconds."""
         request = RelayKeepAlive(lease_id=lease_id)
         reply = await self._call(lambda: self._direct.keep_lease_alive(lease_id), request)
-        return reply.remaining_seconds if isinstance(reply, KeepAliveReply) else _unexpected(reply)
+        return (
+            reply.remaining_seconds
+            if isinstance(reply, KeepAliveReply)
+            else _raise_unexpected(reply)
+        )
 
     async def revoke_lease(self, lease_id: int) -> None:
         """Revoke a lease; not relayed, since the lease expires anyway."""
@@ -163,7 +167,7 @@
                 next_batch.add_done_callback(_retrieve_exception)
 
     async def _call(
-        self, direct: Callable[[], Awaitable[object]], request: StoreRequest
+        self, direct_call: Callable[[], Awaitable[object]], request: StoreRequest
     ) -> PeerReply:
         is_suspect = self._clock.monotonic() < self._suspect_until
         if is_suspect:
@@ -171,15 +175,15 @@
             if reply is not None:
                 return reply
         try:
-            reply = _as_reply(await self._timed(direct))
-            self._failures = 0
+            reply = _as_reply(await self._call_directly(direct_call))
+            self._lost_responses = 0
             return reply
         except LeaseNotFoundError:
             raise
         except KeyValueOutcomeUnknownError:
             # The write may have taken effect: only the caller can decide whether to retry.
-            self._failures += 1
-            if self._failures >= FAILURES_BEFORE_SUSPECT:
+            self._lost_responses += 1
+            if self._lost_responses >= LOST_RESPONSES_BEFORE_SUSPECT:
                 self.mark_suspect()
             raise
         except KeyValueError:
@@ -189,11 +193,11 @@
                 raise
             return reply
 
-    async def _timed(self, direct: Callable[[], Awaitable[object]]) -> object:
+    async def _call_directly(self, direct_call: Callable[[], Awaitable[object]]) -> object:
         started_at = self._clock.monotonic()
         outcome = "done"
         try:
-            return await direct()
+            return await direct_call()
         except KeyValueError as error:
             outcome = error.code
             raise
@@ -282,12 +286,12 @@
             raise KeyValueUnavailableError("unexpected type of result")
 
 
-def _unexpected(reply: PeerReply) -> NoReturn:
+def _raise_unexpected(reply: PeerReply) -> NoReturn:
     raise KeyValueUnavailableError(f"unexpected reply {type(reply).__name__}")
 
 
 def _watch_error(*, is_ended: bool) -> WatchEndedError | WatchSilentError:
-    """Return the error for a watch that is ended; only an overdue one indicates silence."""
+    """Return the error for a watch that was ended, or is overdue and thus silent."""
     if is_ended:
         return WatchEndedError("the connection may be dead")
     return WatchSilentError("no message from the watch in time")
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,7 +9,7 @@
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.ownership.leader import PREFIX as LEADER_PREFIX
 from drumbay.peers.feeds import MAX_AGE_FRACTION
-from drumbay.peers.freshness import VERIFY_FRACTION, VERIFY_JITTER
+from drumbay.peers.freshness import MAX_JITTER_FACTOR, VERIFY_FRACTION
 from drumbay.peers.pause_detector import PauseDetector
 from tests.serving_world import ServingWorld, WorldNode, run_in_world
 from tests.test_shared_feeds import KEY, RecordingFeed
@@ -55,7 +55,7 @@
     def put(world: ServingWorld, value: bytes) -> None:
         world.model.transact((), (Put(key=KEY, value=value),))
 
-    def test_one_node_asks_for_all(self) -> None:
+    def test_one_node_polls_for_all(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
             before = sum(store.polls for store in self.stores)
@@ -72,7 +72,7 @@
 
     def test_slow_verification_finishes_before_followers_switch(self) -> None:
         in_force_seconds = 3.0
-        oldest = VERIFY_FRACTION * VERIFY_JITTER * in_force_seconds + SLOW_RESPONSE_SECONDS
+        oldest = VERIFY_FRACTION * MAX_JITTER_FACTOR * in_force_seconds + SLOW_RESPONSE_SECONDS
         self.assertLess(oldest, MAX_AGE_FRACTION * in_force_seconds)
 
     def test_changes_arrive_while_all_open_watches_are_silent(self) -> None:
@@ -126,7 +126,7 @@
 
         run_in_world(scenario)
 
-    def test_a_node_that_cannot_prove_its_copy_says_how_old_it_is(self) -> None:
+    def test_unverified_node_reports_the_age_of_its_data(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
             node, store = world.nodes[0], self.stores[0]
--- a/tests/test_node_heartbeat.py
+++ b/tests/test_node_heartbeat.py
@@ -21,7 +21,7 @@
 from drumbay.standins.kv_model import KeyValueModel
 
 OWN = NetworkAddress("10.0.0.99", 7000)
-OTHERS = 20
+OTHER_NODE_COUNT = 20
 
 
 class CountingStore(MemoryKeyValueStore):
@@ -46,7 +46,8 @@
 
 def entries(*, own_created: int) -> tuple[KeyValue, ...]:
     others = [
-        entry(NetworkAddress(f"10.0.0.{number}", 7000), 100 + number) for number in range(OTHERS)
+        entry(NetworkAddress(f"10.0.0.{number}", 7000), 100 + number)
+        for number in range(OTHER_NODE_COUNT)
     ]
     return (entry(OWN, own_created), *others)
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -27,7 +27,7 @@
 
 
 class RecordingPeers:
-    """Records the notices that each node receives; one node never answers."""
+    """Records the notices that each node receives; one node never replies."""
 
     def __init__(self) -> None:
         self.calls = 0
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -38,7 +38,7 @@
 SUSPENDED_SECONDS = 6.0
 TICK_SECONDS = 0.01
 ELECTION_TICKS = 100
-SOON_SECONDS = 1.0
+PROMPT_SECONDS = 1.0
 """Much longer than a step on a busy machine, much shorter than the suspension."""
 
 
@@ -78,12 +78,12 @@
             self.addCleanup(patch.stop)
         self.clock = SystemClock()
 
-    async def the_clock_counts(self) -> None:
+    async def clock_includes_suspension(self) -> None:
         before = self.clock.monotonic()
         self.machine.suspend()
         self.assertGreaterEqual(self.clock.monotonic() - before, SUSPENDED_SECONDS)
 
-    async def a_lease_has_run_out(self) -> None:
+    async def lease_expires(self) -> None:
         election = LeaderElection(
             self.clock,
             MemoryKeyValueStore(KeyValueModel(self.clock), self.clock, timeout_seconds=1.0),
@@ -101,7 +101,7 @@
         self.assertIsNone(election.fence(self.clock.monotonic()))
         running.cancel()
 
-    async def a_copy_is_old(self) -> None:
+    async def mirror_age_includes_suspension(self) -> None:
         """This age decides whether a 404 or the refusal of a key may be final."""
         feed = PrefixFeed(
             prefix="p", on_snapshot=lambda items, unseen: None, on_event=lambda event: None
@@ -111,7 +111,7 @@
         self.machine.suspend()
         self.assertGreaterEqual(self.clock.monotonic() - mirror.confirmed_at, SUSPENDED_SECONDS)
 
-    async def the_gap_is_noticed(self) -> None:
+    async def pause_is_detected(self) -> None:
         pause_detector = PauseDetector(self.clock)
         running = asyncio.ensure_future(pause_detector.run())
         await asyncio.sleep(0.3)
@@ -120,7 +120,7 @@
         self.assertFalse(pause_detector.has_run_for(0.2))
         running.cancel()
 
-    async def a_kept_connection_is_not_used(self) -> None:
+    async def idle_connection_is_not_reused(self) -> None:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         address = NetworkAddress("127.0.0.1", server.sockets[0].getsockname()[1])
         stream = IOStream(socket.socket())
@@ -132,12 +132,12 @@
         self.assertIsNone(pool.take(address))
         server.close()
 
-    async def windows_of_usage_follow_the_time_of_day(self) -> None:
+    async def usage_windows_follow_the_wall_clock(self) -> None:
         windows = WindowClock(self.clock)
         self.machine.suspend()
         self.assertAlmostEqual(windows.now(), self.clock.wall(), delta=0.1)
 
-    async def a_request_has_no_time_left(self) -> None:
+    async def request_times_out(self) -> None:
         workers = EmulatedWorkerPool(self.clock, answer_seconds=0.5)
         workers.add("lookup-1", LOOKUPS)
         forwarder = forwarder_of(self.clock, workers)
@@ -149,9 +149,9 @@
         started_at = self.machine.monotonic()
         with self.assertRaises(RequestTimedOutError):
             await calling
-        self.assertLess(self.machine.monotonic() - started_at, SOON_SECONDS)
+        self.assertLess(self.machine.monotonic() - started_at, PROMPT_SECONDS)
 
-    async def timers_are_due(self) -> None:
+    async def timers_expire(self) -> None:
         asleep = asyncio.ensure_future(self.clock.sleep(SUSPENDED_SECONDS))
         waiting = asyncio.ensure_future(
             self.clock.wait_for(asyncio.Event().wait(), SUSPENDED_SECONDS - 1.0)
@@ -161,19 +161,19 @@
         started_at = self.machine.monotonic()
         await asyncio.sleep(0.05)
         await asyncio.wait([asleep, waiting], timeout=SUSPENDED_SECONDS)
-        self.assertLess(self.machine.monotonic() - started_at, SOON_SECONDS)
+        self.assertLess(self.machine.monotonic() - started_at, PROMPT_SECONDS)
         self.assertIsInstance(waiting.exception(), DeadlineExceededError)
 
     def test_clock_includes_suspended_time(self) -> None:
         scenarios: tuple[Callable[[], Coroutine[None, None, None]], ...] = (
-            self.the_clock_counts,
-            self.a_lease_has_run_out,
-            self.a_copy_is_old,
-            self.the_gap_is_noticed,
-            self.a_kept_connection_is_not_used,
-            self.windows_of_usage_follow_the_time_of_day,
-            self.a_request_has_no_time_left,
-            self.timers_are_due,
+            self.clock_includes_suspension,
+            self.lease_expires,
+            self.mirror_age_includes_suspension,
+            self.pause_is_detected,
+            self.idle_connection_is_not_reused,
+            self.usage_windows_follow_the_wall_clock,
+            self.request_times_out,
+            self.timers_expire,
         )
         for scenario in scenarios:
             with self.subTest(scenario=scenario.__name__):
