--- a/drumbay/comm/call_server.py
+++ b/drumbay/comm/call_server.py
@@ -55,7 +55,7 @@
 """Failure codes which guarantee that no handler ran."""
 
 
-class _Connection:
+class _InboundConnection:
     """State of one accepted connection."""
 
     def __init__(self, stream: IOStream, nonce: str, opener: ConnectionOpener) -> None:
@@ -74,7 +74,7 @@
         self.address = address
         self._session = session
         self._call_handlers: dict[str, CallHandler] = {}
-        self._connections: dict[_Connection, None] = {}
+        self._connections: dict[_InboundConnection, None] = {}
 
     def add_handler(self, request_type: type[Message], handler: CallHandler) -> None:
         """Register the handler of a request type."""
@@ -93,22 +93,22 @@
             nonce = send_nonce(stream)
         except StreamClosedError:
             return
-        connection = _Connection(stream, nonce, self._session.new_connection_opener())
+        connection = _InboundConnection(stream, nonce, self._session.new_connection_opener())
         await self._serve_until_closed(connection, peer)
 
-    async def _serve_until_closed(self, connection: _Connection, peer: Address) -> None:
+    async def _serve_until_closed(self, connection: _InboundConnection, peer: Address) -> None:
         self._connections[connection] = None
         try:
             await self._serve(connection)
         except (StreamClosedError, DeadlineExceededError):
             pass
         except FrameError as error:
-            self._session.record_refusal(peer, error)
+            self._session.record_rejected_frame(peer, error)
         finally:
             connection.stream.close()
             del self._connections[connection]
 
-    async def _serve(self, connection: _Connection) -> None:
+    async def _serve(self, connection: _InboundConnection) -> None:
         # Closes connections that never authenticate.
         frame = await self._session.clock.wait_for(
             read_frame(connection.stream), FIRST_FRAME_TIMEOUT_SECONDS
@@ -117,7 +117,7 @@
         while True:
             self._handle_request(connection, await read_frame(connection.stream))
 
-    def _handle_request(self, connection: _Connection, frame: bytes) -> None:
+    def _handle_request(self, connection: _InboundConnection, frame: bytes) -> None:
         destination = bind_to_connection(destination_of(self.address), connection.nonce)
         opened = connection.opener.open(destination, frame)
         envelope = decode_envelope(opened.payload)
@@ -133,7 +133,7 @@
         )
 
     async def _run_call(
-        self, connection: _Connection, caller_boot: BootId, envelope: Envelope
+        self, connection: _InboundConnection, caller_boot: BootId, envelope: Envelope
     ) -> None:
         try:
             reply = await self._run_handler(envelope)
@@ -161,7 +161,7 @@
             return Failure(code=DrumbayError.code, detail=type(error).__name__)
 
     def _reply(
-        self, connection: _Connection, caller_boot: BootId, call_id: int, reply: Message
+        self, connection: _InboundConnection, caller_boot: BootId, call_id: int, reply: Message
     ) -> None:
         payload = encode_envelope(FrameKind.REPLY, call_id, reply)
         destination = bind_to_connection(caller_boot, connection.nonce)
--- a/drumbay/comm/connection_registry.py
+++ b/drumbay/comm/connection_registry.py
@@ -1,4 +1,4 @@
-"""Registry of outgoing connections, to detect those that have silently died.
+"""Registry of outgoing connections, to detect those that have gone silent.
 
 When a middlebox such as a firewall loses its state, all connections open at that moment go silent
 without a reset, while new connections work. Only a timeout reveals this, so each connection records
--- a/drumbay/comm/introduction.py
+++ b/drumbay/comm/introduction.py
@@ -11,9 +11,9 @@
 from drumbay.comm.session import TransportSession
 from drumbay.identifiers import BootId
 
-INTRODUCTION_TIMEOUT_SECONDS = 2.0
-INTRODUCTION_INTERVAL_SECONDS = 5.0
-MAX_RECENT_INTRODUCTIONS = 64
+BOOT_QUERY_TIMEOUT_SECONDS = 2.0
+BOOT_QUERY_INTERVAL_SECONDS = 5.0
+MAX_RECENT_BOOT_QUERIES = 64
 
 
 class BootQuestion(Message, frozen=True, kw_only=True):
@@ -35,16 +35,16 @@
 CallPeer = Callable[[Address, Message], Awaitable[Message]]
 
 
-class Introductions:
-    """Queries the boots of unknown senders, and answers such queries."""
+class BootVerifier:
+    """Queries the boot ids of unknown senders, and replies to such queries."""
 
     def __init__(self, session: TransportSession, call_peer: CallPeer) -> None:
-        """Create without pending introductions; ``call_peer`` makes a call."""
+        """Create a verifier without pending queries; ``call_peer`` makes a call."""
         self._session = session
         self._call_peer = call_peer
-        self._last_request_at: dict[Address, float] = {}
+        self._last_query_at: dict[Address, float] = {}
 
-    async def answer(self, question: BootQuestion) -> Message:
+    async def reply(self, question: BootQuestion) -> Message:
         """Return this process's boot id and counter."""
         return BootAnswer(boot_id=self._session.boot_id, counter=self._session.sealer.counter)
 
@@ -55,19 +55,19 @@
         from making this node call arbitrary hosts.
         """
         now = self._session.clock.monotonic()
-        oldest = now - INTRODUCTION_INTERVAL_SECONDS
-        recent = {peer: at for peer, at in self._last_request_at.items() if at > oldest}
-        self._last_request_at = recent
-        if sender in recent or len(recent) >= MAX_RECENT_INTRODUCTIONS:
+        oldest = now - BOOT_QUERY_INTERVAL_SECONDS
+        recent = {peer: at for peer, at in self._last_query_at.items() if at > oldest}
+        self._last_query_at = recent
+        if sender in recent or len(recent) >= MAX_RECENT_BOOT_QUERIES:
             return
         recent[sender] = now
-        self._session.task_owner.spawn(self._introduce(sender), name="introduction")
+        self._session.task_owner.spawn(self._query_boot(sender), name="introduction")
 
-    async def _introduce(self, sender: Address) -> None:
+    async def _query_boot(self, sender: Address) -> None:
         try:
-            answer = await self._call_peer(sender, BootQuestion())
+            reply = await self._call_peer(sender, BootQuestion())
         except TransportError:
             # No node runs at this address: the datagram was a replay.
             return
-        if isinstance(answer, BootAnswer):
-            self._session.datagram_opener.accept_boot(answer.boot_id, answer.counter)
+        if isinstance(reply, BootAnswer):
+            self._session.datagram_opener.accept_boot(reply.boot_id, reply.counter)
--- a/drumbay/comm/peer_connection.py
+++ b/drumbay/comm/peer_connection.py
@@ -163,7 +163,7 @@
         except StreamClosedError:
             pass
         except FrameError as error:
-            self._session.record_refusal(self._peer, error)
+            self._session.record_rejected_frame(self._peer, error)
         finally:
             link.stream.close()
             if self._link is link:
--- a/drumbay/comm/session.py
+++ b/drumbay/comm/session.py
@@ -8,7 +8,7 @@
 from drumbay.observability.logs import log_event
 from drumbay.tasks import TaskOwner
 
-REFUSAL_LOG_INTERVAL_SECONDS = 10.0
+REJECTION_LOG_INTERVAL_SECONDS = 10.0
 
 
 class TransportSession:
@@ -36,7 +36,7 @@
         self._cluster_key = cluster_key
         self._last_call_id = 0
         self.refusal_counts: dict[str, int] = {}
-        self._refusal_logged_at: dict[str, float] = {}
+        self._rejection_logged_at: dict[str, float] = {}
 
     def new_connection_opener(self) -> ConnectionOpener:
         """Return a verifier for one direction of a new connection."""
@@ -47,15 +47,15 @@
         self._last_call_id += 1
         return self._last_call_id
 
-    def record_refusal(self, peer: Address, error: FrameError) -> None:
+    def record_rejected_frame(self, peer: Address, error: FrameError) -> None:
         """Count a rejected frame, and log it at most once per interval and error code."""
         count = self.refusal_counts.get(error.code, 0) + 1
         self.refusal_counts[error.code] = count
         now = self.clock.monotonic()
-        logged_at = self._refusal_logged_at.get(error.code)
-        if logged_at is not None and now - logged_at < REFUSAL_LOG_INTERVAL_SECONDS:
+        logged_at = self._rejection_logged_at.get(error.code)
+        if logged_at is not None and now - logged_at < REJECTION_LOG_INTERVAL_SECONDS:
             return
-        self._refusal_logged_at[error.code] = now
+        self._rejection_logged_at[error.code] = now
         log_event(
             "frame_refused",
             level="WARNING",
--- a/drumbay/comm/tornado_transport.py
+++ b/drumbay/comm/tornado_transport.py
@@ -28,9 +28,9 @@
     TransportError,
 )
 from drumbay.comm.introduction import (
-    INTRODUCTION_TIMEOUT_SECONDS,
+    BOOT_QUERY_TIMEOUT_SECONDS,
     BootQuestion,
-    Introductions,
+    BootVerifier,
 )
 from drumbay.comm.peer_connection import PeerConnection
 from drumbay.comm.session import TransportSession, destination_of
@@ -103,8 +103,8 @@
         self._datagram_endpoint: asyncio.DatagramTransport | None = None
         self._connections: dict[Address, PeerConnection] = {}
         self._closed = False
-        self._introductions = Introductions(self._session, self._request_introduction)
-        self.handle_calls(BootQuestion, self._introductions.answer)
+        self._boot_verifier = BootVerifier(self._session, self._query_boot)
+        self.handle_calls(BootQuestion, self._boot_verifier.reply)
 
     @property
     def address(self) -> Address:
@@ -183,8 +183,8 @@
             raise PeerUnreachableError("the transport is closed")
         return await self._connection_to(peer).call(request, timeout_seconds)
 
-    async def _request_introduction(self, peer: Address, question: Message) -> Message:
-        return await self.call(peer, question, timeout_seconds=INTRODUCTION_TIMEOUT_SECONDS)
+    async def _query_boot(self, peer: Address, question: Message) -> Message:
+        return await self.call(peer, question, timeout_seconds=BOOT_QUERY_TIMEOUT_SECONDS)
 
     def _connection_to(self, peer: Address) -> PeerConnection:
         connection = self._connections.pop(peer, None)
@@ -231,11 +231,11 @@
                 return
             message = self._session.registry.decode(envelope)
         except UnknownBootError as error:
-            self._session.record_refusal(sender, error)
-            self._introductions.request(sender)
+            self._session.record_rejected_frame(sender, error)
+            self._boot_verifier.request(sender)
             return
         except FrameError as error:
-            self._session.record_refusal(sender, error)
+            self._session.record_rejected_frame(sender, error)
             return
         handler(sender, message)
 
--- a/tests/test_comm_transport.py
+++ b/tests/test_comm_transport.py
@@ -30,7 +30,7 @@
     ReplyLostError,
     Transport,
 )
-from drumbay.comm.introduction import Introductions
+from drumbay.comm.introduction import BootVerifier
 from drumbay.comm.tornado_transport import ListenError, TornadoTransport
 from drumbay.exceptions import ConfigurationError
 from drumbay.tasks import TaskOwner
@@ -248,7 +248,7 @@
         self.assertEqual(reply, EchoReply(number=1))
 
     async def datagram_over_different_clocks(self, attempts: int) -> bool:
-        """Send datagrams repeatedly; return whether one arrived after an introduction."""
+        """Send datagrams repeatedly; return whether one arrived after a boot query."""
         server, client = await self.start_transport(), await self.start_transport(skew=-7200.0)
         arrived = asyncio.Event()
         server.handle_datagrams(EchoDatagram, lambda sender, message: arrived.set())
@@ -261,7 +261,7 @@
         return arrived.is_set()
 
     async def test_machines_with_different_clocks_exchange_datagrams(self) -> None:
-        with unittest.mock.patch.object(Introductions, "request", lambda *arguments: None):
+        with unittest.mock.patch.object(BootVerifier, "request", lambda *arguments: None):
             self.assertFalse(await self.datagram_over_different_clocks(attempts=20))
         self.assertTrue(await self.datagram_over_different_clocks(attempts=400))
 
