--- a/drumbay/kv/follower.py
+++ b/drumbay/kv/follower.py
@@ -72,7 +72,7 @@
             generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS
         )
         self._needs_snapshot = mirror.revision is None
-        self._missing_since: float | None = None
+        self._missed_since: float | None = None
         self._disconnected_at: float | None = None
         self._last_received_at = clock.monotonic()
 
@@ -94,14 +94,14 @@
         except WatchEndedError as error:
             # Not a sign of a silent connection. Otherwise the followers would keep ending each
             # other's watches, with growing backoff.
-            self._reset(error)
+            self._handle_broken_watch(error)
             await self._store_recovered.wait(self._clock, FIRST_RETRY_SECONDS)
         except KeyValueError as error:
-            self._reset(error)
+            self._handle_broken_watch(error)
             self._watch_was_silent = isinstance(error, WatchSilentError)
             await self._store_recovered.wait(self._clock, self._backoff.next_delay_seconds())
 
-    def _reset(self, error: KeyValueError) -> None:
+    def _handle_broken_watch(self, error: KeyValueError) -> None:
         self._log_disconnected(error.code)
         self._needs_snapshot = True
         self._mirror.is_connected = False
@@ -117,7 +117,7 @@
             mirror.confirm(request_sent_at)
             self._check_silence(self._last_received_at - request_sent_at)
             self._needs_snapshot = False
-            self._missing_since = None
+            self._missed_since = None
         mirror.is_connected = True
         start = Revision((mirror.revision or 0) + 1)
         batches = self._store.watch_prefix(mirror.feed.prefix, start, self._quiet_seconds)
@@ -161,14 +161,14 @@
 
     def _missed_seconds(self) -> float:
         """Return for how long changes may have been missed."""
-        if self._missing_since is None:
+        if self._missed_since is None:
             return 0.0
-        return self._clock.monotonic() - self._missing_since
+        return self._clock.monotonic() - self._missed_since
 
     def _log_disconnected(self, error: str) -> None:
         now = self._clock.monotonic()
-        if self._missing_since is None:
-            self._missing_since = now
+        if self._missed_since is None:
+            self._missed_since = now
         if self._disconnected_at is not None:
             return
         self._disconnected_at = now
--- a/tests/test_leader_turns.py
+++ b/tests/test_leader_turns.py
@@ -1,7 +1,7 @@
 """Regression: orders of two leaders could be closer together than the leader's turn.
 
-A leader that stops during its quiet time without giving an order, and is elected again after its
-restart, must still wait for the turn of its predecessor to end.
+A leader that stops before its first order, and is elected again after its restart, must still wait
+for the turn of its predecessor to end.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class LeaderTurnsTest(unittest.TestCase):
-    def test_a_successor_that_restarts_in_its_quiet_time_still_waits_for_the_turn(self) -> None:
+    def test_successor_that_restarts_before_its_first_order_waits_for_the_turn(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             first = world.nodes[0]
             first.lead()
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -107,7 +107,7 @@
 
         run_in_world(scenario)
 
-    def test_a_watch_that_fell_silent_is_replaced_in_time(self) -> None:
+    def test_silent_watch_of_a_disconnected_node_is_replaced_in_time(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             store = SilentStore(world.model, world.clock)
             _, seen = await self.follow(world, store)
@@ -121,7 +121,7 @@
 
         run_in_world(scenario)
 
-    def test_a_watch_that_alone_fell_silent_is_replaced_in_time(self) -> None:
+    def test_silent_watch_of_a_connected_node_is_replaced_in_time(self) -> None:
         """Silenced at several points of a watch, while the heartbeat and new watches work.
 
         See also ``test_silent_connections``.
@@ -152,7 +152,7 @@
 
         run_in_world(scenario)
 
-    def test_a_node_that_alone_is_cut_off_says_so_once(self) -> None:
+    def test_disconnected_node_logs_it_once(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             store = SilentStore(world.model, world.clock)
             await self.follow(world, store)
