--- a/drumbay/storage/durable_log.py
+++ b/drumbay/storage/durable_log.py
@@ -107,7 +107,7 @@
         self._store_id = store_id
         self._writer = ThreadPoolExecutor(max_workers=1, thread_name_prefix=path.stem)
         self._pending: list[_PendingWrite] = []
-        self._committing: asyncio.Task[None] | None = None
+        self._commit_task: asyncio.Task[None] | None = None
         self._failure: StorageError | None = None
         self.commits = 0
 
@@ -198,8 +198,8 @@
             records=records, replaces_all=replaces_all, done=loop.create_future()
         )
         self._pending.append(pending)
-        if self._committing is None:
-            self._committing = loop.create_task(self._commit_pending())
+        if self._commit_task is None:
+            self._commit_task = loop.create_task(self._commit_pending())
         # NOTE: a cancelled caller must not cancel the write, since later writes depend on it.
         await asyncio.shield(pending.done)
 
@@ -215,7 +215,7 @@
             self._failure = failure
             for pending in batch:
                 self._complete(pending, failure)
-        self._committing = None
+        self._commit_task = None
 
     @staticmethod
     def _complete(pending: _PendingWrite, failure: StorageError | None) -> None:
@@ -245,8 +245,8 @@
 
     async def close(self) -> None:
         """Wait for pending writes and close the files."""
-        while self._committing is not None:
-            await self._committing
+        while self._commit_task is not None:
+            await self._commit_task
         self._failure = self._failure or StorageClosedError("closed")
         self._connection.close()
         self._writer.shutdown(wait=False)
