--- a/drumbay/observability/metrics.py
+++ b/drumbay/observability/metrics.py
@@ -93,9 +93,9 @@
         self._requests.labels(route, outcome).inc()
         self._request_duration.labels(route).observe(duration_seconds)
 
-    def record_attempt(self, end: AttemptResult) -> None:
+    def record_attempt(self, result: AttemptResult) -> None:
         """Count an attempt on a back end."""
-        self._attempts.labels(end.value).inc()
+        self._attempts.labels(result.value).inc()
 
     def record_retry(self, route: str) -> None:
         """Count an attempt after a failed one of the same request."""
--- a/drumbay/observability/serving_metrics.py
+++ b/drumbay/observability/serving_metrics.py
@@ -221,7 +221,7 @@
         self._rejected.labels(service, reason, label).inc()
 
     def count_worker_death(self) -> None:
-        """Count a worker that died while processing a request."""
+        """Count a worker that crashed while processing a request."""
         self._worker_deaths.inc()
 
     def count_held_request(self, reason: str) -> None:
