--- a/drumbay/claims/reconfigurator.py
+++ b/drumbay/claims/reconfigurator.py
@@ -125,7 +125,7 @@
         """Probe the stores once, and carry out a change if one is needed.
 
         Raises:
-            UnavailableError: A replica or the key-value service was not available; the next
+            UnavailableError: A replica or the key-value store was not available; the next
                 step retries.
         """
         versioned = self._watcher.versioned
@@ -144,9 +144,9 @@
         """Return whether to finish the change that is in progress."""
         if mod_revision == self._started_revision:
             return True
-        return self._is_my_turn(mod_revision, present, extra_turns=1)
+        return self._is_own_turn(mod_revision, present, extra_turns=1)
 
-    def _is_my_turn(
+    def _is_own_turn(
         self,
         mod_revision: Revision,
         present: tuple[ReplicaMember, ...],
@@ -173,7 +173,7 @@
         present: tuple[ReplicaMember, ...],
     ) -> None:
         """Copy the state in advance, then start the change and finish it."""
-        if not self._is_my_turn(versioned.mod_revision, present, extra_turns=0):
+        if not self._is_own_turn(versioned.mod_revision, present, extra_turns=0):
             return
         replica_set = versioned.replica_set
         if replica_set is not None and replica_set.is_active:
--- a/drumbay/claims/replica_set.py
+++ b/drumbay/claims/replica_set.py
@@ -1,4 +1,4 @@
-"""The replica set and its epochs: state transitions of one record in the key-value service.
+"""The replica set and its epochs: state transitions of one record in the key-value store.
 
 A change seals the old epoch, copies its state to the new members and then starts the next
 epoch, as in Liskov and Cowling, "Viewstamped Replication Revisited" (2012), section 7. The
@@ -99,7 +99,7 @@
 
 
 def encode_replica_set(replica_set: ReplicaSet) -> bytes:
-    """Return the value stored in the key-value service (JSON, so that operators can read it)."""
+    """Return the value for the key-value store (JSON, so that operators can read it)."""
     return msgspec.json.encode(replica_set)
 
 
--- a/drumbay/claims/replica_set_watcher.py
+++ b/drumbay/claims/replica_set_watcher.py
@@ -37,11 +37,11 @@
 class ReplicaSetWatcher:
     """Tracks the replica set: some nodes watch its key, the others learn it by gossip.
 
-    The key-value service is rate-limited, so most nodes do not watch. A node that learns of
+    The key-value store is rate-limited, so most nodes do not watch. A node that learns of
     a newer record sends it to a few others, which do the same (rumour mongering, Demers et al.
     1987, section 1.4), and nodes that do not watch poll another node at intervals.
 
-    While the key-value service cannot be read, the node queries other nodes, so that it can claim
+    While the key-value store cannot be read, the node queries other nodes, so that it can claim
     keys even if it starts during an outage. A stale view does not affect safety: replicas reject
     claims of an old epoch.
     """
@@ -110,7 +110,7 @@
             await self._clock.wait_for(self._follow(batches), seconds)
 
     async def _poll_peer(self) -> None:
-        """Query another node, and the key-value service if no record is known."""
+        """Query another node, and the key-value store if no record is known."""
         await self._query_peers(1)
         if self._current is None:
             await self.refresh()
@@ -162,7 +162,7 @@
             self._apply(reply.versioned)
 
     def _observe(self, item: KeyValue | None) -> None:
-        """Apply an item read from the key-value service."""
+        """Apply an item read from the key-value store."""
         if item is None:
             self._apply(VersionedReplicaSet(replica_set=None, mod_revision=Revision(0)))
             return
--- a/tests/claims_world.py
+++ b/tests/claims_world.py
@@ -57,7 +57,7 @@
 
 @dataclass(kw_only=True)
 class Call:
-    """One call by a caller; ``outcome`` stays ``None`` if its node died."""
+    """One call by a caller; ``outcome`` stays ``None`` if its node crashed."""
 
     key: IdempotencyKey
     started: float
@@ -98,7 +98,7 @@
         self.process = host.start()
         clock = host.clock()
         self.clock = clock
-        self.owner = TaskOwner()
+        self.task_owner = TaskOwner()
         node_id = NodeId(host.name)
         random = Random(f"{world.settings.seed} {self.process.boot_id}")
         transport = SimulatedTransport(world.network, host.address, self.process)
@@ -119,7 +119,7 @@
             boot_id=self.process.boot_id,
             random=random,
             replica_set_view=lambda: self.view(),
-            task_owner=self.owner,
+            task_owner=self.task_owner,
             policy=world.settings.policy,
         )
         self.process.spawn(self.watcher.run(), "watch")
@@ -143,7 +143,7 @@
                 commit_seconds=world.settings.commit_seconds,
             ),
             limits=world.settings.limits,
-            task_owner=self.owner,
+            task_owner=self.task_owner,
         )
         self.process.run(self.replica.start)
         self.reconfigurator = world.implementations.reconfigurator(
@@ -189,7 +189,7 @@
             self.hosts[name] = host
 
     def candidates(self) -> tuple[ReplicaCandidate, ...]:
-        """Return all disk nodes, including dead ones, since the reconfigurator probes them."""
+        """Return all disk nodes, including crashed ones, since the reconfigurator probes them."""
         return tuple(
             ReplicaCandidate(
                 node_id=NodeId(name),
--- a/tests/test_claims_cluster.py
+++ b/tests/test_claims_cluster.py
@@ -182,7 +182,7 @@
 
         self.run_world(scenario)
 
-    def test_change_waits_for_the_key_value_service(self) -> None:
+    def test_change_waits_for_the_key_value_store(self) -> None:
         async def scenario(world: World) -> None:
             await world.call("n1", KEY, "broken")
             await world.kill("d1")
--- a/tests/test_delivery_epochs.py
+++ b/tests/test_delivery_epochs.py
@@ -73,7 +73,11 @@
 
     def delivery(self, node: Node) -> DeliveryService:
         return DeliveryService(
-            node.transport, node.clock, node.owner, node.process.boot_id, lambda: self.view(node)
+            node.transport,
+            node.clock,
+            node.task_owner,
+            node.process.boot_id,
+            lambda: self.view(node),
         )
 
     async def pull_as_owner(self, name: str, fence: int) -> None:
@@ -181,7 +185,7 @@
                 delivery=owner,
                 worker=IdleWorker(),
                 address_of=lambda _node_id: None,
-                task_owner=node.owner,
+                task_owner=node.task_owner,
             )
 
             async def work() -> None:
