--- a/drumbay/ownership/campaign.py
+++ b/drumbay/ownership/campaign.py
@@ -50,7 +50,7 @@
     async def create(self, name: str, lease_id: int) -> CampaignResult:
         """Try to become the owner of a resource that has none.
 
-        After a lost answer or a failed compare, the key is read to determine the owner: the
+        After a lost response or a failed compare, the key is read to determine the owner: the
         request may have been sent twice, or an earlier one may have arrived late.
         """
         key = OWNERSHIP_PREFIX + name
--- a/drumbay/ownership/leader.py
+++ b/drumbay/ownership/leader.py
@@ -35,8 +35,8 @@
 
 INITIAL_RETRY_SECONDS = 0.4
 MAX_RETRY_SECONDS = 3.0
-"""Limits the rate of calls while the service is unavailable. A candidate retries immediately when
-its heartbeat reports that the service has recovered."""
+"""Limits the rate of calls while the store is unavailable. A candidate retries immediately when
+its heartbeat reports that the store has recovered."""
 
 JITTER_SECONDS = 0.5
 MAX_WATCH_SECONDS = 60.0
@@ -93,13 +93,13 @@
         """Create a node that does not lead.
 
         Args:
-            clock: Time.
-            store: The key-value service.
+            clock: Time source.
+            store: The key-value store.
             record: This node.
             generator: Source of random delays.
             policy: Timing of leadership.
             is_candidate: Returns whether this node should campaign.
-            recovery_signal: Signals that the service has recovered.
+            recovery_signal: Signals that the store has recovered.
         """
         self._recovery_signal = recovery_signal or RecoverySignal()
         self._backoff = Backoff(
@@ -113,15 +113,15 @@
         self._is_candidate = is_candidate
         self._fence: Fence | None = None
         self._valid_until = float("-inf")
-        self._orders_from = float("-inf")
-        self._duties_from = float("-inf")
+        self._orders_allowed_from = float("-inf")
+        self._duties_allowed_from = float("-inf")
         self._is_recorded_as_last = False
         self._lease_id: int | None = None
 
     def fence(self, now: float) -> Fence | None:
         """Return the fence for orders; ``None`` if this node must not give orders now."""
         may_act = self._is_recorded_as_last or not self._policy.order_delay_seconds
-        if may_act and self._orders_from <= now < self._valid_until:
+        if may_act and self._orders_allowed_from <= now < self._valid_until:
             return self._fence
         return None
 
@@ -131,7 +131,7 @@
         A leader that follows another machine waits for ``duty_delay_seconds``: the calls of two
         machines must not interleave, even if the platform rejects older fences.
         """
-        may_act = self._is_recorded_as_last and now >= self._duties_from
+        may_act = self._is_recorded_as_last and now >= self._duties_allowed_from
         return self.fence(now) if may_act else None
 
     def guard(self, fence: Fence) -> ModRevisionIs:
@@ -200,8 +200,12 @@
         self._is_recorded_as_last = not follows_other_machine
         self._extend_validity(started_at, lease.ttl_seconds)
         now = self._clock.monotonic()
-        self._orders_from = now + self._policy.order_delay_seconds if follows_other_machine else now
-        self._duties_from = now + self._policy.duty_delay_seconds if follows_other_machine else now
+        self._orders_allowed_from = (
+            now + self._policy.order_delay_seconds if follows_other_machine else now
+        )
+        self._duties_allowed_from = (
+            now + self._policy.duty_delay_seconds if follows_other_machine else now
+        )
         log_event("leader_elected", fence=self._fence, successor=follows_other_machine)
         record_task = asyncio.ensure_future(self._record_last_leader())
         try:
@@ -213,18 +217,18 @@
         self._valid_until = sent_at + ttl_seconds * (1.0 - SAFETY_MARGIN_FRACTION)
 
     async def _renew_lease(self, lease_id: int, ttl_seconds: float) -> None:
-        pause_seconds = ttl_seconds / RENEWALS_PER_LEASE
+        renew_delay_seconds = ttl_seconds / RENEWALS_PER_LEASE
         while self._clock.monotonic() < self._valid_until:
-            await self._clock.sleep(pause_seconds)
+            await self._clock.sleep(renew_delay_seconds)
             sent_at = self._clock.monotonic()
             try:
                 remaining_seconds = await self._store.keep_lease_alive(lease_id)
             except LeaseNotFoundError:
                 break
             except KeyValueError:
-                pause_seconds = RENEWAL_RETRY_SECONDS
+                renew_delay_seconds = RENEWAL_RETRY_SECONDS
                 continue
-            pause_seconds = ttl_seconds / RENEWALS_PER_LEASE
+            renew_delay_seconds = ttl_seconds / RENEWALS_PER_LEASE
             if self._valid_until != float("-inf"):
                 self._extend_validity(sent_at, remaining_seconds)
         self._valid_until = float("-inf")
@@ -238,7 +242,7 @@
         """
         if self._is_recorded_as_last or self._fence is None:
             return
-        await self._clock.sleep(max(0.0, self._duties_from - self._clock.monotonic()))
+        await self._clock.sleep(max(0.0, self._duties_allowed_from - self._clock.monotonic()))
         put = Put(key=LAST_LEADER_KEY, value=_encoder.encode(self._record))
         while not self._is_recorded_as_last:
             try:
--- a/drumbay/ownership/lease_keeper.py
+++ b/drumbay/ownership/lease_keeper.py
@@ -46,8 +46,8 @@
         """Create a keeper.
 
         Args:
-            clock: Time.
-            store: The key-value service.
+            clock: Time source.
+            store: The key-value store.
             state: Decides when to send requests.
             generator: Source of randomness for jitter.
             parameters: Timing.
--- a/drumbay/ownership/lease_state.py
+++ b/drumbay/ownership/lease_state.py
@@ -2,7 +2,7 @@
 
 One lease covers all ownership keys of a node. Its validity is measured with the node's own
 monotonic clock from the moment before a grant or a renewal was sent, minus a safety margin. The
-service starts the time to live later than that, so the node's validity ends first (Gray and
+store starts the time to live later than that, so the node's validity ends first (Gray and
 Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
 Consistency", 1989, section 2). A validity that ends too late is still safe, because receivers
 check the fence.
@@ -27,7 +27,7 @@
     Attributes:
         lease_id: The lease.
         sent_at: Monotonic time before the request was sent.
-        ttl_seconds: Time to live, starting when the service processed the request.
+        ttl_seconds: Time to live, starting when the store processed the request.
         renew_delay_seconds: How long after ``sent_at`` to send the next renewal.
     """
 
@@ -38,7 +38,7 @@
 
 
 class RequestFailed(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: a grant or a renewal failed, or its answer was lost.
+    """Event: a grant or a renewal failed, or its response was lost.
 
     Attributes:
         sent_at: Monotonic time before the request was sent.
@@ -50,7 +50,7 @@
 
 
 class LeaseGone(msgspec.Struct, frozen=True, kw_only=True):
-    """Event: the service reported that the lease does not exist, so its keys were removed."""
+    """Event: the store reported that the lease does not exist, so its keys were removed."""
 
     lease_id: int
 
@@ -134,7 +134,7 @@
             return Standing.NOT_HELD
         if now < self._valid_until:
             return Standing.VALID
-        # NOTE: a failure before a freeze of the process does not show that the service has been
+        # NOTE: a failure before a freeze of the process does not show that the store has been
         # unreachable since.
         oldest_failure_at = max(self._valid_until, now - self._parameters.ttl_seconds)
         if self._last_failure_sent_at >= oldest_failure_at:
--- a/drumbay/ownership/manager.py
+++ b/drumbay/ownership/manager.py
@@ -47,8 +47,8 @@
         """Create a manager without resources to campaign for.
 
         Args:
-            clock: Time.
-            store: The key-value service.
+            clock: Time source.
+            store: The key-value store.
             node_id: This node.
             task_owner: Runs the manager's tasks.
             generator: Source of randomness for jitter.
@@ -138,7 +138,7 @@
     async def report_stale_fence(self, name: str, fence: Fence) -> None:
         """Stop owning a resource because a receiver has seen a newer fence than ``fence``.
 
-        A node that is partitioned from the key-value service learns of its successor this way.
+        A node that is partitioned from the key-value store learns of its successor this way.
         """
         if self._state.fence(name) == fence:
             await self._resign(name, fence, ChangeReason.SUPERSEDED)
@@ -170,7 +170,7 @@
     def fence_to_continue(self, name: str, now: float) -> Fence | None:
         """Return the fence for work whose receivers all check the fence.
 
-        Unlike :meth:`valid_fence`, it also returns the fence while the key-value service cannot be
+        Unlike :meth:`valid_fence`, it also returns the fence while the key-value store cannot be
         reached.
         """
         if self._state.standing(name, now) in (Standing.VALID, Standing.UNCONFIRMED):
@@ -187,7 +187,7 @@
         return self._placement.candidates(name)
 
     async def find_owner(self, name: str) -> OwnerRecord | None:
-        """Read the owner of a resource from the key-value service.
+        """Read the owner of a resource from the key-value store.
 
         Raises:
             KeyValueError: The read failed.
--- a/drumbay/ownership/records.py
+++ b/drumbay/ownership/records.py
@@ -64,7 +64,7 @@
     """The lease may have expired and no request has been sent since: the node must not act."""
 
     UNCONFIRMED = "unconfirmed"
-    """The lease may have expired and the service is unreachable: the node may only continue work
+    """The lease may have expired and the store is unreachable: the node may only continue work
     whose receivers all check the fence."""
 
     NOT_HELD = "not_held"
@@ -107,7 +107,7 @@
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """The owner of a resource according to the key-value service.
+    """The owner of a resource according to the key-value store.
 
     Attributes:
         name: The resource.
--- a/drumbay/ownership/view.py
+++ b/drumbay/ownership/view.py
@@ -1,4 +1,4 @@
-"""A node's view of the owners of all resources, read from the key-value service."""
+"""A node's view of the owners of all resources, read from the key-value store."""
 
 import msgspec
 
--- a/drumbay/ownership/watcher.py
+++ b/drumbay/ownership/watcher.py
@@ -29,7 +29,7 @@
 
     NONE = "none"
     STANDBY = "standby"
-    """It campaigns only if better candidates do not, and leaves them the service's rate limit."""
+    """It campaigns only if better candidates do not, and leaves them the store's rate limit."""
 
     FIRST = "first"
     """It owns a resource or is the first candidate of one."""
@@ -54,8 +54,8 @@
         """Create a watcher.
 
         Args:
-            clock: Time.
-            store: The key-value service.
+            clock: Time source.
+            store: The key-value store.
             view: Updated with the owners.
             generator: Source of randomness for jitter.
             parameters: Timing.
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -49,7 +49,7 @@
 
 
 class ReceiptTimeLeaseState(LeaseState):
-    """Fault: validity is measured from the receipt of the answer."""
+    """Fault: validity is measured from the receipt of the response."""
 
     def handle(self, now: float, event: LeaseEvent) -> tuple[LeaseDecision, ...]:
         if isinstance(event, LeaseHeld):
@@ -89,7 +89,7 @@
 
 
 async def partition_owner(guard: FenceGuard) -> tuple[OrderReceiver, OwnershipNode]:
-    """Partition only the owner from the key-value service for three minutes."""
+    """Partition only the owner from the key-value store for three minutes."""
     cluster, owner, _ = await start_pair()
     receiver = OrderReceiver(guard)
     for node in cluster.nodes.values():
@@ -105,7 +105,7 @@
 async def claim_under_faults(
     seed: int, make_state: Callable[[OwnershipParameters], LeaseState]
 ) -> tuple[OwnershipCluster, list[Claim]]:
-    """Sample claims during random delays, lost answers, outages and freezes."""
+    """Sample claims during random delays, lost responses, outages and freezes."""
     cluster = OwnershipCluster(seed=seed, node_count=3, make_state=make_state)
     generator = random.Random(seed)
     claims: list[Claim] = []
@@ -244,19 +244,19 @@
 
         run_simulation(scenario)
 
-    def test_lost_answers_of_grant_and_campaign(self) -> None:
+    def test_lost_responses_to_grant_and_campaign(self) -> None:
         async def scenario() -> None:
             cluster = OwnershipCluster(seed=1, node_count=1)
             node = cluster.nodes["node-000"]
             cluster.model.set_faults(KeyValueFaults(lost_answers=1))
 
-            def lose_campaign_answer() -> None:
-                # The answer of the first grant was lost, so the campaign follows the second grant.
+            def lose_campaign_response() -> None:
+                # The first grant lost its response, so the campaign follows the second grant.
                 if len(cluster.model.log) == 2:
-                    cluster.model.remove_listener(lose_campaign_answer)
+                    cluster.model.remove_listener(lose_campaign_response)
                     cluster.model.set_faults(KeyValueFaults(lost_answers=1))
 
-            cluster.model.add_listener(lose_campaign_answer)
+            cluster.model.add_listener(lose_campaign_response)
             node.start([NAME])
             await cluster.wait_for_owner(NAME)
             (reign,) = read_reigns(cluster.model, NAME)
