--- a/drumbay/delivery/messages.py
+++ b/drumbay/delivery/messages.py
@@ -10,7 +10,7 @@
     """Paxos ballot number of one recovery of a stream's log.
 
     Ballots are ordered by the fence of the ownership lease. The boot identity distinguishes ballots
-    even if the key-value service granted a fence twice. The recovery number distinguishes the
+    even if the key-value store granted a fence twice. The recovery number distinguishes the
     recoveries of one owner: they may read different majorities and therefore propose different
     entries at a position, which a single ballot must never do.
 
--- a/drumbay/delivery/quorum.py
+++ b/drumbay/delivery/quorum.py
@@ -41,7 +41,7 @@
 
 
 async def call_majority(
-    tasks: TaskOwner,
+    task_owner: TaskOwner,
     members: tuple[Address, ...],
     call: Callable[[Address], Awaitable[ResultT | None]],
 ) -> list[ResultT]:
@@ -50,7 +50,7 @@
     Pending calls continue, so that slower replicas receive the request too.
 
     Args:
-        tasks: Owner of the calls.
+        task_owner: Owner of the calls.
         members: The replicas.
         call: Calls one replica; ``None`` means that it refused.
 
@@ -69,7 +69,7 @@
             results.put_nowait(Refused() if result is None else Granted(result))
 
     for member in members:
-        tasks.spawn(run(member), name=f"stream_replica_{member.host}:{member.port}")
+        task_owner.spawn(run(member), name=f"stream_replica_{member.host}:{member.port}")
     needed = majority(len(members))
     granted: list[ResultT] = []
     failures: list[DrumbayError] = []
--- a/drumbay/delivery/reopening.py
+++ b/drumbay/delivery/reopening.py
@@ -17,7 +17,7 @@
     Args:
         replica: The replica.
         open_log: Opens its log.
-        clock: Time.
+        clock: Time source.
         task_owner: Owner of the reopening tasks.
     """
 
--- a/drumbay/delivery/replicated_log.py
+++ b/drumbay/delivery/replicated_log.py
@@ -75,14 +75,14 @@
     def __init__(
         self,
         transport: Transport,
-        tasks: TaskOwner,
+        task_owner: TaskOwner,
         boot_id: BootId,
         current_view: Callable[[], ReplicaView],
         parameters: DeliveryParameters,
     ) -> None:
         """Create the log; for the arguments see :class:`.service.DeliveryService`."""
         self._transport = transport
-        self._tasks = tasks
+        self._task_owner = task_owner
         self._boot_id = boot_id
         self._current_view = current_view
         self._parameters = parameters
@@ -100,7 +100,7 @@
         self._recovery_count += 1
         ballot = Ballot(fence, self._boot_id, self._recovery_count)
         histories = await call_majority(
-            self._tasks,
+            self._task_owner,
             view.members,
             lambda member: self._promise_history(member, stream, view, ballot),
         )
@@ -229,4 +229,4 @@
         async def call(member: Address) -> object | None:
             return reply_if_granted(await self._call(member, request))
 
-        await call_majority(self._tasks, owned.view.members, call)
+        await call_majority(self._task_owner, owned.view.members, call)
--- a/drumbay/delivery/service.py
+++ b/drumbay/delivery/service.py
@@ -47,7 +47,7 @@
         self,
         transport: Transport,
         clock: Clock,
-        tasks: TaskOwner,
+        task_owner: TaskOwner,
         boot_id: BootId,
         current_view: Callable[[], ReplicaView],
         *,
@@ -60,8 +60,8 @@
 
         Args:
             transport: Sends calls to the replicas, including that of this node.
-            clock: Time.
-            tasks: Owner of pending calls.
+            clock: Time source.
+            task_owner: Owner of pending calls.
             boot_id: Identity of this process run.
             current_view: Returns the current epoch and members of the replica set.
             on_work_changed: Called when the missing samples of a stream may have changed.
@@ -76,7 +76,7 @@
         self._on_samples_stale = on_samples_stale or (lambda stream, count: None)
         self._parameters = parameters or DeliveryParameters()
         self._streams: dict[StreamName, OwnedStream] = {}
-        self._log = log_type(transport, tasks, boot_id, current_view, self._parameters)
+        self._log = log_type(transport, task_owner, boot_id, current_view, self._parameters)
 
     @property
     def owned_streams(self) -> tuple[StreamName, ...]:
--- a/tests/delivery_cluster.py
+++ b/tests/delivery_cluster.py
@@ -65,15 +65,15 @@
 class MemoryNetwork:
     """Handlers by address, with configurable message loss.
 
-    Addresses in ``cut`` receive nothing, those in ``mute`` lose their replies, and those in
-    ``lost_batches`` receive no log entry after the first.
+    Addresses in ``unreachable`` receive nothing, the replies of those in ``reply_losing`` are lost,
+    and those in ``entry_losing`` receive no log entry after the first.
     """
 
     def __init__(self) -> None:
         self.handlers: dict[tuple[Address, type[Message]], CallHandler] = {}
-        self.cut: list[Address] = []
-        self.mute: list[Address] = []
-        self.lost_batches: list[Address] = []
+        self.unreachable: list[Address] = []
+        self.reply_losing: list[Address] = []
+        self.entry_losing: list[Address] = []
 
 
 class MemoryTransport:
@@ -93,14 +93,14 @@
     async def call(self, peer: Address, request: Message, *, timeout_seconds: float) -> Message:
         await asyncio.sleep(0)
         is_batch = isinstance(request, StreamAcceptRequest) and request.position > 0
-        if peer in self._network.cut or (is_batch and peer in self._network.lost_batches):
+        if peer in self._network.unreachable or (is_batch and peer in self._network.entry_losing):
             raise PeerUnreachableError(str(peer))
         try:
             reply = await self._network.handlers[peer, type(request)](request)
         except DrumbayError as error:
             raise RemoteFailureError(error.code, str(error)) from error
         await asyncio.sleep(0)
-        if peer in self._network.mute:
+        if peer in self._network.reply_losing:
             raise ReplyLostError(str(peer))
         return reply
 
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -150,31 +150,31 @@
         self.assertIn("cursor changed its bytes", await self.two_owners(UnfencedReplica))
         self.assertEqual(await self.two_owners(DeliveryReplica), [])
 
-    async def owner_death(self, log_type: type[ReplicatedLog], *, cut_replicas: bool) -> list[str]:
+    async def owner_crash(self, log_type: type[ReplicatedLog], *, cut_replicas: bool) -> list[str]:
         cluster = Cluster()
         trainer = RecordingTrainer()
         first = await cluster.owner_with_step("first", 1, log_type=log_type)
         finish_missing(first, 1, "first")
-        cluster.network.cut = list(cluster.members[1:]) if cut_replicas else []
+        cluster.network.unreachable = list(cluster.members[1:]) if cut_replicas else []
         try:
             await trainer.pull(first, 0, 1)
         except QuorumUnavailableError:
             self.assertTrue(cut_replicas)
-        cluster.network.cut = [cluster.members[0]]
+        cluster.network.unreachable = [cluster.members[0]]
         second = await cluster.owner_with_step("second", 2, log_type=log_type)
         finish_missing(second, 1, "second")
         await trainer.pull(second, 0, 1)
         return trainer.violations()
 
     async def test_delivery_requires_a_majority(self) -> None:
-        faulty = await self.owner_death(NoMajorityLog, cut_replicas=True)
+        faulty = await self.owner_crash(NoMajorityLog, cut_replicas=True)
         self.assertIn("cursor changed its bytes", faulty)
-        self.assertEqual(await self.owner_death(ReplicatedLog, cut_replicas=True), [])
+        self.assertEqual(await self.owner_crash(ReplicatedLog, cut_replicas=True), [])
 
-    async def test_repeated_pull_after_owner_death(self) -> None:
-        faulty = await self.owner_death(BatchLosingLog, cut_replicas=False)
+    async def test_repeated_pull_after_owner_crash(self) -> None:
+        faulty = await self.owner_crash(BatchLosingLog, cut_replicas=False)
         self.assertIn("cursor changed its bytes", faulty)
-        self.assertEqual(await self.owner_death(ReplicatedLog, cut_replicas=False), [])
+        self.assertEqual(await self.owner_crash(ReplicatedLog, cut_replicas=False), [])
 
     async def frozen_owner(self, log_type: type[ReplicatedLog]) -> list[str]:
         cluster = Cluster()
@@ -202,21 +202,21 @@
         trainer = RecordingTrainer()
         first = await cluster.owner_with_step("first", 1)
         finish_missing(first, 1, "first")
-        cluster.network.cut = list(cluster.members[1:])
+        cluster.network.unreachable = list(cluster.members[1:])
         with self.assertRaises(QuorumUnavailableError):
             await trainer.pull(first, 0, 1)
         second = cluster.owner("second", log_type=log_type)
-        cluster.network.cut = [cluster.members[2]]
-        cluster.network.lost_batches = [cluster.members[1]]
+        cluster.network.unreachable = [cluster.members[2]]
+        cluster.network.entry_losing = [cluster.members[1]]
         with self.assertRaises(QuorumUnavailableError):
             await second.take_over(STREAM, Fence(2))
-        cluster.network.lost_batches = []
-        cluster.network.cut = [cluster.members[0]]
+        cluster.network.entry_losing = []
+        cluster.network.unreachable = [cluster.members[0]]
         await second.take_over(STREAM, Fence(2))
         finish_missing(second, 1, "second")
-        cluster.network.cut = [cluster.members[2]]
+        cluster.network.unreachable = [cluster.members[2]]
         await trainer.pull(second, 0, 1)
-        cluster.network.cut = [cluster.members[1]]
+        cluster.network.unreachable = [cluster.members[1]]
         third = await cluster.owner_with_step("third", 3)
         finish_missing(third, 1, "third")
         await trainer.pull(third, 0, 1)
@@ -330,7 +330,7 @@
         cluster.replace_replica(2)
         await trainer.pull(owner, 12, 1)
         await cluster.clock.sleep(1)
-        cluster.network.cut = [cluster.members[0]]
+        cluster.network.unreachable = [cluster.members[0]]
         second = cluster.owner("second")
         await second.take_over(STREAM, Fence(2))
         finish_missing(second, 1, "second")
@@ -345,10 +345,10 @@
         trainer = RecordingTrainer()
         owner = await cluster.owner_with_step("first", 1)
         finish_missing(owner, 1, "first")
-        cluster.network.mute = list(cluster.members[1:])
+        cluster.network.reply_losing = list(cluster.members[1:])
         with self.assertRaises(QuorumUnavailableError):
             await trainer.pull(owner, 0, 1, max_samples=1)
-        cluster.network.mute = []
+        cluster.network.reply_losing = []
         batch = await trainer.pull(owner, 0, 1, max_samples=4)
         self.assertEqual(len(batch.samples) if batch else 0, 1)
 
@@ -368,8 +368,8 @@
         owners = [await cluster.owner_with_step("boot-0", 1)]
         cursor, accepted, step = 0, 0, 1
         for action in range(60):
-            cluster.network.cut = [a for a in cluster.members if generator.random() < 0.15]
-            cluster.network.mute = [a for a in cluster.members if generator.random() < 0.1]
+            cluster.network.unreachable = [a for a in cluster.members if generator.random() < 0.15]
+            cluster.network.reply_losing = [a for a in cluster.members if generator.random() < 0.1]
             owner = generator.choice(owners[-3:])
             choice = generator.random()
             try:
