--- a/tests/test_comm_transport.py
+++ b/tests/test_comm_transport.py
@@ -336,7 +336,7 @@
         with self.assertRaises(ReplyLostError):
             await waiting
 
-    async def test_taken_port_is_a_typed_error(self) -> None:
+    async def test_listening_on_a_used_port_raises_listen_error(self) -> None:
         server = await self.start_transport()
         with self.assertRaises(ListenError):
             await self.start_transport(port=server.address.port)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -15,7 +15,7 @@
 from tests.test_shared_feeds import KEY, RecordingFeed
 from tests.test_store_follower import SilentStore
 
-NODES = 6
+NODE_COUNT = 6
 IN_FORCE_SECONDS = 2.0
 QUIET_PERIOD_SECONDS = 60.0
 SLOW_RESPONSE_SECONDS = 0.4
@@ -41,7 +41,7 @@
 
 class FreshnessTest(unittest.TestCase):
     async def start(self, world: ServingWorld) -> list[RecordingFeed]:
-        self.stores = [SilentStore(world.model, world.clock) for _ in range(NODES)]
+        self.stores = [SilentStore(world.model, world.clock) for _ in range(NODE_COUNT)]
         world.nodes = [
             WorldNode(world, 10 + number, 0, store) for number, store in enumerate(self.stores)
         ]
@@ -82,7 +82,7 @@
                 seen = await self.start(world)
                 await asyncio.sleep(0.15 * phase)
                 for store in self.stores:
-                    store.silence_open()
+                    store.silence_open_watches()
                 for number in range(3):
                     self.put(world, b"%d" % number)
                     await asyncio.sleep(IN_FORCE_SECONDS)
@@ -100,7 +100,7 @@
             await asyncio.sleep(2.0)
             candidate.lead()
             await asyncio.sleep(5.0)
-            store.silence_open()
+            store.silence_open_watches()
             await world.nodes[0].kill()
             await asyncio.sleep(MAX_QUIET_SECONDS + 10.0)
             self.assertIsNotNone(candidate.leader.fence(world.clock.monotonic()))
@@ -131,7 +131,7 @@
             await self.start(world)
             node, store = world.nodes[0], self.stores[0]
             world.peers.cut = {other.address for other in world.nodes}
-            store.cut()
+            store.disconnect()
             await asyncio.sleep(5.0)
             self.assertGreater(node.node.configuration_age_seconds, 4.0)
             self.assertTrue(node.node.may_have_outdated_configuration)
--- a/tests/test_lapsed_workers.py
+++ b/tests/test_lapsed_workers.py
@@ -124,7 +124,7 @@
 
         run_in_world(scenario)
 
-    def test_worker_that_stays_away_after_an_outage_is_removed(self) -> None:
+    def test_worker_that_does_not_return_after_an_outage_is_removed(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.follow(world)
             await self.outage(world, 6.0)
--- a/tests/test_shared_feeds.py
+++ b/tests/test_shared_feeds.py
@@ -12,7 +12,7 @@
 from tests.serving_world import ServingWorld, WorldNode, run_in_world
 from tests.test_store_follower import SilentStore
 
-NODES = 20
+NODE_COUNT = 20
 IN_FORCE_SECONDS = 2.0
 ALL_WATCHERS_LOST_SECONDS = 2.8
 """Allows for detecting that all watchers are lost and for switching to the store."""
@@ -171,7 +171,7 @@
             # Heartbeats of watchers and followers, the leader's lease, and changes at 3 watchers.
             self.assertLess(world.model.injector.arrived - before, 10 * (9 + 7 + 1 + 3 * 2) + 20)
 
-        run_in_world(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODE_COUNT)
 
     def test_simultaneous_start_takes_few_store_calls(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -179,11 +179,11 @@
                 node.node.start((RecordingFeed().feed(),))
             await asyncio.sleep(5.0)
             # Each node: lease, entry, node list, 2 renewals. Watchers also: snapshots, watches.
-            self.assertLess(world.model.injector.arrived, NODES * 5 + 3 * 20)
+            self.assertLess(world.model.injector.arrived, NODE_COUNT * 5 + 3 * 20)
 
-        run_in_world(scenario, node_count=NODES, settle_seconds=1.0)
+        run_in_world(scenario, node_count=NODE_COUNT, settle_seconds=1.0)
 
-    def test_followers_leave_a_dead_watcher(self) -> None:
+    def test_followers_leave_a_crashed_watcher(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             seen = await self.start(world)
             await self.watchers(world)[0].kill()
@@ -191,10 +191,10 @@
             await asyncio.sleep(IN_FORCE_SECONDS)
             self.assert_in_force(seen[1:], b"1")
 
-        run_in_world(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODE_COUNT)
 
-    def test_followers_leave_a_watcher_cut_off_from_the_store(self) -> None:
-        """Cut off at several points between two heartbeats."""
+    def test_followers_leave_a_watcher_disconnected_from_the_store(self) -> None:
+        """Disconnected at several points between two heartbeats."""
         for phase in range(4):
 
             async def scenario(world: ServingWorld, phase: int = phase) -> None:
@@ -203,15 +203,15 @@
                 world.nodes[1] = WorldNode(world, number, 0, store)
                 seen = await self.start(world)
                 await asyncio.sleep(0.25 * phase)
-                store.cut()
+                store.disconnect()
                 self.put(world, b"1")
                 await asyncio.sleep(IN_FORCE_SECONDS)
                 self.assert_in_force(seen, b"1")
 
             with self.subTest(phase=phase):
-                run_in_world(scenario, node_count=NODES)
+                run_in_world(scenario, node_count=NODE_COUNT)
 
-    def test_followers_watch_when_all_watchers_are_dead(self) -> None:
+    def test_followers_watch_when_all_watchers_have_crashed(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             seen = await self.start(world)
             for node in self.watchers(world):
@@ -226,7 +226,7 @@
             self.assert_in_force(seen[3:], b"2")
             self.assertLess(world.model.injector.arrived - before, 50)
 
-        run_in_world(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODE_COUNT)
 
     def test_followers_watch_when_no_watcher_reaches_the_store(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -237,7 +237,7 @@
             await asyncio.sleep(ALL_WATCHERS_LOST_SECONDS + 1.0)
             self.assert_in_force(seen[3:], b"1")
 
-        run_in_world(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODE_COUNT)
 
     def test_data_survives_an_outage_and_changes_arrive_after_it(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -254,7 +254,7 @@
             for found in seen:
                 self.assertEqual(found.values, sorted(found.values))
 
-        run_in_world(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODE_COUNT)
 
     def test_outage_for_all_nodes_takes_few_calls(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -270,7 +270,7 @@
             # Bounded by the backoff of retries; most calls are retries of three watchers.
             self.assertLess(calls, 540)
 
-        run_in_world(scenario, node_count=NODES)
+        run_in_world(scenario, node_count=NODE_COUNT)
 
     def test_nodes_that_restart_in_an_outage_recover_after_it(self) -> None:
         async def scenario(world: ServingWorld) -> None:
@@ -278,7 +278,7 @@
             world.model.set_faults(KeyValueFaults(outage=True))
             for node in list(world.nodes):
                 await node.kill()
-            world.nodes = [WorldNode(world, number, 1) for number in range(1, NODES + 1)]
+            world.nodes = [WorldNode(world, number, 1) for number in range(1, NODE_COUNT + 1)]
             seen = [RecordingFeed() for _ in world.nodes]
             for node, found in zip(world.nodes, seen, strict=True):
                 node.node.start((found.feed(),))
@@ -290,7 +290,7 @@
             now = world.clock.monotonic()
             self.assertTrue(any(node.leader.fence(now) for node in world.nodes))
 
-        run_in_world(scenario, node_count=NODES, workers_check_fences=True)
+        run_in_world(scenario, node_count=NODE_COUNT, workers_check_fences=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -103,11 +103,11 @@
         return self.memory.open(HeldKind.LOOKUP, "r", "route")
 
     def serve(self, request: HTTPServerRequest, held: MemoryReservation) -> None:
-        task = asyncio.get_running_loop().create_task(self.answer(request, held))
+        task = asyncio.get_running_loop().create_task(self.respond(request, held))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def answer(self, request: HTTPServerRequest, held: MemoryReservation) -> None:
+    async def respond(self, request: HTTPServerRequest, held: MemoryReservation) -> None:
         assert request.connection is not None
         body = bytes(int(request.path.removeprefix("/")))
         held.replace_with_response(len(body))
@@ -297,8 +297,8 @@
 class SettingsTest(unittest.TestCase):
     def test_limit_is_derived_from_the_configured_memory(self) -> None:
         self.assertIsNone(held_bytes_bound(parse_settings(SETTINGS).memory_bytes))
-        named = parse_settings(SETTINGS + "\nlimits.memoryMb=552")
-        self.assertEqual(held_bytes_bound(named.memory_bytes), 240 * MEGABYTE)
+        configured = parse_settings(SETTINGS + "\nlimits.memoryMb=552")
+        self.assertEqual(held_bytes_bound(configured.memory_bytes), 240 * MEGABYTE)
 
 
 if __name__ == "__main__":
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -91,8 +91,8 @@
         await store.close()
         reopened = ReplicaStore(self.open(), create)
         self.assertEqual(reopened.running_seconds, 7.0)
-        verdict = reopened.acceptor.table.claim(key, claims[1], 7.0).vote
-        self.assertIs(verdict, ClaimVote.HELD)
+        vote = reopened.acceptor.table.claim(key, claims[1], 7.0).vote
+        self.assertIs(vote, ClaimVote.HELD)
         await reopened.close()
 
     async def test_second_open_is_rejected(self) -> None:
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -29,23 +29,23 @@
 class SilentStore(MemoryKeyValueStore):
     """Store client whose open watches go silent without an error, as TCP connections may do.
 
-    ``cut`` also makes all other calls fail. After ``silence_open``, other calls and new watches
-    still work.
+    ``disconnect`` also makes all other calls fail. After ``silence_open_watches``, other calls and
+    new watches still work.
     """
 
     def __init__(self, model: KeyValueModel, clock: Clock) -> None:
         super().__init__(model, clock, timeout_seconds=1.0)
-        self.cuts = 0
+        self.silence_count = 0
         self.polls = 0
 
-    def silence_open(self) -> None:
+    def silence_open_watches(self) -> None:
         """Silence the watches that are open now."""
-        self.cuts += 1
+        self.silence_count += 1
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Disconnect the client, and silence its open watches for good."""
         self.reachable = False
-        self.cuts += 1
+        self.silence_count += 1
 
     async def watch_prefix(
         self,
@@ -53,10 +53,10 @@
         start_revision: Revision,
         quiet_seconds: float = MAX_QUIET_SECONDS,
     ) -> AsyncGenerator[WatchBatch, None]:
-        opened_at_cut = self.cuts
+        silence_count_at_open = self.silence_count
         self.polls += quiet_seconds <= POLL_SECONDS
         async for batch in super().watch_prefix(prefix, start_revision, quiet_seconds):
-            if self.cuts != opened_at_cut:
+            if self.silence_count != silence_count_at_open:
                 await asyncio.sleep(3_600.0)
             yield batch
 
@@ -111,7 +111,7 @@
         async def scenario(world: ServingWorld) -> None:
             store = SilentStore(world.model, world.clock)
             _, seen = await self.follow(world, store)
-            store.cut()
+            store.disconnect()
             await asyncio.sleep(3.0)
             store.reachable = True
             await asyncio.sleep(1.0)
@@ -132,7 +132,7 @@
                 store = SilentStore(world.model, world.clock)
                 _, seen = await self.follow(world, store)
                 await asyncio.sleep(0.3 * phase)
-                store.silence_open()
+                store.silence_open_watches()
                 self.put(world, b"new")
                 await asyncio.sleep(IN_FORCE_SECONDS)
                 self.assertEqual(seen.values, {"config/a": b"new"})
@@ -144,7 +144,7 @@
         async def scenario(world: ServingWorld) -> None:
             store = SilentStore(world.model, world.clock)
             _, seen = await self.follow(world, store)
-            store.cut()
+            store.disconnect()
             await asyncio.sleep(2.0)
             self.put(world, b"new")
             await asyncio.sleep(IN_FORCE_SECONDS)
@@ -157,7 +157,7 @@
             store = SilentStore(world.model, world.clock)
             await self.follow(world, store)
             with patch("drumbay.kv.follower.log_event") as log_event:
-                store.cut()
+                store.disconnect()
                 for number in range(8):
                     self.put(world, str(number).encode())
                     await asyncio.sleep(1.0)
@@ -213,7 +213,7 @@
         run_in_world(scenario)
 
 
-class DirectClockTest(unittest.TestCase):
+class FollowerWithoutRelayTest(unittest.TestCase):
     def test_follower_works_without_a_relay(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             seen = RecordingFeed()
@@ -232,13 +232,13 @@
         run_in_world(scenario)
 
 
-class RenewalTest(unittest.TestCase):
+class EndedWatchTest(unittest.TestCase):
     """Regression: followers kept ending each other's watches, and missed changes for seconds.
 
     Watches that this process ends itself must not count as silent connections.
     """
 
-    def test_ending_all_watches_once_ends_them_once(self) -> None:
+    def test_ended_watches_do_not_count_as_silent(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             direct = MemoryKeyValueStore(world.model, world.clock, timeout_seconds=1.0)
             address = NetworkAddress("10.0.0.9", 7000)
