--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,13 +9,13 @@
 from drumbay.kv.memory import MemoryKeyValueStore
 from drumbay.ownership.leader import PREFIX as LEADER_PREFIX
 from drumbay.peers.feeds import MAX_AGE_FRACTION
-from drumbay.peers.freshness import VERIFY_FRACTION, VERIFY_JITTER
+from drumbay.peers.freshness import MAX_JITTER_FACTOR, VERIFY_FRACTION
 from drumbay.peers.pause_detector import PauseDetector
 from tests.serving_world import ServingWorld, WorldNode, run_in_world
 from tests.test_shared_feeds import KEY, RecordingFeed
 from tests.test_store_follower import SilentStore
 
-NODES = 6
+NODE_COUNT = 6
 IN_FORCE_SECONDS = 2.0
 QUIET_PERIOD_SECONDS = 60.0
 SLOW_RESPONSE_SECONDS = 0.4
@@ -41,7 +41,7 @@
 
 class FreshnessTest(unittest.TestCase):
     async def start(self, world: ServingWorld) -> list[RecordingFeed]:
-        self.stores = [SilentStore(world.model, world.clock) for _ in range(NODES)]
+        self.stores = [SilentStore(world.model, world.clock) for _ in range(NODE_COUNT)]
         world.nodes = [
             WorldNode(world, 10 + number, 0, store) for number, store in enumerate(self.stores)
         ]
@@ -55,7 +55,7 @@
     def put(world: ServingWorld, value: bytes) -> None:
         world.model.transact((), (Put(key=KEY, value=value),))
 
-    def test_one_node_asks_for_all(self) -> None:
+    def test_one_node_polls_for_all(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
             before = sum(store.polls for store in self.stores)
@@ -72,7 +72,7 @@
 
     def test_slow_verification_finishes_before_followers_switch(self) -> None:
         in_force_seconds = 3.0
-        oldest = VERIFY_FRACTION * VERIFY_JITTER * in_force_seconds + SLOW_RESPONSE_SECONDS
+        oldest = VERIFY_FRACTION * MAX_JITTER_FACTOR * in_force_seconds + SLOW_RESPONSE_SECONDS
         self.assertLess(oldest, MAX_AGE_FRACTION * in_force_seconds)
 
     def test_changes_arrive_while_all_open_watches_are_silent(self) -> None:
@@ -82,7 +82,7 @@
                 seen = await self.start(world)
                 await asyncio.sleep(0.15 * phase)
                 for store in self.stores:
-                    store.silence_open()
+                    store.silence_open_watches()
                 for number in range(3):
                     self.put(world, b"%d" % number)
                     await asyncio.sleep(IN_FORCE_SECONDS)
@@ -100,7 +100,7 @@
             await asyncio.sleep(2.0)
             candidate.lead()
             await asyncio.sleep(5.0)
-            store.silence_open()
+            store.silence_open_watches()
             await world.nodes[0].kill()
             await asyncio.sleep(MAX_QUIET_SECONDS + 10.0)
             self.assertIsNotNone(candidate.leader.fence(world.clock.monotonic()))
@@ -126,12 +126,12 @@
 
         run_in_world(scenario)
 
-    def test_a_node_that_cannot_prove_its_copy_says_how_old_it_is(self) -> None:
+    def test_unverified_node_reports_the_age_of_its_data(self) -> None:
         async def scenario(world: ServingWorld) -> None:
             await self.start(world)
             node, store = world.nodes[0], self.stores[0]
             world.peers.cut = {other.address for other in world.nodes}
-            store.cut()
+            store.disconnect()
             await asyncio.sleep(5.0)
             self.assertGreater(node.node.configuration_age_seconds, 4.0)
             self.assertTrue(node.node.may_have_outdated_configuration)
