--- a/drumbay/claims/reconfigurator.py
+++ b/drumbay/claims/reconfigurator.py
@@ -77,7 +77,7 @@
         watcher: ReplicaSetWatcher,
         candidates: CandidatesView,
         policy: ReplacementPolicy,
-        other_parts: tuple[EpochStateCopier, ...] = (),
+        other_copiers: tuple[EpochStateCopier, ...] = (),
     ) -> None:
         """Create a coordinator.
 
@@ -90,7 +90,7 @@
             watcher: The node's view of the replica set.
             candidates: Returns the live nodes that have a disk.
             policy: When to replace members.
-            other_parts: Copiers of other state that is stored on the members.
+            other_copiers: Copiers of other state that is stored on the members.
         """
         self._node_id = node_id
         self._clock = clock
@@ -101,7 +101,7 @@
         self._candidates = candidates
         self._planner = ReplacementPlanner(policy)
         self._copier = StateCopier(transport, random)
-        self._other_copiers = other_parts
+        self._other_copiers = other_copiers
         self._change_due_since: float | None = None
         self._change_due_revision = Revision(0)
         # The change started by this coordinator, which it finishes without delay.
--- a/drumbay/comm/session.py
+++ b/drumbay/comm/session.py
@@ -35,7 +35,7 @@
         self.datagram_opener = DatagramOpener(cluster_key, clock)
         self._cluster_key = cluster_key
         self._last_call_id = 0
-        self.refusal_counts: dict[str, int] = {}
+        self.rejected_frame_counts: dict[str, int] = {}
         self._rejection_logged_at: dict[str, float] = {}
 
     def new_connection_opener(self) -> ConnectionOpener:
@@ -49,8 +49,8 @@
 
     def record_rejected_frame(self, peer: Address, error: FrameError) -> None:
         """Count a rejected frame, and log it at most once per interval and error code."""
-        count = self.refusal_counts.get(error.code, 0) + 1
-        self.refusal_counts[error.code] = count
+        count = self.rejected_frame_counts.get(error.code, 0) + 1
+        self.rejected_frame_counts[error.code] = count
         now = self.clock.monotonic()
         logged_at = self._rejection_logged_at.get(error.code)
         if logged_at is not None and now - logged_at < REJECTION_LOG_INTERVAL_SECONDS:
--- a/drumbay/comm/tornado_transport.py
+++ b/drumbay/comm/tornado_transport.py
@@ -117,9 +117,9 @@
         return self._session.boot_id
 
     @property
-    def refusal_counts(self) -> dict[str, int]:
+    def rejected_frame_counts(self) -> dict[str, int]:
         """Return the number of rejected frames by error code."""
-        return dict(self._session.refusal_counts)
+        return dict(self._session.rejected_frame_counts)
 
     def handle_calls(self, request_type: type[Message], handler: CallHandler) -> None:
         """Serve calls whose request is a ``request_type`` with ``handler``."""
--- a/drumbay/configuration/watcher.py
+++ b/drumbay/configuration/watcher.py
@@ -27,7 +27,7 @@
 
 def retry_backoff(generator: random.Random) -> Backoff:
     """Return the backoff between attempts to read or store the configuration."""
-    return Backoff(generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS)
+    return Backoff(generator, first_seconds=FIRST_RETRY_SECONDS, max_seconds=MAX_RETRY_SECONDS)
 
 
 def update_from_range(result: RangeResult) -> ConfigurationUpdate:
--- a/drumbay/kv/backoff.py
+++ b/drumbay/kv/backoff.py
@@ -7,18 +7,18 @@
     """Delays that double up to a maximum, with up to 50% of negative jitter."""
 
     def __init__(
-        self, generator: random.Random, *, first_seconds: float, longest_seconds: float
+        self, generator: random.Random, *, first_seconds: float, max_seconds: float
     ) -> None:
         """Start at the first delay.
 
         Args:
             generator: Random source for jitter.
             first_seconds: Upper bound of the first delay.
-            longest_seconds: Upper bound of every delay.
+            max_seconds: Upper bound of every delay.
         """
         self._generator = generator
         self._first_seconds = first_seconds
-        self._longest_seconds = longest_seconds
+        self._max_seconds = max_seconds
         self._next_bound_seconds = first_seconds
 
     def reset(self) -> None:
@@ -28,5 +28,5 @@
     def next_delay_seconds(self) -> float:
         """Return the next delay."""
         bound_seconds = self._next_bound_seconds
-        self._next_bound_seconds = min(2 * bound_seconds, self._longest_seconds)
+        self._next_bound_seconds = min(2 * bound_seconds, self._max_seconds)
         return self._generator.uniform(0.5 * bound_seconds, bound_seconds)
--- a/drumbay/kv/follower.py
+++ b/drumbay/kv/follower.py
@@ -69,7 +69,7 @@
         self._store = store
         self._mirror = mirror
         self._backoff = Backoff(
-            generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS
+            generator, first_seconds=FIRST_RETRY_SECONDS, max_seconds=MAX_RETRY_SECONDS
         )
         self._needs_snapshot = mirror.revision is None
         self._missed_since: float | None = None
@@ -129,7 +129,7 @@
             mirror.apply_batch(batch)
             mirror.watched_to = batch.revision
             if batch.events:
-                await self._clock.sleep(mirror.feed.pause_seconds)
+                await self._clock.sleep(mirror.feed.debounce_seconds)
 
     async def _next(self, batches: AsyncIterator[WatchBatch]) -> WatchBatch:
         """Return the next batch of a watch.
--- a/drumbay/kv/mirror.py
+++ b/drumbay/kv/mirror.py
@@ -28,7 +28,7 @@
     """A prefix to follow, and the callbacks for its changes.
 
     ``on_snapshot`` receives the items and the seconds for which changes may have been missed.
-    ``pause_seconds`` is the pause after each batch, so that simultaneous changes take one call.
+    ``debounce_seconds`` is the pause after each batch, so that simultaneous changes take one call.
     ``quiet_seconds`` is how long a watch may be silent before it is considered dead.
     ``counts_toward_age`` states whether the mirror's age counts toward the age of the node's data.
     """
@@ -36,7 +36,7 @@
     prefix: str
     on_snapshot: Callable[[tuple[KeyValue, ...], float], None]
     on_event: Callable[[WatchEvent], None]
-    pause_seconds: float = 0.1
+    debounce_seconds: float = 0.1
     quiet_seconds: float = MAX_QUIET_SECONDS
     counts_toward_age: bool = True
 
--- a/drumbay/node/coordination.py
+++ b/drumbay/node/coordination.py
@@ -87,7 +87,7 @@
             watcher=self.replica_set,
             candidates=self.cluster.replica_candidates,
             policy=ReplacementPolicy(),
-            other_parts=(StreamStateCopier(environment.transport),),
+            other_copiers=(StreamStateCopier(environment.transport),),
         )
         self._has_data_folder = data_folder is not None
 
--- a/drumbay/observability/serving_metrics.py
+++ b/drumbay/observability/serving_metrics.py
@@ -220,7 +220,7 @@
         label = str(min(rank, HIGHEST_RANK_LABEL))
         self._rejected.labels(service, reason, label).inc()
 
-    def count_worker_death(self) -> None:
+    def count_worker_crash(self) -> None:
         """Count a worker that crashed while processing a request."""
         self._worker_deaths.inc()
 
--- a/drumbay/ownership/leader.py
+++ b/drumbay/ownership/leader.py
@@ -25,9 +25,9 @@
 from drumbay.kv.recovery_signal import RecoverySignal
 from drumbay.observability.logs import log_event
 
-PREFIX = "drumbay/leader/"
-LEADER_KEY = f"{PREFIX}current"
-LAST_LEADER_KEY = f"{PREFIX}last"
+LEADER_PREFIX = "drumbay/leader/"
+LEADER_KEY = f"{LEADER_PREFIX}current"
+LAST_LEADER_KEY = f"{LEADER_PREFIX}last"
 RENEWALS_PER_LEASE = 2
 RENEWAL_RETRY_SECONDS = 0.1
 SAFETY_MARGIN_FRACTION = 0.2
@@ -103,7 +103,7 @@
         """
         self._recovery_signal = recovery_signal or RecoverySignal()
         self._backoff = Backoff(
-            generator, first_seconds=INITIAL_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS
+            generator, first_seconds=INITIAL_RETRY_SECONDS, max_seconds=MAX_RETRY_SECONDS
         )
         self._clock = clock
         self._store = store
@@ -171,7 +171,7 @@
             log_event("leader_resign_failed", level="WARNING", error=error.code)
 
     async def _read(self) -> _LeaderKeys:
-        response = await self._store.range_prefix(PREFIX)
+        response = await self._store.range_prefix(LEADER_PREFIX)
         items = {item.key: item for item in response.items}
         current = items.get(LEADER_KEY)
         last = items.get(LAST_LEADER_KEY)
@@ -256,7 +256,7 @@
     async def _wait_for_change(self, seen: _LeaderKeys) -> None:
         deadline = self._clock.monotonic() + MAX_WATCH_SECONDS
         start = Revision(seen.revision + 1)
-        async for batch in self._store.watch_prefix(PREFIX, start):
+        async for batch in self._store.watch_prefix(LEADER_PREFIX, start):
             if batch.events or self._clock.monotonic() > deadline:
                 break
         await self._clock.sleep(self._generator.uniform(0.0, JITTER_SECONDS))
--- a/drumbay/ownership/lease_keeper.py
+++ b/drumbay/ownership/lease_keeper.py
@@ -65,7 +65,7 @@
         self._backoff = Backoff(
             generator,
             first_seconds=parameters.initial_retry_seconds,
-            longest_seconds=parameters.max_retry_seconds,
+            max_seconds=parameters.max_retry_seconds,
         )
 
     async def run(self) -> None:
--- a/drumbay/ownership/manager.py
+++ b/drumbay/ownership/manager.py
@@ -70,7 +70,7 @@
         self._campaign_backoff = Backoff(
             generator,
             first_seconds=self._parameters.initial_retry_seconds,
-            longest_seconds=self._parameters.max_retry_seconds,
+            max_seconds=self._parameters.max_retry_seconds,
         )
         self._campaign_wakeup = asyncio.Event()
         self._lease_keeper = LeaseKeeper(
--- a/drumbay/ownership/watcher.py
+++ b/drumbay/ownership/watcher.py
@@ -76,7 +76,7 @@
         self._backoff = Backoff(
             generator,
             first_seconds=parameters.initial_retry_seconds,
-            longest_seconds=parameters.max_retry_seconds,
+            max_seconds=parameters.max_retry_seconds,
         )
 
     async def run(self) -> None:
--- a/drumbay/peers/directory.py
+++ b/drumbay/peers/directory.py
@@ -32,7 +32,7 @@
 from drumbay.observability.logs import log_event
 from drumbay.peers.watchers import RegisteredNode, WatcherRanking
 
-PREFIX = "drumbay/nodes/"
+NODE_PREFIX = "drumbay/nodes/"
 FIRST_RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 4.0
 """Limits billed calls when the leases of all nodes expire in one outage."""
@@ -93,9 +93,9 @@
         self._leaving = False
         self._role_changed = asyncio.Event()
         self.ranking = WatcherRanking(nodes=())
-        self.store_returned = RecoverySignal()
+        self.store_recovered = RecoverySignal()
         self._backoff = Backoff(
-            generator, first_seconds=FIRST_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS
+            generator, first_seconds=FIRST_RETRY_SECONDS, max_seconds=MAX_RETRY_SECONDS
         )
 
     # Feed of node entries
@@ -104,10 +104,10 @@
     def feed(self) -> PrefixFeed:
         """Return the feed that keeps the node entries up to date."""
         return PrefixFeed(
-            prefix=PREFIX,
+            prefix=NODE_PREFIX,
             on_snapshot=self._apply_snapshot,
             on_event=self._apply_event,
-            pause_seconds=FEED_DEBOUNCE_SECONDS,
+            debounce_seconds=FEED_DEBOUNCE_SECONDS,
             counts_toward_age=False,
         )
 
@@ -122,7 +122,7 @@
 
     def _apply_event(self, event: WatchEvent) -> None:
         if event.item is None:
-            self._remove_entry(NetworkAddress.parse(event.key.removeprefix(PREFIX)))
+            self._remove_entry(NetworkAddress.parse(event.key.removeprefix(NODE_PREFIX)))
         else:
             address = _decoder.decode(event.item.value)
             self._add_entry(address, event.item.create_revision)
@@ -199,8 +199,8 @@
             except LeaseNotFoundError:
                 continue
             except KeyValueError:
-                self.store_returned.record_failure()
-                await self.store_returned.wait(self._clock, self._backoff.next_delay_seconds())
+                self.store_recovered.record_failure()
+                await self.store_recovered.wait(self._clock, self._backoff.next_delay_seconds())
 
     async def leave(self) -> None:
         """Remove this node's entry if it is a watcher, so that another node replaces it.
@@ -218,13 +218,13 @@
     async def _register(self) -> int:
         lease = await self._store.grant_lease(LEASE_SECONDS)
         entry = Put(
-            key=f"{PREFIX}{self._address}",
+            key=f"{NODE_PREFIX}{self._address}",
             value=_encoder.encode(self._address),
             lease_id=lease.lease_id,
         )
         await self._store.transact((), (entry,))
         self._backoff.reset()
-        self.store_returned.record_success()
+        self.store_recovered.record_success()
         return lease.lease_id
 
     async def _renew_lease_until_lost(self, lease_id: int) -> None:
@@ -243,11 +243,11 @@
                 self._on_store_suspect()
             try:
                 await self._store.keep_lease_alive(lease_id)
-                self.store_returned.record_success()
+                self.store_recovered.record_success()
             except LeaseNotFoundError:
                 raise
             except KeyValueError:
-                self.store_returned.record_failure()
+                self.store_recovered.record_failure()
                 self._on_store_suspect()
             last_heartbeat_at = self._clock.monotonic()
 
--- a/drumbay/peers/feeds.py
+++ b/drumbay/peers/feeds.py
@@ -17,8 +17,7 @@
 from drumbay.kv.interface import KeyValueError, KeyValueStore
 from drumbay.kv.mirror import FeedChanges, FeedMirror, PrefixFeed
 from drumbay.observability.logs import log_event
-from drumbay.peers.directory import PREFIX as NODES_PREFIX
-from drumbay.peers.directory import PeerDirectory
+from drumbay.peers.directory import NODE_PREFIX, PeerDirectory
 from drumbay.peers.freshness import FreshnessVerifier
 from drumbay.peers.messages import FeedConfirmed, FeedsReply, FollowFeeds
 from drumbay.peers.notices import NOTICE_TIMEOUT_SECONDS
@@ -108,7 +107,7 @@
         self._probe_backoff = Backoff(
             generator,
             first_seconds=FIRST_PROBE_BACKOFF_SECONDS,
-            longest_seconds=MAX_PROBE_BACKOFF_SECONDS,
+            max_seconds=MAX_PROBE_BACKOFF_SECONDS,
         )
         self._next_probe_at = float("-inf")
         self._add(directory.feed)
@@ -119,7 +118,7 @@
     @property
     def is_watcher(self) -> bool:
         """Return whether this node is a watcher."""
-        has_nodes = self._mirrors[NODES_PREFIX].revision is not None
+        has_nodes = self._mirrors[NODE_PREFIX].revision is not None
         return has_nodes and self._directory.ranking.is_watcher(self._address)
 
     def age_seconds(self) -> float | None:
@@ -168,10 +167,10 @@
                 await self._follow_watchers()
 
     async def _load_nodes(self) -> None:
-        mirror = self._mirrors[NODES_PREFIX]
+        mirror = self._mirrors[NODE_PREFIX]
         while mirror.revision is None:
             try:
-                mirror.apply_snapshot(await self._store.range_prefix(NODES_PREFIX))
+                mirror.apply_snapshot(await self._store.range_prefix(NODE_PREFIX))
             except KeyValueError:
                 await self._clock.sleep(PROBE_DELAY_SECONDS)
 
@@ -188,7 +187,7 @@
                     self._store,
                     mirror,
                     self._generator,
-                    self._directory.store_returned,
+                    self._directory.store_recovered,
                     mirror.feed.quiet_seconds,
                     self._on_silent_connection,
                 ).run()
@@ -285,16 +284,16 @@
         if self._clock.monotonic() < self._next_probe_at:
             return
         self._next_probe_at = self._clock.monotonic() + self._probe_backoff.next_delay_seconds()
-        mirror = self._mirrors[NODES_PREFIX]
+        mirror = self._mirrors[NODE_PREFIX]
         try:
-            mirror.apply_snapshot(await self._direct.range_prefix(NODES_PREFIX))
+            mirror.apply_snapshot(await self._direct.range_prefix(NODE_PREFIX))
         except KeyValueError:
             return
         self._direct_watch_until = self._clock.monotonic() + DIRECT_WATCH_SECONDS
 
     # Serving followers
 
-    async def answer(self, request: FollowFeeds) -> FeedsReply:
+    async def serve_poll(self, request: FollowFeeds) -> FeedsReply:
         """Serve a long poll: return new changes, or none once the poll times out."""
         until = self._clock.monotonic() + request.wait_seconds
         while True:
--- a/drumbay/peers/freshness.py
+++ b/drumbay/peers/freshness.py
@@ -81,7 +81,7 @@
         self._backoff = Backoff(
             generator,
             first_seconds=self._verify_interval_seconds,
-            longest_seconds=MAX_RETRY_SECONDS,
+            max_seconds=MAX_RETRY_SECONDS,
         )
         self._behind = asyncio.Event()
 
--- a/drumbay/quarantine/service.py
+++ b/drumbay/quarantine/service.py
@@ -266,7 +266,7 @@
         now = self._clock.monotonic()
         if not self.ledger.add_crashes(fingerprint, (run.crash(now),)):
             return
-        self._metrics.count_worker_death()
+        self._metrics.count_worker_crash()
         log_event(
             "worker_ended_under_request",
             level="WARNING",
--- a/drumbay/quarantine/stored.py
+++ b/drumbay/quarantine/stored.py
@@ -81,7 +81,7 @@
         self._due: dict[Fingerprint, float] = {}
         self._changed = asyncio.Event()
         self._backoff = Backoff(
-            generator, first_seconds=INITIAL_RETRY_SECONDS, longest_seconds=MAX_RETRY_SECONDS
+            generator, first_seconds=INITIAL_RETRY_SECONDS, max_seconds=MAX_RETRY_SECONDS
         )
         quarantine.add_listener(self._on_change)
 
--- a/drumbay/serving/node.py
+++ b/drumbay/serving/node.py
@@ -182,7 +182,7 @@
                 order_delay_seconds=0.0 if settings.workers_check_fences else settings.turn_seconds,
             ),
             lambda: self._feeds.is_watcher,
-            self._peer_directory.store_returned,
+            self._peer_directory.store_recovered,
         )
         self._coordinator = VersionCoordinator(
             clock,
@@ -407,7 +407,7 @@
                 return DoneReply()
             case FollowFeeds():
                 self._usage.merge(request.usage)
-                return await self._feeds.answer(request)
+                return await self._feeds.serve_poll(request)
             case CollectPlaces():
                 return PlacesReply(jobs=self.batches.slot_usage())
             case CollectUsage():
--- a/drumbay/serving/store_calls.py
+++ b/drumbay/serving/store_calls.py
@@ -72,8 +72,8 @@
 _PREFIXES = {
     ledger.BATCH_INDEX_PREFIX: StoreSubject.BATCH_INDEX,
     ledger.OPEN_BATCH_PREFIX: StoreSubject.BATCH_OPEN,
-    directory.PREFIX: StoreSubject.NODES,
-    leader.PREFIX: StoreSubject.LEADER,
+    directory.NODE_PREFIX: StoreSubject.NODES,
+    leader.LEADER_PREFIX: StoreSubject.LEADER,
     stored.PREFIX: StoreSubject.QUARANTINE,
     controller.STORED_COUNTS_KEY: StoreSubject.SCALING,
     usage_ledger.USAGE_PREFIX: StoreSubject.USAGE,
--- a/tests/claims_world.py
+++ b/tests/claims_world.py
@@ -155,7 +155,7 @@
             watcher=self.watcher,
             candidates=world.candidates,
             policy=world.settings.replacement,
-            other_parts=world.other_parts(transport),
+            other_copiers=world.other_copiers(transport),
         )
         if world.settings.coordinate:
             self.process.spawn(self.reconfigurator.run(), "reconfigure")
@@ -199,7 +199,7 @@
             for name in self.disks
         )
 
-    def other_parts(self, transport: Transport) -> tuple[EpochStateCopier, ...]:
+    def other_copiers(self, transport: Transport) -> tuple[EpochStateCopier, ...]:
         """Return the copiers of state other than claims."""
         return ()
 
--- a/tests/test_comm_transport.py
+++ b/tests/test_comm_transport.py
@@ -232,12 +232,12 @@
         nonce_and_end = await reader.read()
         writer.close()
         self.assertEqual(len(nonce_and_end), LENGTH_BYTES + NONCE_BYTES)
-        self.assertEqual(server.refusal_counts, {"bad_frame_tag": 1})
+        self.assertEqual(server.rejected_frame_counts, {"bad_frame_tag": 1})
         link = await client._connection_to(server.address)._open_link(LONG_SECONDS)
         write_frame(link.stream, captured[0])
         with self.assertRaises(ReplyLostError):
             await client.call(server.address, EchoCall(number=2), timeout_seconds=LONG_SECONDS)
-        self.assertEqual(server.refusal_counts, {"bad_frame_tag": 1, "replayed_frame": 1})
+        self.assertEqual(server.rejected_frame_counts, {"bad_frame_tag": 1, "replayed_frame": 1})
         self.assertEqual(runs, [1])
 
     async def test_machines_with_different_clocks_can_call_each_other(self) -> None:
@@ -257,7 +257,7 @@
             if arrived.is_set():
                 break
             await asyncio.sleep(0.05)
-        self.assertGreater(server.refusal_counts["unfamiliar_boot"], 0)
+        self.assertGreater(server.rejected_frame_counts["unfamiliar_boot"], 0)
         return arrived.is_set()
 
     async def test_machines_with_different_clocks_exchange_datagrams(self) -> None:
@@ -281,7 +281,7 @@
         with self.assertRaises(ReplyLostError):
             await outsider.call(server.address, EchoCall(number=1), timeout_seconds=LONG_SECONDS)
         server.receive_datagram(outsider.address, b"garbage")
-        self.assertEqual(server.refusal_counts, {"bad_frame_tag": 1, "invalid_frame": 1})
+        self.assertEqual(server.rejected_frame_counts, {"bad_frame_tag": 1, "invalid_frame": 1})
 
     async def test_oversize_frames_are_refused(self) -> None:
         server, client = await self.start_transport(), await self.start_transport()
@@ -301,7 +301,7 @@
         writer.write(b"\xff\xff\xff\xff")
         self.assertEqual(len(await reader.read()), LENGTH_BYTES + NONCE_BYTES)
         writer.close()
-        self.assertEqual(server.refusal_counts, {"frame_too_large": 1})
+        self.assertEqual(server.rejected_frame_counts, {"frame_too_large": 1})
 
     async def test_largest_datagram_message_fits_and_a_larger_one_is_refused(self) -> None:
         client = await self.start_transport()
--- a/tests/test_delivery_epochs.py
+++ b/tests/test_delivery_epochs.py
@@ -33,7 +33,7 @@
         self.follows_store = follows_store
         self.trainer = RecordingTrainer()
 
-    def other_parts(self, transport: Transport) -> tuple[EpochStateCopier, ...]:
+    def other_copiers(self, transport: Transport) -> tuple[EpochStateCopier, ...]:
         return (StreamStateCopier(transport),) if self.copies_streams else ()
 
     def start(self, name: str) -> None:
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -7,7 +7,7 @@
 from drumbay.identifiers import Revision
 from drumbay.kv.interface import MAX_QUIET_SECONDS, Put, WatchBatch
 from drumbay.kv.memory import MemoryKeyValueStore
-from drumbay.ownership.leader import PREFIX as LEADER_PREFIX
+from drumbay.ownership.leader import LEADER_PREFIX
 from drumbay.peers.feeds import MAX_AGE_FRACTION
 from drumbay.peers.freshness import MAX_JITTER_FACTOR, VERIFY_FRACTION
 from drumbay.peers.pause_detector import PauseDetector
--- a/tests/test_node_heartbeat.py
+++ b/tests/test_node_heartbeat.py
@@ -13,7 +13,7 @@
 from drumbay.peers.directory import (
     FOLLOWER_HEARTBEAT_SECONDS,
     LEASE_SECONDS,
-    PREFIX,
+    NODE_PREFIX,
     PeerDirectory,
 )
 from drumbay.simulation.simulation_clock import SimulationClock
@@ -36,7 +36,7 @@
 
 def entry(address: NetworkAddress, created: int) -> KeyValue:
     return KeyValue(
-        key=f"{PREFIX}{address}",
+        key=f"{NODE_PREFIX}{address}",
         value=msgspec.msgpack.encode(address),
         create_revision=Revision(created),
         mod_revision=Revision(created),
--- a/tests/test_store_calls.py
+++ b/tests/test_store_calls.py
@@ -35,7 +35,7 @@
             f"{BATCH_PREFIX}b1/": StoreSubject.BATCH_WHOLE,
             BATCH_INDEX_PREFIX: StoreSubject.BATCH_INDEX,
             f"{OPEN_BATCH_PREFIX}10.0.0.1:7000/b1": StoreSubject.BATCH_OPEN,
-            directory.PREFIX: StoreSubject.NODES,
+            directory.NODE_PREFIX: StoreSubject.NODES,
             leader.LEADER_KEY: StoreSubject.LEADER,
             stored.PREFIX: StoreSubject.QUARANTINE,
             controller.STORED_COUNTS_KEY: StoreSubject.SCALING,
@@ -62,11 +62,11 @@
         store = CountedStore(clock, MemoryKeyValueStore(model, clock), metrics)
         lease = await store.grant_lease(5.0)
         await store.keep_lease_alive(lease.lease_id)
-        key = f"{directory.PREFIX}n1"
+        key = f"{directory.NODE_PREFIX}n1"
         await store.transact((), (Put(key=key, value=b"1", lease_id=lease.lease_id),))
-        found = await store.range_prefix(directory.PREFIX)
+        found = await store.range_prefix(directory.NODE_PREFIX)
         self.assertEqual([item.key for item in found.items], [key])
-        watch = store.watch_prefix(directory.PREFIX, Revision(found.revision + 1))
+        watch = store.watch_prefix(directory.NODE_PREFIX, Revision(found.revision + 1))
         next_batch = asyncio.ensure_future(anext(watch))
         await asyncio.sleep(0)
         await store.revoke_lease(lease.lease_id)
