--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -1,4 +1,4 @@
-"""Invalid store entries: they take workers out of use and change no configuration."""
+"""Invalid store entries exclude their workers and leave the configuration unchanged."""
 
 import json
 import unittest
--- a/tests/test_platform_serving.py
+++ b/tests/test_platform_serving.py
@@ -26,7 +26,7 @@
 
 HOST = "h.example"
 TIMEOUT_SECONDS = 30.0
-"""Fails a test whose condition is never met."""
+"""Timeout of each test."""
 
 
 async def eventually(check: Callable[[], Awaitable[bool]]) -> None:
@@ -300,7 +300,7 @@
             self.assertEqual((await process.ask("GET", "/lots/b1?sinceRev=0")).status, 404)
             self.assertEqual(self.workers.runs, [])
 
-    async def test_a_planned_stop_finishes_what_is_open(self) -> None:
+    async def test_a_graceful_shutdown_completes_open_requests(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
         self.workers["w1"].faults.slowdown = 100.0
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -16,7 +16,7 @@
 BODY = b'{"requests":[],"at":7}'
 CHUNKS = 6
 CHUNK_INTERVAL_SECONDS = 0.3
-"""Time between chunks on the test's clock: below the timeout of one read, above it in total."""
+"""Time between chunks: each is within the timeout of a read, but all of them together exceed it."""
 
 REAL_POLL_SECONDS = 0.005
 MAX_REAL_POLLS = 100
