--- a/drumbay/configuration/applied.py
+++ b/drumbay/configuration/applied.py
@@ -16,13 +16,13 @@
 from drumbay.identifiers import Revision
 
 MAX_CONFIRMATION_AGE_SECONDS = 60.0
-"""A configuration whose last confirmation is older no longer counts as current."""
+"""A configuration counts as current for this long after its last confirmation."""
 
 ChangeCallback = Callable[[ConfigurationView], None]
 
 
 class AppliedConfiguration:
-    """Holds the applied configuration and notifies callbacks and waiters of changes."""
+    """Holds the applied configuration and reports changes to callbacks and waiting tasks."""
 
     def __init__(self, clock: Clock, state: ConfigurationState) -> None:
         """Create an empty configuration that is not ready."""
@@ -52,12 +52,12 @@
         return self._view
 
     @property
-    def loaded(self) -> bool:
+    def is_loaded(self) -> bool:
         """Return whether a configuration has been loaded since the process started."""
         return self._loaded
 
     @property
-    def durable(self) -> bool:
+    def is_durable(self) -> bool:
         """Return whether a majority of the replicas has stored the applied revision."""
         return self._durable_revision >= self.revision
 
@@ -65,17 +65,17 @@
         """Call ``callback`` with the new view after each change; it must not raise."""
         self._callbacks.append(callback)
 
-    def apply(self, update: ConfigurationUpdate, *, durable: bool = True) -> ApplyOutcome:
-        """Apply an update and notify callbacks and waiters.
+    def apply(self, update: ConfigurationUpdate, *, is_durable: bool = True) -> ApplyOutcome:
+        """Apply an update, and report the change to callbacks and waiting tasks.
 
         Args:
             update: A delta or a snapshot.
-            durable: Whether a majority of the replicas has stored it.
+            is_durable: Whether a majority of the replicas has stored it.
         """
         outcome = self._state.apply(update)
         if outcome is not ApplyOutcome.APPLIED:
             return outcome
-        if durable:
+        if is_durable:
             self._durable_revision = self.revision
         self._view = self._builder.build(self._state)
         self._notify_waiters()
--- a/drumbay/configuration/dissemination.py
+++ b/drumbay/configuration/dissemination.py
@@ -21,7 +21,7 @@
 
 DIGEST_PERIOD_SECONDS = 2.0
 DIGEST_REPEAT_SECONDS = 0.5
-"""Delay of the second digest round after a change; few nodes then need the periodic one."""
+"""Delay of the second round of digests after a change, for nodes that the first one missed."""
 
 PULL_TIMEOUT_SECONDS = 2.0
 JITTER_FRACTION = 0.25
@@ -62,7 +62,7 @@
         self._generator = generator
         self._task_owner = task_owner
         self._apply_update = apply_update
-        self._pulling = False
+        self._is_pulling = False
 
     def start(self) -> None:
         """Register the handlers and start the periodic exchange."""
@@ -75,7 +75,7 @@
             jitter = self._generator.uniform(1 - JITTER_FRACTION, 1 + JITTER_FRACTION)
             await self._clock.sleep(DIGEST_PERIOD_SECONDS * jitter)
             peer = self._directory().anti_entropy_target(self._generator)
-            if peer is not None and self._applied.loaded:
+            if peer is not None and self._applied.is_loaded:
                 self._send_digest(peer.address, is_reply=False)
 
     def announce_revision(self) -> None:
@@ -94,8 +94,8 @@
             self._send_digest(peer.address, is_reply=False)
 
     def _send_digest(self, address: Address, *, is_reply: bool) -> None:
-        if not self._applied.durable:
-            # Peers assume that a majority of the replicas has stored what they pull.
+        if not self._applied.is_durable:
+            # Peers may pull only revisions that a majority of the replicas has stored.
             return
         digest = ConfigurationDigest(
             sender=self._node_id,
@@ -108,9 +108,9 @@
         self._transport.send_datagram(address, digest)
 
     def _handle_digest(self, _source: Address, digest: ConfigurationDigest) -> None:
-        # NOTE: a starting node must not pull from a peer, which may be behind the revision
-        # that was applied here before the restart.
-        if not self._applied.loaded:
+        # NOTE: a starting node must not pull from a peer: the peer may have an older revision
+        # than this node had applied before its restart.
+        if not self._applied.is_loaded:
             return
         state = self._applied.state
         match react_to_digest(digest, state.revision, state.content_hash):
@@ -135,9 +135,9 @@
         self._applied.confirm(self._clock.monotonic() - digest.confirmed_age_seconds)
 
     def _start_pull(self, address: Address) -> None:
-        if self._pulling:
+        if self._is_pulling:
             return
-        self._pulling = True
+        self._is_pulling = True
         self._task_owner.spawn(self._pull(address), "configuration pull")
 
     async def _pull(self, address: Address) -> None:
@@ -152,10 +152,10 @@
         except TransportError as error:
             log_event("configuration_pull_failed", level="DEBUG", error=error.code)
         finally:
-            self._pulling = False
+            self._is_pulling = False
 
     async def _handle_pull(self, request: ConfigurationPull) -> ConfigurationPullReply:
-        if not (self._applied.loaded and self._applied.durable):
+        if not (self._applied.is_loaded and self._applied.is_durable):
             return ConfigurationPullReply(update=None)
         update = self._applied.state.update_since(request.after_revision)
         return ConfigurationPullReply(update=update)
--- a/drumbay/configuration/errors.py
+++ b/drumbay/configuration/errors.py
@@ -54,6 +54,6 @@
 
 
 class StoreBehindError(UnavailableError):
-    """The key-value service is at a lower revision than this node's disk: it has lost data."""
+    """The key-value service has lost data: its revision is lower than that on this node's disk."""
 
     code = "configuration_store_behind"
--- a/drumbay/configuration/gossip.py
+++ b/drumbay/configuration/gossip.py
@@ -16,7 +16,7 @@
 from drumbay.identifiers import NodeId, Revision
 
 FANOUT = 3
-"""Peers that get a digest of a new revision at once."""
+"""Peers that get a digest of a new revision in one round."""
 
 WATCHERS_PER_ZONE = 2
 """Nodes of a zone that watch the key-value service."""
@@ -26,7 +26,7 @@
 
 
 class Distance(StrEnum):
-    """How far away a peer is."""
+    """Distance class of a peer."""
 
     ZONE = "zone"
     REGION = "region"
@@ -34,7 +34,7 @@
 
 
 def distance(own: PeerView, peer: PeerView) -> Distance:
-    """Return how far ``peer`` is from ``own``."""
+    """Return the distance class of ``peer`` as seen from ``own``."""
     if peer.region != own.region:
         return Distance.FAR
     return Distance.ZONE if peer.zone == own.zone else Distance.REGION
@@ -65,7 +65,7 @@
         return targets
 
     def anti_entropy_target(self, generator: random.Random) -> PeerView | None:
-        """Return a random peer, more likely a near one; ``None`` without peers."""
+        """Return a random peer, preferring near ones; ``None`` without peers."""
         draw = generator.random()
         if draw < SAME_ZONE_PROBABILITY:
             order = (Distance.ZONE, Distance.REGION, Distance.FAR)
@@ -80,7 +80,7 @@
 
 
 class DigestReaction(StrEnum):
-    """Action that a peer's digest calls for."""
+    """What a node does with a peer's digest."""
 
     PULL = "pull"
     REPLY = "answer"
@@ -91,7 +91,7 @@
 def react_to_digest(
     digest: ConfigurationDigest, revision: Revision, content_hash: int
 ) -> DigestReaction:
-    """Return the action of a node at ``revision`` on a peer's digest."""
+    """Return what a node at ``revision`` does with a peer's digest."""
     if digest.revision > revision:
         return DigestReaction.PULL
     if digest.revision < revision:
--- a/drumbay/configuration/majority_fallback.py
+++ b/drumbay/configuration/majority_fallback.py
@@ -3,8 +3,9 @@
 Normally a majority of the replicas stores a change before any node applies it, so that the change
 survives an outage of the key-value service. If no majority is reachable for some time, a node
 applies what it reads from the key-value service once a single disk has stored it: its own, or that
-of a replica if it has none. The stored copy prevents an older revision after a restart. The node
-neither gossips such a change nor reports it as accepted until a majority has stored it.
+of a replica if it has none. With the stored copy, a restarted node does not return to an older
+revision. The node neither gossips such a change nor reports it as accepted until a majority has
+stored it.
 """
 
 from collections.abc import Callable
@@ -36,7 +37,7 @@
         wait_seconds: float,
         retry_seconds: float,
     ) -> None:
-        """Create the fallback; the majority counts as reachable.
+        """Create the fallback; initially the majority counts as reachable.
 
         Args:
             clock: Time.
@@ -105,7 +106,7 @@
 
     async def _store_on_majority(self) -> None:
         """Retry until a majority of the replicas has stored the applied revision."""
-        while not self._applied.durable:
+        while not self._applied.is_durable:
             snapshot = self._applied.state.snapshot()
             try:
                 await self._replicas.store(self._applied.state, snapshot)
--- a/drumbay/configuration/operators.py
+++ b/drumbay/configuration/operators.py
@@ -23,8 +23,8 @@
 from drumbay.configuration.outcomes import (
     WriteOutcome,
     WriteResult,
-    refused,
-    unknown_yet,
+    refused_result,
+    unknown_result,
 )
 from drumbay.configuration.service import ConfigurationService
 from drumbay.identifiers import NodeId, Revision
@@ -45,14 +45,14 @@
 """Size limit of the configuration; a snapshot must fit into one message of 4 MiB."""
 
 RESOLVE_ATTEMPTS = 4
-"""Read-backs after a lost response before the outcome is reported as unknown."""
+"""Attempts to read back a write before its outcome is reported as unknown."""
 
 RESOLVE_RETRY_SECONDS = 0.5
 APPLY_TIMEOUT_SECONDS = 10.0
 """How long a write waits for its revision to be applied on this node."""
 
 OPERATION_RECORD_TTL_SECONDS = 7200.0
-"""Lifetime of operation records; the status of older operations is lost."""
+"""Lifetime of operation records; the status of an older operation cannot be queried."""
 
 
 class _OperationStatus(StrEnum):
@@ -120,7 +120,7 @@
             if resolved.status is _OperationStatus.ABSENT:
                 resolved = await self._cancel(operation_id)
         except KeyValueError as error:
-            return unknown_yet(operation_id, f"key-value service: {error.code}")
+            return unknown_result(operation_id, f"key-value service: {error.code}")
         return await self._result_when_applied(operation_id, resolved)
 
     async def force_replica_set(self, members: tuple[NodeId, ...]) -> Revision | None:
@@ -166,7 +166,7 @@
             if expected is None:
                 expected = await self._current_revision(key)
         except KeyValueError as error:
-            return refused(operation_id, f"nothing was sent: {error.code}")
+            return refused_result(operation_id, f"nothing was sent: {error.code}")
         put = Put(key=key, value=value)
         return await self._commit(put, expected, operation_id, lease_id)
 
@@ -179,7 +179,7 @@
             return await self._resolve(put, expected, operation_id, lease_id)
         except (KeyValueUnavailableError, LeaseNotFoundError) as error:
             self._lease_id = None
-            return refused(operation_id, f"key-value service: {error.code}")
+            return refused_result(operation_id, f"key-value service: {error.code}")
         if result is not None:
             return await self._result_when_applied(
                 operation_id, _ResolvedOperation(status=_OperationStatus.COMMITTED, revision=result)
@@ -189,7 +189,7 @@
     async def _transact(
         self, put: Put, expected: Revision, operation_id: str, lease_id: int
     ) -> Revision | None:
-        """Return the revision of the commit, or ``None`` if a compare failed."""
+        """Try to commit; return the revision, or ``None`` if a compare failed."""
         record = OperationRecord(key=put.key)
         result = await self._store.transact(
             (
@@ -213,7 +213,7 @@
         """Determine the outcome of a write by reading back and resending.
 
         Raises:
-            ConflictError: The write can never be committed: its compare no longer holds.
+            ConflictError: The resource has another revision, so the write can never be committed.
         """
         for _ in range(RESOLVE_ATTEMPTS):
             try:
@@ -227,7 +227,7 @@
             except KeyValueError as error:
                 log_event("operation_not_settled", operation=operation_id, error=error.code)
             await self._clock.sleep(RESOLVE_RETRY_SECONDS)
-        return unknown_yet(operation_id, "the write may still be on its way")
+        return unknown_result(operation_id, "the write may still be on its way")
 
     async def _resend(
         self, put: Put, expected: Revision, operation_id: str, lease_id: int
@@ -245,8 +245,8 @@
         Raises:
             ConflictError: The write can never be committed.
         """
-        # NOTE: the resource is read before the record. Once its revision differs from the
-        # expected one the write can no longer be committed, so the record's state is final.
+        # NOTE: the order of these reads matters. If the resource's revision differs from the
+        # expected one, the write can no longer be committed, so the record read next is final.
         current = await self._current_revision(put.key)
         resolved = await self._read_operation(operation_id, put.key)
         if resolved.status is not _OperationStatus.ABSENT:
@@ -289,7 +289,7 @@
         self, operation_id: str, resolved: _ResolvedOperation
     ) -> WriteResult:
         if resolved.status is not _OperationStatus.COMMITTED:
-            return refused(operation_id, "cancelled before it was committed")
+            return refused_result(operation_id, "cancelled before it was committed")
         is_applied = await self._configuration.applied.wait_for_revision(
             resolved.revision, APPLY_TIMEOUT_SECONDS
         )
--- a/drumbay/configuration/outcomes.py
+++ b/drumbay/configuration/outcomes.py
@@ -36,11 +36,11 @@
     detail: str = ""
 
 
-def refused(operation_id: str, detail: str) -> WriteResult:
-    """Return the result of a write that has and will have no effect."""
+def refused_result(operation_id: str, detail: str) -> WriteResult:
+    """Return the result of a write that was not and will never be committed."""
     return WriteResult(outcome=WriteOutcome.REFUSED, operation_id=operation_id, detail=detail)
 
 
-def unknown_yet(operation_id: str, detail: str) -> WriteResult:
+def unknown_result(operation_id: str, detail: str) -> WriteResult:
     """Return the result of a write whose outcome is not known yet."""
     return WriteResult(outcome=WriteOutcome.UNKNOWN_YET, operation_id=operation_id, detail=detail)
--- a/drumbay/configuration/replica.py
+++ b/drumbay/configuration/replica.py
@@ -25,7 +25,7 @@
 
 
 class ReplicaContent(msgspec.Struct, frozen=True, kw_only=True):
-    """Content of the file.
+    """Content of the replica file.
 
     Attributes:
         complete: Whether the replica has recovered since its disk was last empty.
@@ -43,7 +43,7 @@
 
 
 class ReplicaFile:
-    """File that is replaced atomically and durably."""
+    """File of a replica's configuration; each write replaces it atomically and durably."""
 
     def __init__(self, data_folder: Path) -> None:
         """Use ``configuration.msgpack`` in ``data_folder``."""
@@ -53,7 +53,7 @@
         """Return the content; ``None`` if the file does not exist.
 
         Raises:
-            ReplicaFileError: The file is damaged or has an unknown format.
+            ReplicaFileError: The file is corrupt or has an unknown format.
         """
         try:
             envelope = msgspec.msgpack.decode(self._path.read_bytes(), type=_FileEnvelope)
@@ -86,7 +86,7 @@
             stream.flush()
             os.fsync(stream.fileno())
         temporary.replace(self._path)
-        # NOTE: without syncing the folder, a power failure may undo the rename.
+        # NOTE: syncing the folder makes the rename survive a power failure.
         folder = os.open(self._path.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
--- a/drumbay/configuration/replica_set.py
+++ b/drumbay/configuration/replica_set.py
@@ -1,4 +1,4 @@
-"""Majorities of replicas, and changes of the replica set. Pure.
+"""Majorities of replicas, and changes of the replica set. Pure: no I/O, no clock.
 
 A set changes in two steps, as in joint consensus (Ongaro and Ousterhout, "In Search of an
 Understandable Consensus Algorithm", 2014, section 6): first to the new and the previous
@@ -13,7 +13,7 @@
 
 MAX_REPLICAS = 7
 REMOVE_AFTER_SECONDS = 120.0
-"""How long a replica must be absent from the membership before it is replaced."""
+"""Absence from the membership after which a replica is removed from the set."""
 
 
 def _is_majority(members: Sequence[NodeId], voters: Collection[NodeId]) -> bool:
@@ -35,7 +35,7 @@
     live_with_disk: Collection[NodeId],
     absent_seconds: Mapping[NodeId, float],
 ) -> ReplicaSet | None:
-    """Return the set to propose; ``None`` to keep the current one.
+    """Return the replica set to propose; ``None`` to keep the current one.
 
     Args:
         current: The applied set.
--- a/drumbay/configuration/replica_set_controller.py
+++ b/drumbay/configuration/replica_set_controller.py
@@ -14,8 +14,7 @@
 from drumbay.observability.logs import log_event
 
 PROPOSAL_PROBABILITY = 0.25
-"""Probability that a watcher proposes; it spreads the proposals of concurrent watchers, of which
-compare-and-swap accepts one."""
+"""Probability that a watcher proposes in one round; it reduces conflicts between watchers."""
 
 MIN_REPLICAS = 3
 """The smallest set whose majority survives the loss of one replica."""
@@ -52,14 +51,14 @@
     def is_forming(self) -> bool:
         """Return whether the set is too small or still changing.
 
-        No node can start during an outage of the key-value service without a replica set, so
-        a new cluster forms its set without waiting for the next confirmation.
+        Without a replica set, no node can start during an outage of the key-value service. A
+        new cluster therefore forms its set before the next periodic confirmation.
         """
         replica_set = self._applied.state.replica_set
         return len(replica_set.members) < MIN_REPLICAS or bool(replica_set.previous)
 
     async def propose(self) -> None:
-        """Propose a new set, with some probability, if the live nodes with disks changed."""
+        """Propose a new set, with some probability, if the live nodes with disks have changed."""
         current = self._applied.state.replica_set
         live = sorted(peer.node_id for peer in self._members() if peer.has_data_folder)
         now = self._clock.monotonic()
--- a/drumbay/configuration/replication.py
+++ b/drumbay/configuration/replication.py
@@ -22,8 +22,7 @@
 from drumbay.tasks import TaskOwner
 
 REPLICA_CALL_TIMEOUT_SECONDS = 6.0
-"""Exceeds the round trip of a network with delays of seconds, where changes would otherwise never
-reach a majority."""
+"""Long enough for networks with delays of seconds."""
 
 ReplyT = TypeVar("ReplyT", bound=Message)
 
@@ -83,12 +82,12 @@
         state: ConfigurationState,
         update: ConfigurationUpdate,
         targets: Sequence[NodeId],
-        is_enough: Callable[[Sequence[NodeId]], bool],
+        has_enough: Callable[[Sequence[NodeId]], bool],
     ) -> list[NodeId]:
-        """Store on all targets concurrently; return the acknowledged ones once they suffice."""
-        complete_state = state.copy()
-        complete_state.apply(update)
-        snapshot = complete_state.snapshot()
+        """Store on all targets concurrently until enough have acknowledged; return those."""
+        updated_state = state.copy()
+        updated_state.apply(update)
+        snapshot = updated_state.snapshot()
         acknowledged: list[NodeId] = []
 
         async def call_replica(node_id: NodeId) -> None:
@@ -98,7 +97,7 @@
             if reply.revision >= update.revision:
                 acknowledged.append(node_id)
 
-        await self._call_until(targets, call_replica, lambda: is_enough(acknowledged))
+        await self._call_until(targets, call_replica, lambda: has_enough(acknowledged))
         return acknowledged
 
     async def read(self, state: ConfigurationState) -> ConfigurationUpdate | None:
@@ -112,7 +111,7 @@
             ``None`` if no replica has anything newer than ``state``.
 
         Raises:
-            ReplicaMajorityError: Too few replicas answered, or no replica set is known.
+            ReplicaMajorityError: Too few replicas responded, or no replica set is known.
         """
         replies: list[ReplicaReadReply] = []
 
@@ -135,7 +134,7 @@
     def _is_majority_read(
         self, state: ConfigurationState, replies: Sequence[ReplicaReadReply]
     ) -> bool:
-        """Return whether the replies are a majority of the newest replica set among them."""
+        """Return whether a majority of the newest known replica set has replied."""
         replica_set = state.replica_set
         newest = _newest_update(replies)
         if newest is not None:
@@ -181,7 +180,7 @@
             try:
                 await call_replica(node_id)
             except (TransportError, ReplicaMajorityError, OSError):
-                pass  # NOTE: a failed call only means one acknowledgement less.
+                pass  # A failed call counts as no acknowledgement.
             finally:
                 pending_count -= 1
                 if pending_count == 0 or is_done():
--- a/drumbay/configuration/service.py
+++ b/drumbay/configuration/service.py
@@ -40,18 +40,18 @@
 ROLE_CHECK_PERIOD_SECONDS = 1.0
 CONFIRM_PERIOD_SECONDS = 5.0
 STORE_CONFIRM_PERIOD_SECONDS = 15.0
-"""Confirmation period without replicas, when the rate-limited key-value service is read."""
+"""Longer period without replicas, when the rate-limited key-value service is read."""
 
 LOAD_RETRY_SECONDS = 0.5
 """Longest delay between a starting node's reads of the replicas."""
 
 MAJORITY_WAIT_SECONDS = 5.0
 """How long a node waits for a majority of the replicas before it applies what it reads from the
-key-value service: half of the ten seconds within which a change must be applied."""
+key-value service."""
 
 
 class _LastRead(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest configuration last read from the replicas or the key-value service.
+    """The last configuration read from the replicas or the key-value service.
 
     Attributes:
         update: The configuration.
@@ -131,7 +131,7 @@
         self._replica_set_controller = ReplicaSetController(
             clock=clock, store=store, applied=self._applied, members=members, generator=generator
         )
-        self._majority_fallback = self._make_majority_fallback()
+        self._majority_fallback = self._create_majority_fallback()
         self._last_read: _LastRead | None = None
         self._watch_task: asyncio.Task[Any] | None = None
         self._cached_members: tuple[PeerView, ...] = ()
@@ -175,13 +175,13 @@
             return None
         return ConfigurationReplica(self._node_id, ReplicaFile(data_folder), run_blocking)
 
-    def _make_majority_fallback(self) -> MajorityFallback:
+    def _create_majority_fallback(self) -> MajorityFallback:
         return MajorityFallback(
             clock=self._clock,
             replica=self._replica,
             applied=self._applied,
             replicas=self._replicas,
-            apply_update=lambda update: self._apply_update(update, durable=False),
+            apply_update=lambda update: self._apply_update(update, is_durable=False),
             on_durable=self._dissemination.announce_revision,
             task_owner=self._task_owner,
             wait_seconds=self.majority_wait_seconds,
@@ -253,8 +253,8 @@
         backoff = retry_backoff(self._generator)
         next_store_read = self._clock.monotonic()
         while True:
-            # NOTE: the replicas are polled often, since the node serves nothing until they are
-            # back; only reads of the rate-limited key-value service back off.
+            # NOTE: the node serves nothing until it has loaded, so it polls the replicas at a
+            # short interval. Only reads of the rate-limited key-value service back off.
             reads_store = self._clock.monotonic() >= next_store_read
             if await self._confirm(reads_store=reads_store):
                 break
@@ -334,11 +334,11 @@
         return update
 
     def _has_same_content(self, update: ConfigurationUpdate) -> bool:
-        if not self._applied.loaded:
+        if not self._applied.is_loaded:
             return False
-        fresh = ConfigurationState()
-        fresh.apply(update)
-        return fresh.content_hash == self._applied.state.content_hash
+        read_state = ConfigurationState()
+        read_state.apply(update)
+        return read_state.content_hash == self._applied.state.content_hash
 
     async def _commit(self, update: ConfigurationUpdate) -> None:
         """Store an update on a majority of the replicas, then apply it.
@@ -352,7 +352,7 @@
         self._apply_update(update)
 
     async def _commit_watched(self, update: ConfigurationUpdate) -> None:
-        """Commit a change from the watch; after a while, apply it without a majority.
+        """Commit a change from the watch; without a majority for some time, store it on one disk.
 
         Raises:
             ReplicaMajorityError: No majority stored it; the configuration is unchanged.
@@ -368,8 +368,10 @@
         else:
             self._majority_fallback.record_majority()
 
-    def _apply_update(self, update: ConfigurationUpdate, *, durable: bool = True) -> ApplyOutcome:
-        outcome = self._applied.apply(update, durable=durable)
+    def _apply_update(
+        self, update: ConfigurationUpdate, *, is_durable: bool = True
+    ) -> ApplyOutcome:
+        outcome = self._applied.apply(update, is_durable=is_durable)
         if outcome is not ApplyOutcome.APPLIED:
             return outcome
         log_event(
@@ -401,10 +403,10 @@
 
     def _update_watcher(self) -> None:
         self._directory()
-        chosen = self._should_watch
+        should_watch = self._should_watch
         if self._watch_task is not None and self._watch_task.done():
             self._watch_task = None
-        if chosen and self._watch_task is None:
+        if should_watch and self._watch_task is None:
             watcher = self.watcher_type(
                 clock=self._clock,
                 store=self._store,
@@ -413,6 +415,6 @@
                 deliver=self._commit_watched,
             )
             self._watch_task = self._task_owner.spawn(watcher.run(), "configuration watch")
-        elif not chosen and self._watch_task is not None:
+        elif not should_watch and self._watch_task is not None:
             self._watch_task.cancel()
             self._watch_task = None
--- a/drumbay/configuration/state.py
+++ b/drumbay/configuration/state.py
@@ -17,7 +17,7 @@
 from drumbay.identifiers import Revision
 
 DELTA_LOG_ENTRIES = 1024
-"""Changes kept for lagging peers; a peer further behind gets a snapshot."""
+"""Changes kept to send as deltas; a peer that is further behind gets a snapshot."""
 
 
 class ApplyOutcome(StrEnum):
@@ -83,7 +83,7 @@
 
     @property
     def content_hash(self) -> int:
-        """Return the hash over keys and modification revisions; equal content, equal hash."""
+        """Return the hash over keys and modification revisions."""
         return self._content_hash
 
     @property
