--- a/drumbay/membership/anti_entropy.py
+++ b/drumbay/membership/anti_entropy.py
@@ -25,7 +25,7 @@
 
 
 class AntiEntropy:
-    """Starts and serves exchanges; stateless between datagrams."""
+    """Starts and serves exchanges; keeps no state between datagrams."""
 
     def __init__(self, table: MemberTable, outbox: Outbox, rng: random.Random) -> None:
         """Create the exchange of a member table."""
@@ -61,7 +61,7 @@
         """Request unknown members, and send the buckets that the peer requested.
 
         Returns:
-            Whether there are unknown members; a lost datagram may leave them unknown.
+            Whether there are unknown members, which stay unknown if the next datagram is lost.
         """
         unknown = [each.node_id for each in message.bucket_updates if self._is_unknown(each)]
         if unknown:
@@ -105,12 +105,12 @@
 
 
 def _available_bytes(empty: SyncUpdates | SyncMembers) -> int:
-    # Two bytes in reserve: a longer array needs a longer length prefix.
+    # Reserve two bytes, since a longer array needs a longer length prefix.
     return MAX_DATAGRAM_MESSAGE_BYTES - encoded_size_bytes(empty) - 2
 
 
 def _pages(items: list[ItemT], available_bytes: int) -> list[list[ItemT]]:
-    """Split items into lists of at most ``available_bytes`` when encoded; at least one list."""
+    """Split items into one or more lists of at most ``available_bytes`` when encoded."""
     pages: list[list[ItemT]] = [[]]
     remaining_bytes = available_bytes
     for item in items:
--- a/drumbay/membership/dissemination.py
+++ b/drumbay/membership/dissemination.py
@@ -12,7 +12,7 @@
 
 
 class _QueuedUpdate:
-    """An update and how often it was sent."""
+    """A queued update and the number of its transmissions."""
 
     def __init__(self, update: StateUpdate | Member, order: int) -> None:
         self.update = update
@@ -22,12 +22,12 @@
 
 
 def retransmit_limit(multiplier: float, member_count: int) -> int:
-    """Return how often a node sends an update: multiplier times log10 of the cluster size."""
+    """Return how often a node sends an update; grows with log10 of the cluster size."""
     return max(1, math.ceil(multiplier * math.log10(member_count + 1)))
 
 
 class DisseminationQueue:
-    """Updates about members, at most one each, the least often sent first."""
+    """Queued updates, at most one per member; those sent least often go first."""
 
     def __init__(self, retransmit_multiplier: float) -> None:
         """Create an empty queue."""
@@ -56,7 +56,7 @@
         member_count: int,
         first: StateUpdate | None = None,
     ) -> MembershipDatagram:
-        """Return the message with as many updates as fit.
+        """Return the message with as many queued updates as fit.
 
         Args:
             message: A datagram without updates.
@@ -66,20 +66,20 @@
         """
         if not self._queued and first is None:
             return message
-        room_bytes = limit_bytes - encoded_size_bytes(message)
+        available_bytes = limit_bytes - encoded_size_bytes(message)
         updates: list[StateUpdate] = []
         records: list[Member] = []
         if first is not None:
             updates.append(first)
-            room_bytes -= len(msgspec.msgpack.encode(first))
-        for queued in self._select(room_bytes, member_count):
+            available_bytes -= len(msgspec.msgpack.encode(first))
+        for queued in self._select(available_bytes, member_count):
             if isinstance(queued.update, Member):
                 records.append(queued.update)
             else:
                 updates.append(queued.update)
         return msgspec.structs.replace(message, updates=tuple(updates), records=tuple(records))
 
-    def _select(self, room_bytes: int, member_count: int) -> list[_QueuedUpdate]:
+    def _select(self, available_bytes: int, member_count: int) -> list[_QueuedUpdate]:
         selected: list[_QueuedUpdate] = []
         limit = retransmit_limit(self._multiplier, member_count)
         heap = [(each.transmissions, -each.order, node) for node, each in self._queued.items()]
@@ -87,10 +87,10 @@
         while heap:
             _, _, node_id = heapq.heappop(heap)
             queued = self._queued[node_id]
-            # Two bytes in reserve: both arrays may need a longer length prefix.
-            if queued.size_bytes + 2 > room_bytes:
+            # Reserve two bytes: each of the two arrays may need a longer length prefix.
+            if queued.size_bytes + 2 > available_bytes:
                 break
-            room_bytes -= queued.size_bytes
+            available_bytes -= queued.size_bytes
             queued.transmissions += 1
             selected.append(queued)
             if queued.transmissions >= limit:
--- a/drumbay/membership/local_health.py
+++ b/drumbay/membership/local_health.py
@@ -3,7 +3,7 @@
 Lifeguard (Dadgar, Phillips and Currey 2018, section IV.A): a node that misses expected responses
 is probably slow itself, so it probes less often and with longer timeouts. Unlike in the paper, a
 failed probe counts only if no helper responded. A response shows that the node's own network
-works, and a partition between regions must not slow the probes within the region.
+works; a partition between regions does not slow the probes within a region.
 """
 
 
--- a/drumbay/membership/member_table.py
+++ b/drumbay/membership/member_table.py
@@ -1,8 +1,8 @@
 """The members that one node knows, the order of updates, and digests for anti-entropy.
 
 Updates about a member are ordered by incarnation, then by state (SWIM, section 4.2). Digests
-exclude unreachable members: nodes purge them at different times, which alone must not cause an
-exchange.
+exclude unreachable members: nodes purge them at different times, and this difference alone must not
+start an exchange.
 """
 
 import msgspec
@@ -123,8 +123,8 @@
         known = self._members.get(record.node_id)
         if known is None:
             if not record.is_reachable:
-                # NOTE: accepting these would keep dead members for ever, since nodes that have
-                # purged them would learn of them again.
+                # NOTE: otherwise dead members would stay forever, since nodes that have purged
+                # them would learn of them again.
                 return None
             self._store(now, None, record)
             return TableChange(member=record, previous=None, kind=MemberChangeKind.JOINED)
@@ -133,7 +133,7 @@
         if record.boot_id == known.boot_id:
             revision = max(record.application_revision, known.application_revision)
             record = msgspec.structs.replace(record, application_revision=revision)
-        return self._change(now, known, record)
+        return self._replace(now, known, record)
 
     def apply_update(self, now: float, update: StateUpdate) -> TableChange | None:
         """Apply a compact update; return the change, or ``None`` if there was none."""
@@ -143,7 +143,7 @@
         if not _overrides(update.incarnation, update.state, known):
             return None
         member = msgspec.structs.replace(known, incarnation=update.incarnation, state=update.state)
-        return self._change(now, known, member)
+        return self._replace(now, known, member)
 
     def record_application_revision(self, node_id: NodeId, revision: int) -> None:
         """Record the application revision that a member announced."""
@@ -152,14 +152,14 @@
             self._members[node_id] = msgspec.structs.replace(known, application_revision=revision)
 
     def purge_before(self, dead_before: float, left_before: float) -> None:
-        """Remove members that died, or left, before these times."""
+        """Remove the members that died before ``dead_before`` or left before ``left_before``."""
         for member in list(self._members.values()):
             cutoff = left_before if member.state is MemberState.LEFT else dead_before
             expired = self._changed_at[member.node_id] < cutoff
             if expired and not member.is_reachable and member.node_id != self._self_id:
                 self._remove(member)
 
-    def _change(self, now: float, known: Member, member: Member) -> TableChange:
+    def _replace(self, now: float, known: Member, member: Member) -> TableChange:
         self._store(now, known, member)
         return TableChange(member=member, previous=known, kind=_change_kind(known, member))
 
--- a/drumbay/membership/outbox.py
+++ b/drumbay/membership/outbox.py
@@ -21,7 +21,7 @@
         self._datagrams: list[OutgoingDatagram] = []
 
     def send(self, address: Address, recipient: NodeId | None, message: MembershipDatagram) -> None:
-        """Queue a message with updates, first that about the recipient if it is not alive.
+        """Queue a message with updates; one about the recipient comes first if it is not alive.
 
         A member informed of its own suspicion (Lifeguard's buddy system, section IV.C) can
         refute at once; one informed of its death can rejoin after a pause or a partition.
@@ -32,12 +32,12 @@
             message,
             MAX_DATAGRAM_MESSAGE_BYTES,
             self._table.reachable_count + 1,
-            first=self._accusation_of(recipient),
+            first=self._update_about_recipient(recipient),
         )
         self._datagrams.append(OutgoingDatagram(address=address, message=message))
 
     def send_plain(self, address: Address, message: MembershipDatagram) -> None:
-        """Queue a message without updates, as it has no room for them."""
+        """Queue a message without updates, as it may already fill a datagram."""
         self._datagrams.append(OutgoingDatagram(address=address, message=message))
 
     def drain(self) -> tuple[OutgoingDatagram, ...]:
@@ -46,7 +46,7 @@
         self._datagrams.clear()
         return datagrams
 
-    def _accusation_of(self, recipient: NodeId | None) -> StateUpdate | None:
+    def _update_about_recipient(self, recipient: NodeId | None) -> StateUpdate | None:
         member = None if recipient is None else self._table.get(recipient)
         if member is None or member.state is MemberState.ALIVE:
             return None
--- a/drumbay/membership/prober.py
+++ b/drumbay/membership/prober.py
@@ -78,8 +78,8 @@
             self._start_probe(now)
         return unresponsive
 
-    def abandon(self, now: float) -> None:
-        """Discard the running probe, whose timeout is not valid after a pause of this process."""
+    def reset(self, now: float) -> None:
+        """Discard the running probe and relays after a pause of this process."""
         self._probe = None
         self._relays.clear()
         self._next_probe_at = now
@@ -105,7 +105,7 @@
             self._probe = None
             return
         sequence = self._next_sequence()
-        # NOTE: leave at least half of the period for the indirect probes.
+        # Leave at least half of the period for the indirect probes.
         timeout = min(self._timeout_seconds(target), period / 2)
         self._probe = _Probe(sequence, target, now + timeout, now + period)
         self._send_ping(sequence, target.node_id, target.address)
@@ -125,10 +125,10 @@
             return probe.target
         if now >= probe.indirect_at:
             probe.indirect_at = math.inf
-            self._ask_helpers(probe)
+            self._send_indirect_pings(probe)
         return None
 
-    def _ask_helpers(self, probe: _Probe) -> None:
+    def _send_indirect_pings(self, probe: _Probe) -> None:
         for helper in self._schedule.helpers(probe.target):
             probe.helper_count += 1
             message = IndirectPing(
--- a/drumbay/membership/records.py
+++ b/drumbay/membership/records.py
@@ -127,19 +127,21 @@
         probe_interval_seconds: Protocol period (SWIM, section 4): one probe starts in each.
         probe_timeout_seconds: Timeout of a direct acknowledgement within the region.
         remote_timeout_factor: Timeout factor for members of other regions.
-        indirect_probes: Helpers asked to probe an unresponsive member (SWIM, k).
+        indirect_probes: Number of helpers that probe an unresponsive member (SWIM, k).
         max_remote_probe_share: Largest fraction of probes that go to other regions.
-        suspicion_multiplier: Shortest suspicion, in periods times log10 of the members.
-        suspicion_max_factor: Longest suspicion over the shortest (Lifeguard, beta).
-        suspicion_confirmations: Independent suspicions that reduce it to the shortest.
-        retransmit_multiplier: Transmissions of an update over log10 of the members.
+        suspicion_multiplier: Shortest suspicion timeout, as a multiple of the period times log10
+            of the cluster size.
+        suspicion_max_factor: Ratio of the longest to the shortest timeout (Lifeguard, beta).
+        suspicion_confirmations: Confirmations after which the timeout is the shortest.
+        retransmit_multiplier: Transmissions of an update, as a multiple of log10 of the
+            cluster size.
         gossip_interval_seconds: Period of extra gossip while updates are queued.
         gossip_fanout: Members that each round of extra gossip is sent to.
         sync_interval_seconds: Mean time between anti-entropy exchanges.
         sync_retry_seconds: Mean time to the next exchange after one that changed the table.
         reconnect_interval_seconds: Mean time between attempts to contact a dead member or seed.
-        dead_retention_seconds: How long a dead member is kept and contacted.
-        left_retention_seconds: How long a member that left is kept.
+        dead_retention_seconds: How long a dead member stays in the table and is contacted.
+        left_retention_seconds: How long a member that left stays in the table.
         max_local_health: Largest local health score (Lifeguard, S).
     """
 
--- a/drumbay/membership/service.py
+++ b/drumbay/membership/service.py
@@ -85,7 +85,7 @@
 
 
 class MembershipService:
-    """Membership of this node; closing the task owner stops it."""
+    """Runs the membership protocol on this node; closing the task owner stops it."""
 
     def __init__(
         self,
@@ -159,7 +159,7 @@
     async def leave(self) -> None:
         """Announce that this node leaves and wait until the update has spread.
 
-        Stop the transport afterwards; until then probes are still answered.
+        Stop the transport afterwards; until then the node still acknowledges probes.
         """
         output = self._swim.leave(self._clock.monotonic())
         self._handle_output(output)
--- a/drumbay/membership/simulated_cluster.py
+++ b/drumbay/membership/simulated_cluster.py
@@ -37,7 +37,7 @@
 
 
 class SimulatedClock(SystemClock):
-    """Virtual time of a simulated cluster; read-only."""
+    """Clock that returns the virtual time of a simulated cluster."""
 
     def __init__(self) -> None:
         """Start at 0."""
@@ -136,7 +136,7 @@
         return self.clock.now
 
     def running(self) -> list[SimulatedNode]:
-        """Return the nodes that are up and not frozen."""
+        """Return the nodes that are neither killed nor frozen."""
         return [each for each in self.nodes if each.is_up and each.frozen_until <= self.now]
 
     def run_for(self, seconds: float) -> None:
@@ -151,7 +151,7 @@
     def run_until(
         self, condition: Callable[[], bool], limit_seconds: float, step_seconds: float = 0.1
     ) -> float | None:
-        """Run until a condition holds; return the seconds it took, ``None`` at the limit."""
+        """Run until a condition holds; return the elapsed seconds, or ``None`` on a timeout."""
         started = self.now
         while not condition():
             if self.now - started >= limit_seconds:
@@ -167,18 +167,18 @@
         """Restart a node's process without any state."""
         self.kill(index)
         member = self.nodes[index].member
-        fresh = Member(
+        restarted = Member(
             node_id=member.node_id,
             address=member.address,
             zone=member.zone,
             region=member.region,
             boot_id=self._new_boot_id(),
         )
-        self.nodes[index] = self._new_node(fresh)
+        self.nodes[index] = self._new_node(restarted)
         self._schedule_tick(self.nodes[index], self.now)
 
     def freeze(self, index: int, seconds: float) -> None:
-        """Pause a node's process for some time; its socket buffers some datagrams."""
+        """Freeze a node's process for some time; its socket buffers a few datagrams."""
         node = self.nodes[index]
         node.frozen_until = self.now + seconds
         self._schedule(node.frozen_until, lambda: self._resume(node))
--- a/drumbay/membership/suspicion.py
+++ b/drumbay/membership/suspicion.py
@@ -11,7 +11,7 @@
 
 
 class _Suspicion:
-    """One suspected member."""
+    """Timer of one suspected member."""
 
     def __init__(
         self, started: float, shortest: float, longest: float, confirmations: int, incarnation: int
@@ -24,7 +24,7 @@
         self.accusers: dict[NodeId, None] = {}
 
     def deadline(self) -> float:
-        """Return when the suspicion times out, given its accusers so far."""
+        """Return when the suspicion times out with its present accusers."""
         if self.confirmations == 0:
             return self.started + self.shortest
         # The first accuser starts the timer; only further ones are confirmations.
@@ -35,7 +35,7 @@
 
 
 def shortest_suspicion_seconds(settings: MembershipSettings, member_count: int) -> float:
-    """Return the timeout of a fully confirmed suspicion; grows with log10 of the cluster size."""
+    """Return the shortest timeout of a suspicion; grows with log10 of the cluster size."""
     scale = max(1.0, math.log10(max(1, member_count)))
     return settings.suspicion_multiplier * scale * settings.probe_interval_seconds
 
@@ -61,8 +61,8 @@
         """Start a suspicion or confirm a running one.
 
         Returns:
-            Whether the accusation should be forwarded: it started the suspicion or was one of
-            the confirmations that shorten it.
+            Whether to forward the suspicion: it was new, or a confirmation that shortens the
+            timeout.
         """
         running = self._suspicions.get(node_id)
         if running is None or running.incarnation < incarnation:
@@ -102,6 +102,6 @@
     def _new_suspicion(self, now: float, incarnation: int, member_count: int) -> _Suspicion:
         shortest = shortest_suspicion_seconds(self._settings, member_count)
         longest = shortest * self._settings.suspicion_max_factor
-        # The suspect and this node cannot confirm the suspicion.
+        # Neither the suspect nor this node can confirm the suspicion.
         confirmations = max(0, min(self._settings.suspicion_confirmations, member_count - 2))
         return _Suspicion(now, shortest, longest, confirmations, incarnation)
--- a/drumbay/membership/swim.py
+++ b/drumbay/membership/swim.py
@@ -1,9 +1,9 @@
 """The membership state machine of one node.
 
 SWIM (Das, Gupta and Motivala 2002) with suspicion and incarnations, parts of Lifeguard (Dadgar,
-Phillips and Currey 2018), anti-entropy, and periodic contact to dead members, which rejoins the
-sides of a healed partition. Pure: its inputs are time and datagrams, its outputs datagrams and
-membership changes.
+Phillips and Currey 2018), anti-entropy, and periodic contact to dead members, by which the sides
+of a healed partition find each other. Pure: its inputs are time and datagrams, its outputs
+datagrams and membership changes.
 """
 
 import math
@@ -46,7 +46,7 @@
 PURGE_INTERVAL_SECONDS = 60.0
 LEAVE_FANOUT = 8
 EAGER_SYNCS = 3
-"""Exchanges in quick succession after one that changed the table, with random peers."""
+"""Number of exchanges at short intervals after one that changed the table."""
 
 
 class Output(msgspec.Struct, frozen=True, kw_only=True):
@@ -168,7 +168,7 @@
         return self._collect_output(now)
 
     def _schedule_sync_with(self, now: float, sync_peer: Address) -> None:
-        """Schedule eager exchanges, first with ``sync_peer``, which knows unknown members.
+        """Schedule eager exchanges, first with ``sync_peer``, which knows more members.
 
         NOTE: an exchange takes four datagrams and keeps no state. If one of them is lost, a
         new node would know few members until the next exchange.
@@ -197,14 +197,14 @@
     def _handle_pause(self, now: float) -> None:
         """Detect that this process was paused, and reset or extend its timers.
 
-        They may have expired only because the process could not read the responses.
+        They may have expired because the process could not read the responses.
         """
         paused_seconds = now - self._expected_tick_at
         if paused_seconds < self._settings.probe_interval_seconds:
             return
         self._expected_tick_at = now
         self._suspicions.extend(paused_seconds)
-        self._prober.abandon(now)
+        self._prober.reset(now)
         self._health.record_failure()
         # Sync at once: the node may have been declared dead in the meantime.
         self._next_sync_at = now
@@ -269,7 +269,7 @@
             self._eager_syncs_left -= 1
         self._next_sync_at = now + self._jittered(interval)
         if sync_peer is not None:
-            # NOTE: this peer is known to be up, whereas all known members may be down.
+            # NOTE: this peer has just sent a datagram, whereas all known members may be down.
             self._anti_entropy.start(sync_peer, None)
             return
         for node_id in self._sample(1):
@@ -288,7 +288,7 @@
             return
         mean_seconds = self._settings.reconnect_interval_seconds
         if self._table.reachable_count == 0:
-            # A node without reachable members retries more often.
+            # Without reachable members, retry more often.
             mean_seconds = self._settings.probe_interval_seconds
         self._next_reconnect_at = now + self._jittered(mean_seconds)
         targets: list[tuple[Address, NodeId | None]] = [
--- a/drumbay/membership/update_handler.py
+++ b/drumbay/membership/update_handler.py
@@ -113,7 +113,7 @@
             any_change = True
             self._process_change(now, change, NO_ACCUSER)
             if change.previous is not None:
-                # New members announce themselves; the announcement of a restart may have been lost.
+                # New members announce themselves, but the announcement of a restart may be lost.
                 self._queue.add(record)
         return any_change
 
@@ -142,10 +142,10 @@
         if own.state is MemberState.LEFT:
             return
         self._table.set_self(now, msgspec.structs.replace(own, state=MemberState.LEFT))
-        self._announce_self(now, own.incarnation + 1, full=False)
+        self._announce_self(now, own.incarnation + 1, is_full=False)
 
     def _requeue_newer_state(self, update: StateUpdate) -> None:
-        """Queue the newer alive state again if the sender of an outdated update has missed it."""
+        """Queue the newer alive state again, since the sender of an old update has missed it."""
         known = self._table.get(update.node_id)
         if (
             known is not None
@@ -208,7 +208,7 @@
             self._record_foreign_boot(own, update.boot_mark)
         if update.state is MemberState.SUSPECT:
             self._health.record_failure()
-        self._announce_self(now, update.incarnation + 1, full=not is_same_boot)
+        self._announce_self(now, update.incarnation + 1, is_full=not is_same_boot)
 
     def _record_foreign_boot(self, own: Member, boot_mark: int) -> None:
         """Report another running process with this node's name.
@@ -221,7 +221,7 @@
             self._changes.append(MemberChange(kind=kind, member=own, previous=None))
         self._foreign_boot_marks[boot_mark] = None
 
-    def _announce_self(self, now: float, incarnation: int, *, full: bool) -> None:
+    def _announce_self(self, now: float, incarnation: int, *, is_full: bool) -> None:
         member = msgspec.structs.replace(self._table.self_member, incarnation=incarnation)
         self._table.set_self(now, member)
-        self._queue.add(member if full else state_update_of(member))
+        self._queue.add(member if is_full else state_update_of(member))
