--- a/drumbay/resources/checks.py
+++ b/drumbay/resources/checks.py
@@ -1,4 +1,4 @@
-"""Validation of resources beyond the types of their fields."""
+"""Validation of resources that the schema cannot express."""
 
 from drumbay.exceptions import ConfigurationError
 from drumbay.resources.schema import (
--- a/drumbay/resources/files.py
+++ b/drumbay/resources/files.py
@@ -1,4 +1,4 @@
-"""Loading of resources from YAML files, which may have several documents."""
+"""Loading of resources from YAML files with one or more documents."""
 
 from pathlib import Path
 
@@ -23,7 +23,7 @@
     code = "invalid_resource"
 
     def __init__(self, file: Path, document: int, key: str, expected: str) -> None:
-        """Create the error for a position in a file."""
+        """Create the error for a key in a document of a file."""
         super().__init__(f"{file}: document {document}: {key or '(document)'}: {expected}")
         self.file = file
         self.document = document
@@ -32,7 +32,7 @@
 
 
 def load_resources(file: Path) -> tuple[AnyResource, ...]:
-    """Read every resource of a YAML file.
+    """Read all resources of a YAML file.
 
     Raises:
         ResourceFileError: The file cannot be read, or a resource is not valid.
--- a/drumbay/resources/schema.py
+++ b/drumbay/resources/schema.py
@@ -85,7 +85,7 @@
 
 
 class RouteKind(StrEnum):
-    """Kind of work that a route carries."""
+    """Kind of requests that a route serves."""
 
     LIVE = "live"
     APPLICATION = "application"
@@ -93,19 +93,19 @@
 
 
 class Route(Resource, frozen=True, kw_only=True, tag_field="kind"):
-    """Rule that sends one kind of work to selected back ends, within limits.
+    """Rule that sends one kind of requests to selected back ends, within limits.
 
     Attributes:
-        route_kind: Kind of work.
+        route_kind: Kind of requests.
         model: Model that live and rollout requests must name; ``None`` for applications.
         path_prefix: Prefix of the path of application requests.
-        selector: Back ends that may serve, by group and back-end labels.
+        selector: Selects the back ends that may serve, by the labels of groups and back ends.
         priority: Routes with a larger priority are served first.
         max_concurrency: Requests in flight per node.
         max_rate_per_second: Requests started per second per node.
         timeout_seconds: Timeout of a request, retries included.
         max_attempts: Maximum number of attempts of a repeatable request.
-        repeatable: Whether requests may run twice if the caller does not specify it.
+        repeatable: Whether requests may run more than once, unless the caller specifies it.
     """
 
     route_kind: RouteKind
@@ -121,7 +121,7 @@
 
 
 class RolloutObjective(StrEnum):
-    """What to minimize when trainer idle time and sample staleness conflict."""
+    """What to minimize if trainer idle time and sample staleness conflict."""
 
     IDLE_TIME = "idle_time"
     STALENESS = "staleness"
@@ -155,7 +155,7 @@
         model: Name of the model.
         stream: Sample stream of its trainer.
         selector: Engines that hold the model.
-        max_staleness_versions: Largest age of a sample's weights, in versions behind the
+        max_staleness_versions: Limit on how many versions a sample's weights may be behind the
             trainer.
         objective: Whether to minimize trainer idle time or staleness when they conflict.
         min_serving_share: Fraction of engines that keep serving during a rollout.
