--- a/drumbay/machines/interface.py
+++ b/drumbay/machines/interface.py
@@ -1,4 +1,4 @@
-"""Interface to the platform's machine list, which lags behind the actual state."""
+"""Interface to the platform's list of machines, which lags behind their actual states."""
 
 from enum import StrEnum
 from typing import Protocol
--- a/drumbay/machines/leaving.py
+++ b/drumbay/machines/leaving.py
@@ -12,8 +12,8 @@
 class LeavingReports:
     """The newest report of each reader.
 
-    A back end counts as leaving while any reader reports it: the list lags, so a reader that
-    sees the machine as live may be behind.
+    A back end counts as leaving while any reader reports it as leaving, since the list that another
+    reader has read may be outdated.
     """
 
     def __init__(self) -> None:
@@ -22,9 +22,9 @@
 
     def add(self, report: LeavingReport) -> bool:
         """Store a report unless it is outdated; return whether it was new."""
-        known = self._reports.get(report.reader)
-        is_same_boot = known is not None and known.boot_id == report.boot_id
-        if is_same_boot and known is not None and report.sequence <= known.sequence:
+        previous = self._reports.get(report.reader)
+        is_same_boot = previous is not None and previous.boot_id == report.boot_id
+        if is_same_boot and previous is not None and report.sequence <= previous.sequence:
             return False
         self._reports[report.reader] = report
         return True
--- a/drumbay/machines/readers.py
+++ b/drumbay/machines/readers.py
@@ -1,7 +1,7 @@
 """Selection and read schedule of the readers of the machine list. Pure: no I/O, no clock.
 
 The cost of a read grows with the number of machines. In a large cluster only a few nodes of each
-zone read the list, in rotation, and notify the others.
+zone read the list, in turn, and notify the others.
 """
 
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 
 READERS_PER_ZONE = 2
 READ_PERIOD_SECONDS = 1.0
-"""Time between two reads in the whole cluster."""
+"""Time between successive reads by the readers of a cluster."""
 
 
 def select_readers(members: Sequence[PeerView]) -> tuple[NodeId, ...]:
@@ -40,10 +40,10 @@
 def seconds_until_read(rank: int, reader_count: int, wall_seconds: float) -> float:
     """Return the time until a reader's next read, at least half a period away.
 
-    Reads are scheduled by the wall clock, so that readers need no messages to rotate. A clock
-    offset only shifts a reader's reads.
+    The wall clock determines the order of the readers without messages between them. An offset of a
+    node's clock only shifts its reads.
     """
     rotation_seconds = reader_count * READ_PERIOD_SECONDS
     remaining = (rank * READ_PERIOD_SECONDS - wall_seconds) % rotation_seconds
-    # NOTE: a timer may fire slightly early, which must not repeat the read just done.
+    # NOTE: a timer that fires slightly early must not repeat the last read.
     return remaining if remaining >= READ_PERIOD_SECONDS / 2 else remaining + rotation_seconds
--- a/drumbay/machines/watcher.py
+++ b/drumbay/machines/watcher.py
@@ -1,7 +1,8 @@
 """Watcher of the machine list, which reports the leaving back ends.
 
-In a small cluster every node reads the list. In a large one a few readers rotate, call every other
-node after a change, and serve the periodic fetches of the others, which repair lost calls.
+In a small cluster every node reads the list. In a large one a few readers read it in turn and call
+every other node after a change. The others also fetch the reports periodically, in case a call was
+lost.
 """
 
 import asyncio
@@ -35,18 +36,18 @@
 from drumbay.tasks import TaskOwner
 
 REPAIR_INTERVAL_SECONDS = 10.0
-FIRST_REPAIR_SECONDS = 1.0
+FIRST_REPAIR_INTERVAL_SECONDS = 1.0
 MIN_REPAIR_JITTER = 0.5
 CALL_TIMEOUT_SECONDS = 1.0
 CALL_ATTEMPTS = 2
-CONCURRENT_CALLS = 32
+MAX_CONCURRENT_CALLS = 32
 
 
 class MachineListWatcher:
     """Keeps the set of leaving back ends up to date.
 
-    While the list cannot be read the last known set is kept, so that an outage of the list
-    does not return work to a leaving back end.
+    While the list cannot be read, the last known set is kept, so that leaving back ends get no work
+    during an outage of the list.
 
     Args:
         clock: Time.
@@ -88,8 +89,8 @@
         self._sequence = 0
         self._own_leaving: tuple[BackendId, ...] = ()
         self._readers: tuple[NodeId, ...] = ()
-        self._members_of_readers: tuple[PeerView, ...] | None = None
-        self._calls = asyncio.Semaphore(CONCURRENT_CALLS)
+        self._members_at_selection: tuple[PeerView, ...] | None = None
+        self._call_semaphore = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
         self._freshness = FreshnessGuard(clock, self._renew)
 
     def start(self) -> None:
@@ -101,7 +102,7 @@
         self._task_owner.spawn(self._freshness.run(), "machine-list-freshness")
 
     async def ensure_fresh(self) -> None:
-        """Renew the set if it is from before a pause of this process.
+        """Renew the set of leaving back ends if it is from before a pause of this process.
 
         If neither the list nor a reader responds, the last known set is kept.
         """
@@ -115,13 +116,13 @@
 
     @property
     def is_shared(self) -> bool:
-        """Return whether a few readers read the list for the whole cluster."""
+        """Return whether only a few nodes read the list."""
         return len(self._members()) > MAX_NODES_WITHOUT_SHARING
 
     def _current_readers(self) -> tuple[NodeId, ...]:
         members = self._members()
-        if members is not self._members_of_readers:
-            self._members_of_readers = members
+        if members is not self._members_at_selection:
+            self._members_at_selection = members
             self._readers = select_readers(members)
             self._reports.retain_readers(self._readers)
         return self._readers
@@ -173,7 +174,7 @@
 
     async def _notify(self, peer: Address, report: LeavingReport) -> None:
         for _ in range(CALL_ATTEMPTS):
-            async with self._calls:
+            async with self._call_semaphore:
                 try:
                     await self._call(peer, LeavingChanged(report=report))
                     return
@@ -207,8 +208,8 @@
                 await self._repair()
 
     def _repair_interval_seconds(self) -> float:
-        """Return the repair interval, which is shorter until the first report."""
-        return REPAIR_INTERVAL_SECONDS if self._reports.sorted() else FIRST_REPAIR_SECONDS
+        """Return the interval between fetches, which is shorter until the first report."""
+        return REPAIR_INTERVAL_SECONDS if self._reports.sorted() else FIRST_REPAIR_INTERVAL_SECONDS
 
     async def _repair(self) -> None:
         """Fetch the reports of a random reader."""
--- a/tests/test_machine_list.py
+++ b/tests/test_machine_list.py
@@ -149,7 +149,7 @@
 class MachineListTest(unittest.TestCase):
     def test_every_node_is_informed_within_seconds_by_few_reads(self) -> None:
         async def scenario(cluster: WatcherCluster) -> None:
-            # Half a period away from the reads, which are on whole seconds.
+            # Reads happen on whole seconds, so count half a second away from them.
             await asyncio.sleep(20.5)
             reads = cluster.list.reads
             await asyncio.sleep(30.0)
