--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -421,7 +421,7 @@
             ]
             self.assertEqual(bool(check(history)), is_broken, lost)
 
-    def test_a_fault_lasts_until_what_it_did_has_ended(self) -> None:
+    def test_a_fault_lasts_until_its_effects_have_ended(self) -> None:
         stop = fault(FaultKind.NODES_RESTARTED, 1.0)
         history = self.history(stop)
         self.assertTrue(history.is_fault_free(STARTED_AT + 3.0, STARTED_AT + 4.0))
--- a/tests/test_soak_processes.py
+++ b/tests/test_soak_processes.py
@@ -17,11 +17,11 @@
 
 
 class AddressTest(unittest.TestCase):
-    def test_no_address_is_given_twice(self) -> None:
+    def test_no_address_is_allocated_twice(self) -> None:
         addresses = [free_address() for _ in range(2_000)]
         self.assertEqual(len(set(addresses)), len(addresses))
 
-    def test_connections_do_not_go_out_from_the_host_of_given_addresses(self) -> None:
+    def test_outgoing_connections_do_not_use_the_host_of_allocated_addresses(self) -> None:
         """Guards against an outgoing connection that takes a port before its process binds it."""
         with (
             socket.create_server((loopback_host(), 0)) as server,
