--- a/drumbay/configuration/state.py
+++ b/drumbay/configuration/state.py
@@ -92,7 +92,7 @@
         return decode_replica_set(self._entries.get(REPLICA_SET_KEY))
 
     def entry(self, key: str) -> ConfigurationEntry | None:
-        """Return the entry of a key, if present."""
+        """Return the entry of a key, if existing."""
         return self._entries.get(key)
 
     def entries(self) -> tuple[ConfigurationEntry, ...]:
@@ -100,7 +100,7 @@
         return tuple(self._entries[key] for key in sorted(self._entries))
 
     def classify(self, update: ConfigurationUpdate) -> ApplyOutcome:
-        """Return what :meth:`apply` would do with an update."""
+        """Return the outcome that :meth:`apply` would have."""
         if update.revision <= self._revision:
             return ApplyOutcome.OLD
         if update.base_revision is not None and update.base_revision > self._revision:
@@ -125,8 +125,8 @@
         return outcome
 
     def _is_newer(self, entry: ConfigurationEntry) -> bool:
-        present = self._entries.get(entry.key)
-        if present is not None and entry.mod_revision <= present.mod_revision:
+        existing = self._entries.get(entry.key)
+        if existing is not None and entry.mod_revision <= existing.mod_revision:
             return False
         return entry.mod_revision > self._revision
 
--- a/drumbay/configuration/view.py
+++ b/drumbay/configuration/view.py
@@ -27,9 +27,9 @@
     """The operators' resources applied on one node, by name.
 
     Attributes:
-        revision: Revision of the key-value service up to which they are complete.
+        revision: Revision of the key-value service up to which every change is applied.
         resource_revisions: Modification revision by ``<Kind>/<name>``, deleted resources
-            included; the expected revision of an operator's write.
+            included; an operator's write must expect this revision.
     """
 
     revision: Revision = NO_REVISION
@@ -43,7 +43,7 @@
 
 
 class ViewBuilder:
-    """Builds views; unchanged entries are not decoded again."""
+    """Builds views and caches the decoded entries."""
 
     def __init__(self) -> None:
         """Create a builder without cached entries."""
@@ -56,15 +56,15 @@
         for entry in state.entries():
             if entry.key == REPLICA_SET_KEY:
                 continue
-            record = self._record(entry)
+            record = self._decode_if_changed(entry)
             decoded[entry.key] = (entry.mod_revision, record)
             view.resource_revisions[entry.key.removeprefix(RESOURCE_PREFIX)] = entry.mod_revision
             if record is not None and not record.deleted:
-                _add(view, record.resource)
+                _add_resource(view, record.resource)
         self._decoded = decoded
         return view
 
-    def _record(self, entry: ConfigurationEntry) -> StoredRecord | None:
+    def _decode_if_changed(self, entry: ConfigurationEntry) -> StoredRecord | None:
         known = self._decoded.get(entry.key)
         if known is not None and known[0] == entry.mod_revision:
             return known[1]
@@ -92,7 +92,7 @@
         return None
 
 
-def _add(view: ConfigurationView, resource: AnyResource) -> None:
+def _add_resource(view: ConfigurationView, resource: AnyResource) -> None:
     match resource:
         case BackendGroup():
             view.groups[resource.name] = resource
--- a/drumbay/configuration/watcher.py
+++ b/drumbay/configuration/watcher.py
@@ -95,8 +95,7 @@
             await self._clock.sleep(self._backoff.next_delay_seconds())
 
     async def _watch_once(self) -> None:
-        # NOTE: empty batches are not delivered, so the next update builds on the last
-        # delivered revision.
+        # NOTE: empty batches are skipped, so each update builds on the last delivered one.
         base_revision = self._applied_revision()
         start_revision = Revision(base_revision + 1)
         async for batch in self._store.watch_prefix(RESOURCE_PREFIX, start_revision):
--- a/tests/test_configuration_replicas.py
+++ b/tests/test_configuration_replicas.py
@@ -23,7 +23,7 @@
 
 SETTLE_SECONDS = 60.0
 REPLACEMENT_SECONDS = 240.0
-FIRST_SECONDS = 12.0
+FORMATION_SECONDS = 12.0
 
 Scenario = Callable[[ConfigurationCluster], Awaitable[None]]
 
@@ -97,7 +97,7 @@
             )
             cluster.start_all(service_type)
             await cluster.wait_loaded()
-            await asyncio.sleep(FIRST_SECONDS)
+            await asyncio.sleep(FORMATION_SECONDS)
             cluster.model.set_faults(KeyValueFaults(outage=True))
             restarted = cluster.nodes["node-001"]
             await restarted.kill()
@@ -160,7 +160,7 @@
             cluster.model.set_faults(KeyValueFaults(outage=True))
             for name in ("node-001", "node-002", "node-003", "node-006"):
                 await cluster.nodes[name].kill()
-            # The replaced replica returns with its old disk, next to one of the new set.
+            # The replaced replica returns with its old disk, together with one of the new set.
             cluster.set_members(list(cluster.nodes.values()))
             for name in ("node-000", "node-003", "node-006"):
                 cluster.nodes[name].start(service_type)
@@ -200,7 +200,7 @@
             for name in ("node-000", "node-001"):
                 await cluster.nodes[name].kill()
             self.assertEqual(await self.write(cluster, 1), WriteOutcome.UNKNOWN_YET)
-            # Drop the dead nodes from the membership, or they would be proposed again.
+            # Remove the dead nodes from the membership, so that they are not proposed again.
             cluster.set_members(cluster.running())
             operators = cluster.nodes["node-006"].operators
             await operators.force_replica_set((NodeId("node-002"),))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -48,7 +48,7 @@
         file.write_text(text)
         return file
 
-    def error_of(self, text: str) -> SettingsError:
+    def load_error(self, text: str) -> SettingsError:
         with self.assertRaises(SettingsError) as caught:
             load_settings(self.write(text))
         return caught.exception
@@ -64,30 +64,30 @@
         self.assertEqual((settings.zone, settings.http.port), ("south", 9090))
 
     def test_unknown_key_names_key_and_file(self) -> None:
-        error = self.error_of(VALID + "\n[logs]\nlevle = 'INFO'\n")
+        error = self.load_error(VALID + "\n[logs]\nlevle = 'INFO'\n")
         self.assertEqual(error.key, "logs")
         self.assertIn("levle", error.expected)
         self.assertIn("node.toml", str(error))
 
     def test_wrong_type_names_key_and_expected_type(self) -> None:
-        error = self.error_of(VALID.replace("port = 8080", 'port = "8080"'))
+        error = self.load_error(VALID.replace("port = 8080", 'port = "8080"'))
         self.assertEqual(error.key, "http.port")
         self.assertIn("Expected `int`", error.expected)
 
     def test_value_out_of_range(self) -> None:
-        self.assertEqual(self.error_of(VALID.replace("8080", "0")).key, "http.port")
+        self.assertEqual(self.load_error(VALID.replace("8080", "0")).key, "http.port")
 
     def test_duplicate_address(self) -> None:
-        self.assertEqual(self.error_of(VALID.replace("8080", "7080")).key, "peers.port")
+        self.assertEqual(self.load_error(VALID.replace("8080", "7080")).key, "peers.port")
 
     def test_host_name_is_rejected(self) -> None:
-        error = self.error_of(VALID.replace("127.0.0.1", "a.example", 1))
+        error = self.load_error(VALID.replace("127.0.0.1", "a.example", 1))
         self.assertEqual(error.key, "http.host")
 
     def test_missing_file_and_broken_toml(self) -> None:
         with self.assertRaises(SettingsError):
             load_settings(self.folder / "absent.toml")
-        self.assertIn("TOML", self.error_of("node_id = [").expected)
+        self.assertIn("TOML", self.load_error("node_id = [").expected)
 
     def test_short_cluster_key(self) -> None:
         file = self.write(VALID)
