--- a/tests/test_configuration_state.py
+++ b/tests/test_configuration_state.py
@@ -45,7 +45,7 @@
 
 CHANGES = 12
 SLOW_DISK_SECONDS = 5.0
-"""How long a write waits for the event loop, which it must not block."""
+"""How long the simulated disk write waits for the event loop to run."""
 
 
 def entry(revision: int, key: str, *, removed: bool = False) -> ConfigurationEntry:
--- a/tests/test_membership_failures.py
+++ b/tests/test_membership_failures.py
@@ -22,7 +22,7 @@
 
 
 class ClusterHistory:
-    """Changes that nodes reported, and which of them were false."""
+    """Changes reported by nodes, and the false ones among them."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
@@ -37,7 +37,7 @@
         nodes = {each.member.node_id: each for each in self.cluster.nodes}
         subject, observing_node = nodes[member.node_id], nodes[observer]
         is_running = subject.is_up and subject.frozen_until <= now
-        # The death of an earlier boot is true, however late it is reported.
+        # A report about an earlier boot is true, however late it comes.
         is_running = is_running and subject.member.boot_id == member.boot_id
         if is_running and not self.cluster.is_cut(subject.member, observing_node.member):
             if kind is MemberChangeKind.SUSPECTED:
@@ -88,7 +88,7 @@
 
 class FrozenProcessTest(unittest.TestCase):
     def recovers_after_freeze(self) -> bool:
-        """Return whether all nodes see a node as alive a minute after its pause of a minute."""
+        """Freeze a node for a minute; return whether all nodes soon see it as alive again."""
         cluster, _ = joined_cluster()
         cluster.freeze(5, 60.0)
         detected = cluster.run_until(
@@ -153,7 +153,7 @@
         self.assertEqual(self.deaths_under_loss(0.1), 0)
 
     def test_requeued_state_limits_false_deaths_under_extreme_loss(self) -> None:
-        """At 35 % loss some refutations are lost; false deaths must stay rare."""
+        """At 35 % loss some refutations are lost; requeued states must keep false deaths rare."""
         with disabled(UpdateHandler, "_requeue_newer_state"):
             without_requeue = self.deaths_under_loss(0.35)
         self.assertGreater(without_requeue, 5 * self.deaths_under_loss(0.35))
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -213,14 +213,14 @@
 
 
 class SwimTest(unittest.TestCase):
-    def test_ping_for_another_node_at_this_address_is_not_answered(self) -> None:
+    def test_ping_for_another_node_at_this_address_is_not_acknowledged(self) -> None:
         swim = swim_of(1)
         swim.tick(0.0)
-        for target, answers in ((NodeId("node-1"), 1), (NodeId("node-9"), 0)):
+        for target, ack_count in ((NodeId("node-1"), 1), (NodeId("node-9"), 0)):
             ping = Ping(sender=NodeId("node-2"), sequence=1, target=target)
             output = swim.receive(0.1, Address("10.0.0.1", 2), ping)
             acks = [each for each in output.datagrams if isinstance(each.message, Ack)]
-            self.assertEqual(len(acks), answers)
+            self.assertEqual(len(acks), ack_count)
 
     def test_second_process_with_the_same_name_is_reported_and_an_earlier_boot_is_not(self) -> None:
         swim = swim_of(1)
@@ -234,7 +234,7 @@
             self.assertEqual(swim.self_member.incarnation, incarnation + 1)
         self.assertEqual(changes, [[], [MemberChangeKind.IDENTITY_CONFLICT]])
 
-    def test_application_revision_travels_with_every_datagram(self) -> None:
+    def test_every_datagram_carries_the_application_revision(self) -> None:
         first, second = swim_of(1), swim_of(2)
         first.set_application_revision(42)
         second.receive(
