--- a/drumbay/configuration/view.py
+++ b/drumbay/configuration/view.py
@@ -29,7 +29,7 @@
     Attributes:
         revision: Revision of the key-value service up to which every change is applied.
         resource_revisions: Modification revision by ``<Kind>/<name>``, deleted resources
-            included; an operator's write must expect this revision.
+            included; an operator's write may expect this revision.
     """
 
     revision: Revision = NO_REVISION
