--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -249,15 +249,15 @@
             await anext(self.store.watch_prefix("w/", start))
 
     async def test_rejected_writes_raise_errors_without_effect(self) -> None:
-        self.server.refuse_with = 429
+        self.server.error_status = 429
         with self.assertRaises(KeyValueRateLimitedError):
             await self.put("k")
-        self.server.refuse_with = 503
+        self.server.error_status = 503
         with self.assertRaises(KeyValueUnavailableError):
             await self.put("k")
 
     async def test_invalid_reply_leaves_write_outcome_unknown(self) -> None:
-        self.server.refuse_with = 200
+        self.server.error_status = 200
         with self.assertRaises(KeyValueOutcomeUnknownError):
             await self.put("k")
         with self.assertRaises(KeyValueUnavailableError):
--- a/tests/test_platform_serving.py
+++ b/tests/test_platform_serving.py
@@ -29,7 +29,7 @@
 """Timeout of each test."""
 
 
-async def eventually(check: Callable[[], Awaitable[bool]]) -> None:
+async def poll_until(check: Callable[[], Awaitable[bool]]) -> None:
     """Poll until a check holds."""
     while True:
         if await check():
@@ -88,7 +88,7 @@
         self.ingress.stop()
         self.peers.stop()
 
-    async def ask(
+    async def fetch(
         self,
         method: str,
         target: str,
@@ -120,9 +120,9 @@
 
     async def wait_until_ready(self) -> None:
         async def is_ready() -> bool:
-            return (await self.ask("GET", "/readyz", address=self.ready)).status == 200
+            return (await self.fetch("GET", "/readyz", address=self.ready)).status == 200
 
-        await eventually(is_ready)
+        await poll_until(is_ready)
 
 
 class ServingFixture(unittest.IsolatedAsyncioTestCase):
@@ -178,37 +178,37 @@
         process.start()
         self.addAsyncCleanup(process.stop)
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            ready = await process.ask("GET", "/readyz", address=process.ready)
+            ready = await process.fetch("GET", "/readyz", address=process.ready)
             self.assertEqual(ready.status, 503)
-            response = await process.ask("POST", "/l/1")
+            response = await process.fetch("POST", "/l/1")
             self.assertEqual(response.status, 503)
             self.assertIn("Retry-After", response.headers)
             self.configure(1, "/l/")
             await process.wait_until_ready()
-            self.assertEqual((await process.ask("POST", "/l/1", b"x")).status, 200)
+            self.assertEqual((await process.fetch("POST", "/l/1", b"x")).status, 200)
 
     async def test_lookups_and_routes(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            response = await process.ask("POST", "/l/1", b"question")
+            response = await process.fetch("POST", "/l/1", b"question")
             self.assertEqual((response.status, response.body), (200, b"question"))
-            self.assertEqual((await process.ask("POST", "/none/1")).status, 404)
-            self.assertEqual((await process.ask("POST", "/l/1", host="other")).status, 404)
+            self.assertEqual((await process.fetch("POST", "/none/1")).status, 404)
+            self.assertEqual((await process.fetch("POST", "/l/1", host="other")).status, 404)
             self.configure(3, "/n/")
 
             async def is_added() -> bool:
-                return (await process.ask("POST", "/n/1")).status == 200
+                return (await process.fetch("POST", "/n/1")).status == 200
 
-            await eventually(is_added)
-            self.assertEqual((await process.ask("POST", "/l/1")).status, 404)
+            await poll_until(is_added)
+            self.assertEqual((await process.fetch("POST", "/l/1")).status, 404)
 
     async def test_metrics_are_served_at_the_peer_address(self) -> None:
         self.configure(1, "/l/")
         process = await self.start()
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            await process.ask("POST", "/l/1", b"question")
-            response = await process.ask("GET", "/metrics", address=process.peer_address)
+            await process.fetch("POST", "/l/1", b"question")
+            response = await process.fetch("GET", "/metrics", address=process.peer_address)
         self.assertIn(
             b'drumbay_serving_requests_total{outcome="answered",route="/l/"} 1.0', response.body
         )
@@ -232,15 +232,15 @@
         batch = {"trainStep": 1, "model": "m", "minVer": 1, "desired": 1, "requests": items}
         async with asyncio.timeout(TIMEOUT_SECONDS):
             for process in (first, second):
-                response = await process.ask(
+                response = await process.fetch(
                     "POST", "/p/1", json.dumps(batch).encode(), request_id="b1"
                 )
                 self.assertEqual(response.status, 202)
-            body = await second.ask("GET", "/items/b1?id=item-3")
+            body = await second.fetch("GET", "/items/b1?id=item-3")
             self.assertEqual((body.status, body.body), (200, b"prompt"))
             results: list[dict[str, object]] = []
             while len(results) < 6:
-                response = await second.ask("GET", f"/lots/b1?sinceRev={len(results)}")
+                response = await second.fetch("GET", f"/lots/b1?sinceRev={len(results)}")
                 page = json.loads(response.body)
                 results.extend(page["results"])
                 self.assertEqual(page["nextToken"], len(results))
@@ -250,12 +250,12 @@
                 self.assertEqual(result["text"], full_text(str(result["id"])))
                 self.assertEqual(result["versions"], [1])
             for _ in range(2):
-                self.assertEqual((await second.ask("DELETE", "/lots/b1")).status, 200)
+                self.assertEqual((await second.fetch("DELETE", "/lots/b1")).status, 200)
             for process in (first, second):
-                page = json.loads((await process.ask("GET", "/lots/b1?sinceRev=0")).body)
+                page = json.loads((await process.fetch("GET", "/lots/b1?sinceRev=0")).body)
                 self.assertEqual(page["results"], results)
-            self.assertEqual((await first.ask("GET", "/lots/none")).status, 404)
-            self.assertEqual((await first.ask("POST", "/p/1", b"{}")).status, 400)
+            self.assertEqual((await first.fetch("GET", "/lots/none")).status, 404)
+            self.assertEqual((await first.fetch("POST", "/p/1", b"{}")).status, 400)
 
     def scored_batch(self, scorer: object) -> bytes:
         item = {
@@ -280,11 +280,13 @@
             "body": base64.b64encode(b"text").decode(),
         }
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            response = await process.ask("POST", "/p/1", self.scored_batch(scorer), request_id="b1")
+            response = await process.fetch(
+                "POST", "/p/1", self.scored_batch(scorer), request_id="b1"
+            )
             self.assertEqual(response.status, 202)
             page: dict[str, list[dict[str, object]]] = {"results": []}
             while not page["results"]:
-                page = json.loads((await process.ask("GET", "/lots/b1?sinceRev=0")).body)
+                page = json.loads((await process.fetch("GET", "/lots/b1?sinceRev=0")).body)
             (call,) = self.workers.runs_of("score-1")
             self.assertEqual(page["results"][0]["score"], call.stamp)
 
@@ -295,9 +297,9 @@
         async with asyncio.timeout(TIMEOUT_SECONDS):
             for invalid in ({"id": ""}, {"host": ""}, {"path": "l"}, {"body": "%"}, {"id": 7}):
                 body = self.scored_batch({**valid, **invalid})
-                response = await process.ask("POST", "/p/1", body, request_id="b1")
+                response = await process.fetch("POST", "/p/1", body, request_id="b1")
                 self.assertEqual(response.status, 400)
-            self.assertEqual((await process.ask("GET", "/lots/b1?sinceRev=0")).status, 404)
+            self.assertEqual((await process.fetch("GET", "/lots/b1?sinceRev=0")).status, 404)
             self.assertEqual(self.workers.runs, [])
 
     async def test_a_graceful_shutdown_completes_open_requests(self) -> None:
@@ -305,15 +307,15 @@
         process = await self.start()
         self.workers["w1"].faults.slowdown = 100.0
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            open_request = asyncio.ensure_future(process.ask("POST", "/l/1", b"slow"))
+            open_request = asyncio.ensure_future(process.fetch("POST", "/l/1", b"slow"))
 
             async def is_running() -> bool:
                 return bool(self.workers.runs)
 
-            await eventually(is_running)
+            await poll_until(is_running)
             stop = asyncio.ensure_future(process.node.stop())
             await asyncio.sleep(0)
-            ready = await process.ask("GET", "/readyz", address=process.ready)
+            ready = await process.fetch("GET", "/readyz", address=process.ready)
             self.assertEqual(ready.status, 503)
             self.assertEqual((await open_request).status, 200)
             await stop
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -11,7 +11,7 @@
     ClientResponse,
     EdgeNode,
     ServingFixture,
-    eventually,
+    poll_until,
 )
 
 NORTH, SOUTH = "key-north", "key-south"
@@ -31,7 +31,7 @@
         tenants = [{"name": name, "apiKeys": [key]} for name, key in keys.items()]
         self.put("op/config", {"ver": version, "routes": routes, "tenants": tenants})
 
-    async def ask(
+    async def fetch(
         self,
         method: str,
         target: str,
@@ -45,7 +45,7 @@
         if key is not None:
             headers += (("Authorization", f"Bearer {key}"),)
         target_process = process or self.processes[0]
-        return await target_process.ask(
+        return await target_process.fetch(
             method, target, body, request_id=request_id, headers=headers
         )
 
@@ -54,10 +54,10 @@
         await self.start()
         async with asyncio.timeout(TIMEOUT_SECONDS):
             for key in (None, "other"):
-                self.assertEqual((await self.ask("POST", "/l/1", key)).status, 401)
+                self.assertEqual((await self.fetch("POST", "/l/1", key)).status, 401)
             self.assertEqual(self.workers.runs, [])
-            self.assertEqual((await self.ask("POST", "/l/1", SOUTH)).status, 200)
-            self.assertEqual((await self.ask("POST", "/o/1", None)).status, 200)
+            self.assertEqual((await self.fetch("POST", "/l/1", SOUTH)).status, 200)
+            self.assertEqual((await self.fetch("POST", "/o/1", None)).status, 200)
         tenants = [run.tenant for run in self.workers.runs]
         self.assertEqual(tenants, ["south", None])
         for run in self.workers.runs:
@@ -69,14 +69,14 @@
         self.configure_tenants(1, north=NORTH)
         await self.start()
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            self.assertEqual((await self.ask("POST", "/l/1", NORTH)).status, 200)
+            self.assertEqual((await self.fetch("POST", "/l/1", NORTH)).status, 200)
             self.configure_tenants(2, south=SOUTH)
 
             async def is_added() -> bool:
-                return (await self.ask("POST", "/l/1", SOUTH)).status == 200
+                return (await self.fetch("POST", "/l/1", SOUTH)).status == 200
 
-            await eventually(is_added)
-            self.assertEqual((await self.ask("POST", "/l/1", NORTH)).status, 401)
+            await poll_until(is_added)
+            self.assertEqual((await self.fetch("POST", "/l/1", NORTH)).status, 401)
 
     def batch(self) -> bytes:
         item = {
@@ -96,9 +96,9 @@
         second = self.processes[1]
         async with asyncio.timeout(TIMEOUT_SECONDS):
             for key in (None, "other"):
-                refused = await self.ask("POST", "/p/1", key, self.batch(), request_id="b1")
+                refused = await self.fetch("POST", "/p/1", key, self.batch(), request_id="b1")
                 self.assertEqual(refused.status, 401)
-            accepted = await self.ask("POST", "/p/1", NORTH, self.batch(), request_id="b1")
+            accepted = await self.fetch("POST", "/p/1", NORTH, self.batch(), request_id="b1")
             self.assertEqual(accepted.status, 202)
             for process in (first, second):
                 for method, target in (
@@ -106,18 +106,18 @@
                     ("GET", "/items/b1?id=item-1"),
                     ("DELETE", "/lots/b1"),
                 ):
-                    foreign = await self.ask(method, target, SOUTH, process=process)
+                    foreign = await self.fetch(method, target, SOUTH, process=process)
                     self.assertEqual((method, foreign.status), (method, 404))
-                    unknown = await self.ask(method, target, None, process=process)
+                    unknown = await self.fetch(method, target, None, process=process)
                     self.assertEqual((method, unknown.status), (method, 401))
 
             async def is_listed() -> bool:
-                response = await self.ask("GET", "/lots/b1?sinceRev=0", NORTH, process=second)
+                response = await self.fetch("GET", "/lots/b1?sinceRev=0", NORTH, process=second)
                 return response.status == 200 and bool(json.loads(response.body)["results"])
 
-            await eventually(is_listed)
-            self.assertEqual((await self.ask("DELETE", "/lots/b1", NORTH)).status, 200)
-            ended = await self.ask("GET", "/lots/b1?sinceRev=0", SOUTH, process=second)
+            await poll_until(is_listed)
+            self.assertEqual((await self.fetch("DELETE", "/lots/b1", NORTH)).status, 200)
+            ended = await self.fetch("GET", "/lots/b1?sinceRev=0", SOUTH, process=second)
             self.assertEqual(ended.status, 404)
         (run,) = self.workers.runs_of("item-1")
         self.assertEqual(run.tenant, "north")
--- a/tests/test_slow_readers.py
+++ b/tests/test_slow_readers.py
@@ -28,7 +28,7 @@
     TIMEOUT_SECONDS,
     EdgeNode,
     ServingFixture,
-    eventually,
+    poll_until,
 )
 
 MEGABYTE = 1_000_000
@@ -130,7 +130,7 @@
         async def async_check() -> bool:
             return check()
 
-        await eventually(async_check)
+        await poll_until(async_check)
 
     async def test_stalled_reader_is_dropped_under_memory_pressure(self) -> None:
         async with asyncio.timeout(TIMEOUT_SECONDS):
@@ -284,14 +284,14 @@
         node.memory.bytes = type(node.memory.bytes)(limit_bytes)
         node.memory.bytes.reserve(HeldKind.LOOKUP, int(0.6 * limit_bytes))
         async with asyncio.timeout(TIMEOUT_SECONDS):
-            page = await process.ask("GET", "/lots/b1")
+            page = await process.fetch("GET", "/lots/b1")
             self.assertEqual((page.status, page.headers["Retry-After"]), (503, "0.5"))
-            self.assertEqual((await process.ask("POST", "/l/1", b"question")).status, 200)
-            self.assertEqual((await process.ask("DELETE", "/lots/b1")).status, 404)
+            self.assertEqual((await process.fetch("POST", "/l/1", b"question")).status, 200)
+            self.assertEqual((await process.fetch("DELETE", "/lots/b1")).status, 404)
             node.memory.bytes.reserve(HeldKind.LOOKUP, int(0.2 * limit_bytes))
-            submission = await process.ask("POST", "/p/x", b"{}")
+            submission = await process.fetch("POST", "/p/x", b"{}")
             self.assertEqual((submission.status, submission.headers["Retry-After"]), (503, "0.5"))
-            self.assertEqual((await process.ask("POST", "/l/1", b"question")).status, 200)
+            self.assertEqual((await process.fetch("POST", "/l/1", b"question")).status, 200)
 
 
 class SettingsTest(unittest.TestCase):
