--- a/drumbay/node/backend_monitor.py
+++ b/drumbay/node/backend_monitor.py
@@ -26,8 +26,8 @@
 
     Attributes:
         min_interval_seconds: Minimum time between two polls of one backend.
-        max_interval_seconds: Maximum time between two polls of one backend. Beyond it,
-            an engine's reported weight version is too old to schedule samples by.
+        max_interval_seconds: Maximum time between two polls of one backend; it bounds the age of
+            the weight versions by which samples are scheduled.
         unthrottled_backends: Number of backends up to which the minimum interval applies.
         polls_per_second: Total poll rate for the backends above that number.
     """
@@ -71,7 +71,7 @@
         random: Random,
         policy: PollPolicy | None = None,
     ) -> None:
-        """Create a monitor; :meth:`watch_all` starts polling."""
+        """Create a monitor; :meth:`poll_watched_engines` starts polling."""
         self._clock = clock
         self._client = client
         self._directory = directory
@@ -82,7 +82,7 @@
         self._backend_count = 0
         self._polled_addresses: set[BackendAddress] = set()
 
-    def watch_all(self) -> None:
+    def poll_watched_engines(self) -> None:
         """Start polling every watched engine that is not polled yet."""
         watched = self._directory.watched_addresses(BackendKind.ENGINE)
         self._backend_count = len(watched)
@@ -93,7 +93,7 @@
             self._task_owner.spawn(self._poll_forever(address), f"poll-{address.backend_id}")
 
     async def _poll_forever(self, address: BackendAddress) -> None:
-        # Spreads the first polls over an interval, unless the set is small.
+        # Spreads the first polls over the extra interval of a large set; it is 0 for a small one.
         await self._clock.sleep(self._random.random() * self._max_jitter_seconds())
         while self._is_still_watched(address):
             self._on_changes(await self._poll(address))
--- a/drumbay/node/backend_subset.py
+++ b/drumbay/node/backend_subset.py
@@ -1,7 +1,7 @@
 """Selects the backends that this node watches: its subset of each group, and pinned ones.
 
-Subsets are computed by :mod:`drumbay.routing.subsets`. To bound the cost of polling, large
-groups divide a fixed number of watched backends per node in proportion to their sizes. Small
+Subsets are computed by :mod:`drumbay.routing.subsets`. To bound the cost of polling, a node
+watches a fixed total of backends of all large groups, divided in proportion to their sizes. Small
 groups are watched completely by every node.
 """
 
--- a/drumbay/node/backends.py
+++ b/drumbay/node/backends.py
@@ -60,21 +60,21 @@
         changes = self._directory.apply_configuration(view, self._clock.monotonic())
         self._record_changes(changes)
         self._subset.set_groups(view)
-        self._monitor.watch_all()
+        self._monitor.poll_watched_engines()
 
     def pin(self, owner: str, backend_ids: tuple[BackendId, ...]) -> None:
         """Watch backends that ``owner`` needs; an empty tuple removes the pin."""
         if self._subset.pin(owner, backend_ids):
-            self._monitor.watch_all()
+            self._monitor.poll_watched_engines()
 
     async def _refresh_subset(self) -> None:
         while True:
             await self._clock.sleep(SUBSET_REFRESH_SECONDS)
             if self._subset.refresh():
-                self._monitor.watch_all()
+                self._monitor.poll_watched_engines()
 
     def set_leaving(self, leaving: tuple[BackendId, ...]) -> None:
-        """Mark the backends whose machines the platform is about to remove."""
+        """Replace the set of backends whose machines the platform is about to remove."""
         self._record_changes(self._directory.set_leaving(leaving))
 
     def _record_changes(self, changes: tuple[AvailabilityChange, ...]) -> None:
--- a/drumbay/node/environment.py
+++ b/drumbay/node/environment.py
@@ -31,7 +31,7 @@
         random: Random number generator; seeded in simulations.
         boot_id: Identifier of this process incarnation.
         run_blocking: Runs blocking disk operations off the event loop.
-        refused_frames: Returns the number of rejected frames by code, for the metrics.
+        rejected_frames: Returns the number of rejected frames by code, for the metrics.
     """
 
     clock: Clock
@@ -45,4 +45,4 @@
     random: Random
     boot_id: BootId
     run_blocking: BlockingRunner = run_inline
-    refused_frames: Callable[[], dict[str, int]] = dict
+    rejected_frames: Callable[[], dict[str, int]] = dict
--- a/drumbay/node/node.py
+++ b/drumbay/node/node.py
@@ -59,7 +59,7 @@
 
     @property
     def max_request_seconds(self) -> float:
-        """Return the maximum timeout of any request in flight, by its route."""
+        """Return an upper bound of the timeouts of the requests in flight."""
         return self._requests.max_timeout_seconds
 
     async def drain(self) -> None:
@@ -69,7 +69,8 @@
 
     async def wait_idle(self) -> None:
         """Wait until no request is in flight."""
-        # A non-idempotent request continues after its caller disconnects and leaves the gate.
+        # A non-idempotent request continues after its caller disconnects; the admission gate no
+        # longer counts it then, but the claim service does.
         while self._in_flight_count() > 0:
             await self._clock.sleep(DRAIN_POLL_SECONDS)
 
@@ -78,7 +79,7 @@
         return requests + self._operations.in_flight
 
     async def stop(self) -> None:
-        """Carry out the planned stop: drain, then run :meth:`stop_steps`."""
+        """Stop as planned: drain, then run :meth:`stop_steps`."""
         await self.drain()
         await run_stop_steps(self.stop_steps())
 
@@ -118,7 +119,7 @@
 
     def new_request_id(self) -> RequestId:
         """Return an id for a new request at this node."""
-        return self._identities.next_request_id()
+        return self._request_ids.next_request_id()
 
     def unix_seconds(self) -> int:
         """Return the current time in whole seconds since the Unix epoch."""
--- a/drumbay/node/planned_stop.py
+++ b/drumbay/node/planned_stop.py
@@ -16,7 +16,7 @@
 
 
 class PlannedStop:
-    """Carries out the planned stop of one node; every step has a timeout.
+    """Runs the planned stop of one node; every step has a timeout.
 
     A node keeps listening until nothing is in flight, and at least for the lame-duck period,
     so that new connections get a typed error instead of a reset.
--- a/drumbay/node/process.py
+++ b/drumbay/node/process.py
@@ -66,7 +66,7 @@
         random=Random(secrets.randbits(64)),
         boot_id=boot_id,
         run_blocking=WriterThread("configuration").run,
-        refused_frames=lambda: transport.rejected_frame_counts,
+        rejected_frames=lambda: transport.rejected_frame_counts,
     )
     node = Node(settings, environment)
     ProcessCollector(registry=node.metrics_registry())
--- a/drumbay/node/recorded_requests.py
+++ b/drumbay/node/recorded_requests.py
@@ -65,7 +65,7 @@
 
     @contextmanager
     def _record_outcome(self, request_id: RequestId, route: str) -> Iterator[None]:
-        """Record the outcome of the block; it is cancelled if the caller disconnects."""
+        """Record the outcome of the block; it is ``CANCELLED`` if the caller disconnects."""
         started_at = self._clock.monotonic()
         outcome = CANCELLED
         try:
--- a/drumbay/node/server.py
+++ b/drumbay/node/server.py
@@ -74,7 +74,8 @@
 
     async def close(self) -> None:
         """Close all open connections."""
-        # Lets queued bytes drain: the end of a streamed response counts as written once queued.
+        # Gives queued bytes time to be sent: a streamed response counts as written once its last
+        # bytes are queued.
         await self._clock.sleep(FLUSH_DELAY_SECONDS)
         await self._server.close_all_connections()
 
--- a/drumbay/node/services.py
+++ b/drumbay/node/services.py
@@ -58,7 +58,7 @@
         self._node_id = NodeId(settings.node_id)
         self._tasks = TaskOwner()
         self._metrics = NodeMetrics()
-        self._identities = RequestIdFactory(self._node_id, environment.boot_id)
+        self._request_ids = RequestIdFactory(self._node_id, environment.boot_id)
         self._coordination = CoordinationServices(settings, environment, self._tasks)
         self._directory = BackendDirectory()
         self._decisions = DecisionStore()
@@ -81,7 +81,7 @@
             self._tasks,
             environment.random,
         )
-        self._machines = self._make_machine_watcher()
+        self._machine_watcher = self._make_machine_watcher()
         guarded = GuardedEngineClient(environment.engine_client, self._may_send)
         self._engine_client = ObservedEngineClient(guarded, self._observe_token_version)
         self._requests = self._make_request_services()
@@ -145,7 +145,7 @@
             delivery=self._delivery,
             weights=self._weights,
             in_flight=lambda: self._requests.gate.in_flight,
-            refused_frames=self._environment.refused_frames,
+            rejected_frames=self._environment.rejected_frames,
         )
 
     def _make_machine_watcher(self) -> MachineListWatcher | None:
@@ -206,8 +206,8 @@
 
     async def _may_send(self, backend_id: BackendId) -> bool:
         """Return whether a backend may receive work; refreshes a stale machine list first."""
-        if self._machines is not None:
-            await self._machines.ensure_fresh()
+        if self._machine_watcher is not None:
+            await self._machine_watcher.ensure_fresh()
         return not self._directory.is_leaving(backend_id)
 
     def _observe_token_version(self, model: str, engine: BackendAddress, chunk: TokenChunk) -> None:
@@ -224,8 +224,8 @@
         self._streams.start()
         self._weights.start()
         self._backends.start()
-        if self._machines is not None:
-            self._machines.start()
+        if self._machine_watcher is not None:
+            self._machine_watcher.start()
         self._coordination.configuration.on_change(self._apply_configuration)
         self._coordination.start()
         log_event("node_started", node_id=self._node_id, boot_id=self._environment.boot_id)
--- a/drumbay/node/state_metrics.py
+++ b/drumbay/node/state_metrics.py
@@ -15,7 +15,7 @@
 from drumbay.routing.directory import BackendDirectory
 
 AVAILABLE = "none"
-"""Value of the label ``reason`` for available backends."""
+"""Value of the metric label ``reason`` for available backends."""
 
 
 class NodeStateCollector(Collector):
@@ -28,7 +28,7 @@
         delivery: The streams owned by the node.
         weights: The weight rollouts owned by the node.
         in_flight: Returns the number of requests in flight.
-        refused_frames: Returns the number of rejected frames by code.
+        rejected_frames: Returns the number of rejected frames by code.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         delivery: DeliveryService,
         weights: WeightSupervisor,
         in_flight: Callable[[], int],
-        refused_frames: Callable[[], dict[str, int]],
+        rejected_frames: Callable[[], dict[str, int]],
     ) -> None:
         """Create a collector; register it with the node's registry."""
         self._clock = clock
@@ -49,7 +49,7 @@
         self._delivery = delivery
         self._weights = weights
         self._in_flight = in_flight
-        self._refused_frames = refused_frames
+        self._rejected_frames = rejected_frames
 
     def describe(self) -> tuple[Metric, ...]:
         """Return nothing, so that registration does not collect metrics."""
@@ -63,7 +63,7 @@
         yield self._backend_metric()
         yield from self._stream_metrics()
         yield from self._weight_rollout_metrics()
-        yield self._frame_metric()
+        yield self._rejected_frame_metric()
 
     def _configuration_metrics(self) -> Iterator[Metric]:
         readiness = self._coordination.configuration.readiness()
@@ -140,11 +140,11 @@
             loading.add_metric((rollout.model,), rollout.loading_engines)
         yield from (target, done, loading)
 
-    def _frame_metric(self) -> Metric:
+    def _rejected_frame_metric(self) -> Metric:
         family = CounterMetricFamily(
             "drumbay_frames_refused", "Frames of other nodes refused, by code.", labels=("code",)
         )
-        for code, count in sorted(self._refused_frames().items()):
+        for code, count in sorted(self._rejected_frames().items()):
             family.add_metric((code,), count)
         return family
 
--- a/drumbay/node/streams.py
+++ b/drumbay/node/streams.py
@@ -38,7 +38,7 @@
 ReplyT = TypeVar("ReplyT", bound=Message)
 
 
-class StreamWorker(Protocol):
+class SampleGenerator(Protocol):
     """Generates the samples of the streams that this node owns."""
 
     def start_stream(self, stream: StreamName, fence: Fence) -> None:
@@ -77,7 +77,7 @@
         node_id: NodeId,
         ownership: OwnershipManager,
         delivery: DeliveryService,
-        worker: StreamWorker,
+        worker: SampleGenerator,
         address_of: Callable[[NodeId], Address | None],
         task_owner: TaskOwner,
         metrics: NodeMetrics | None = None,
@@ -89,7 +89,7 @@
         self._node_id = node_id
         self._ownership = ownership
         self._delivery = delivery
-        self._worker = worker
+        self._sample_generator = worker
         self._address_of = address_of
         self._task_owner = task_owner
         self._streams: frozenset[StreamName] = frozenset()
@@ -120,7 +120,7 @@
             if stream not in self._delivery.owned_streams:
                 self._task_owner.spawn(self._take_over(stream, change.fence), f"take-over-{stream}")
         elif change.standing is Standing.NOT_HELD:
-            self._worker.stop_stream(stream)
+            self._sample_generator.stop_stream(stream)
             self._delivery.release(stream)
 
     async def _take_over(self, stream: StreamName, fence: Fence) -> None:
@@ -142,7 +142,7 @@
                 )
                 await self._clock.sleep(TAKE_OVER_RETRY_SECONDS)
                 continue
-            self._worker.start_stream(stream, fence)
+            self._sample_generator.start_stream(stream, fence)
             return
 
     async def _report_deposed(self, stream: StreamName, fence: Fence | None) -> None:
@@ -153,7 +153,7 @@
         await self._ownership.report_stale_fence(OWNERSHIP_PREFIX + stream, fence)
 
     async def _run_as_owner(self, stream: StreamName, operation: Awaitable[ResultT]) -> ResultT:
-        """Run an operation as owner; gives up the lease if a newer owner exists.
+        """Run an operation as owner; give up the lease if a newer owner exists.
 
         Raises:
             OwnerDeposedError: A newer owner exists.
@@ -236,7 +236,7 @@
         return StreamAcknowledgement(owner=self._node_id)
 
     async def _handle_pull(self, request: PullRequest) -> PullReply:
-        self._worker.observe_oldest_accepted(request.stream, request.oldest_version)
+        self._sample_generator.observe_oldest_accepted(request.stream, request.oldest_version)
         try:
             operation = self._delivery.pull(
                 request.stream,
--- a/drumbay/node/weights.py
+++ b/drumbay/node/weights.py
@@ -1,4 +1,4 @@
-"""Weight rollouts on one node: ownership per model, published versions, decisions."""
+"""Weight rollouts on one node: ownership per model and announcements of published versions."""
 
 from collections.abc import Callable
 
--- a/tests/test_backend_subset.py
+++ b/tests/test_backend_subset.py
@@ -140,7 +140,7 @@
             monitor = BackendMonitor(
                 clock, client, directory, lambda changes: None, tasks, Random(1)
             )
-            monitor.watch_all()
+            monitor.poll_watched_engines()
             await clock.sleep(seconds)
             await tasks.close()
 
--- a/tests/test_stream_ownership.py
+++ b/tests/test_stream_ownership.py
@@ -40,7 +40,7 @@
     async def pull(self) -> Message:
         return await self.make_service().pull(PULL)
 
-    async def test_superseded_owner_reports_its_lease(self) -> None:
+    async def test_deposed_owner_reports_its_lease(self) -> None:
         with self.assertRaises(OwnerDeposedError):
             await self.pull()
         self.ownership.report_stale_fence.assert_awaited_once_with(OWNERSHIP_PREFIX + STREAM, FENCE)
