--- a/drumbay/api/__init__.py
+++ b/drumbay/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface of a node: records on the wire and the handlers that serve them."""
+"""The HTTP interface of a node: typed request and response bodies, and handlers."""
--- a/drumbay/api/applications.py
+++ b/drumbay/api/applications.py
@@ -1,4 +1,4 @@
-"""Application requests under ``/app/``."""
+"""Handler for application requests under ``/app/``."""
 
 from typing import ClassVar
 
--- a/drumbay/api/base.py
+++ b/drumbay/api/base.py
@@ -1,4 +1,4 @@
-"""Base class of the HTTP handlers: typed bodies, typed errors, bearer tokens."""
+"""Base class of the HTTP handlers: JSON bodies, typed errors and bearer tokens."""
 
 import asyncio
 import hashlib
@@ -88,8 +88,8 @@
     def compute_etag(self) -> str | None:
         """Return no entity tag.
 
-        The default would hash every response, and answer 304 for applications that do not use
-        entity tags.
+        Tornado's default would hash every response and could replace an application's response
+        by 304 (Not Modified).
         """
         return None
 
@@ -171,7 +171,7 @@
         self.finish(msgspec.json.encode(record))
 
     def error_detail(self, error: BaseException) -> ErrorDetail:
-        """Return an exception as callers see it."""
+        """Convert an exception to the error that callers receive."""
         if isinstance(error, RequestFailedError):
             return ErrorDetail(
                 code=error.code,
@@ -236,7 +236,7 @@
 
 
 def _http_error_detail(error: HTTPError) -> ErrorDetail:
-    """Return the error that Tornado raised before the handler ran."""
+    """Convert an error that Tornado raised before the handler ran."""
     is_method_not_allowed = error.status_code == METHOD_NOT_ALLOWED_STATUS
     return ErrorDetail(
         code="method_not_allowed" if is_method_not_allowed else InvalidRequestError.code,
--- a/drumbay/api/diagnostics.py
+++ b/drumbay/api/diagnostics.py
@@ -1,4 +1,4 @@
-"""Explanations, status, health and metrics."""
+"""Handlers for explanations, status, health and metrics."""
 
 from typing import ClassVar
 
@@ -48,7 +48,7 @@
     """``GET /healthz``: liveness of the process."""
 
     def get(self) -> None:
-        """Return 200; the event loop is running."""
+        """Return 200, which shows that the event loop is running."""
         self.finish("ok\n")
 
 
--- a/drumbay/api/rollouts.py
+++ b/drumbay/api/rollouts.py
@@ -43,7 +43,7 @@
     allowed_roles: ClassVar[tuple[Role, ...]] = (Role.TRAINER, Role.OPERATOR)
 
     async def post(self, stream: str) -> None:
-        """Record a trainer's checkpoint, after which older batches may be deleted."""
+        """Record the next cursor in a trainer's checkpoint; older batches may then be deleted."""
         body = self.decode_body(CheckpointBody)
         await self.node.record_checkpoint(StreamName(stream), Cursor(body.cursor))
         self.set_status(204)
--- a/drumbay/api/schema.py
+++ b/drumbay/api/schema.py
@@ -18,7 +18,7 @@
 
 
 class ApiRecord(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of request bodies: an unknown field is refused."""
+    """Base of request bodies; unknown fields are rejected."""
 
 
 class ErrorDetail(msgspec.Struct, frozen=True, kw_only=True):
@@ -115,14 +115,14 @@
     """One server-sent event of a streamed completion: OpenAI's fields, then drumbay's own.
 
     Attributes:
-        id: Identity of the request.
+        id: Request id.
         object: ``text_completion`` or ``chat.completion.chunk``.
         created: Seconds since the Unix epoch.
         model: The model.
-        choices: The one choice, with the new text.
+        choices: A single choice, with the new text.
         attempt_id: The attempt that produced the tokens.
-        boot_id: Run of the engine that produced them.
-        weight_version: Version that produced them.
+        boot_id: Boot id of the engine that produced them.
+        weight_version: Weight version that produced them.
         first_index: Index of the first token in the whole completion.
         token_ids: The tokens.
     """
