--- a/drumbay/acceptance/__init__.py
+++ b/drumbay/acceptance/__init__.py
@@ -1,1 +1,1 @@
-"""An acceptance run: drives a deployment of emulators and checks it against their logs."""
+"""An acceptance run: drives a deployment and compares results with the emulators' logs."""
--- a/drumbay/acceptance/records.py
+++ b/drumbay/acceptance/records.py
@@ -73,13 +73,13 @@
 
     Attributes:
         key: Idempotency key.
-        answers: Bodies of the successful responses.
+        response_bodies: Bodies of the successful responses.
         not_run: Number of attempts rejected as not run.
         may_have_run: Number of attempts with an unknown outcome.
     """
 
     key: str
-    answers: tuple[bytes, ...]
+    response_bodies: tuple[bytes, ...]
     not_run: int
     may_have_run: int
 
@@ -94,8 +94,14 @@
 
 
 class Mismatch(msgspec.Struct, frozen=True, kw_only=True):
-    """One violation of a promise, according to the emulators' execution logs."""
+    """One violation of a guarantee, according to the emulators' execution logs.
 
-    promise: str
+    Attributes:
+        guarantee: Name of the violated guarantee.
+        subject: Request, sample, idempotency key or stream concerned.
+        detail: What was observed.
+    """
+
+    guarantee: str
     subject: str
     detail: str
--- a/drumbay/acceptance/verification.py
+++ b/drumbay/acceptance/verification.py
@@ -95,13 +95,13 @@
         runs = by_key.get(result.key, [])
         if len(runs) > 1:
             yield _mismatch("at_most_once", result.key, f"ran {len(runs)} times")
-        if not runs and result.answers:
+        if not runs and result.response_bodies:
             yield _mismatch("whole_answers", result.key, "answered without a run")
         digests = {run.answer_digest for run in runs}
-        for answer in result.answers:
-            if answer_digest(answer) not in digests:
+        for body in result.response_bodies:
+            if answer_digest(body) not in digests:
                 yield _mismatch("whole_answers", result.key, "an answer nobody gave")
-        is_reported_not_run = not result.answers and result.may_have_run == 0
+        is_reported_not_run = not result.response_bodies and result.may_have_run == 0
         if runs and is_reported_not_run:
             yield _mismatch("refused_not_run", result.key, "refused as not run, and it ran")
 
@@ -206,5 +206,5 @@
         )
 
 
-def _mismatch(promise: str, subject: str, detail: str) -> Mismatch:
-    return Mismatch(promise=promise, subject=subject, detail=detail)
+def _mismatch(guarantee: str, subject: str, detail: str) -> Mismatch:
+    return Mismatch(guarantee=guarantee, subject=subject, detail=detail)
--- a/drumbay/acceptance/workload.py
+++ b/drumbay/acceptance/workload.py
@@ -160,12 +160,12 @@
                     Rejection(node=node, request_id=request_id, code=code, detail=detail.detail)
                 )
                 continue
-            answer = msgspec.json.decode(response.body, type=CompletionAnswer)
+            completion = msgspec.json.decode(response.body, type=CompletionAnswer)
             return LiveResult(
-                request_id=answer.id,
-                token_ids=answer.token_ids,
-                spans=answer.spans,
-                finish_reason=answer.finish_reason,
+                request_id=completion.id,
+                token_ids=completion.token_ids,
+                spans=completion.spans,
+                finish_reason=completion.finish_reason,
                 rejections=tuple(rejections),
             )
 
@@ -176,12 +176,12 @@
         attempts = (self._send_booking_attempt(key, number) for _ in range(CONCURRENT_ATTEMPTS))
         results = await asyncio.gather(*attempts)
         results.append(await self._send_booking_attempt(key, number))
-        answers = tuple(result for result in results if isinstance(result, bytes))
+        response_bodies = tuple(result for result in results if isinstance(result, bytes))
         executions = [result for result in results if isinstance(result, Execution)]
         self._bookings.append(
             BookingResult(
                 key=key,
-                answers=answers,
+                response_bodies=response_bodies,
                 not_run=executions.count(Execution.NOT_RUN),
                 may_have_run=executions.count(Execution.MAY_HAVE_RUN),
             )
--- a/drumbay/cli/acceptance.py
+++ b/drumbay/cli/acceptance.py
@@ -1,4 +1,4 @@
-"""``drumbay acceptance``: run a workload on a deployment of emulators and verify it."""
+"""``drumbay acceptance``: run a workload on a deployment with emulated backends and verify it."""
 
 import asyncio
 from typing import Annotated
@@ -64,7 +64,7 @@
 ) -> None:
     answered = sum(1 for live in result.live if not live.failure)
     rejected = sum(1 for live in result.live if live.rejections and not live.failure)
-    replayed = sum(max(0, len(booking.answers) - 1) for booking in result.bookings)
+    replayed = sum(max(0, len(booking.response_bodies) - 1) for booking in result.bookings)
     versions = sorted({version for entry in logs.consumed for version in entry.weight_versions})
     lines = [
         f"stream {plan.stream}: {plan.steps} steps, {len(logs.consumed)} samples consumed, "
@@ -77,7 +77,7 @@
         f"disagreements with the execution logs: {len(mismatches)}",
     ]
     lines += [
-        f"  {mismatch.promise} {mismatch.subject}: {mismatch.detail}" for mismatch in mismatches
+        f"  {mismatch.guarantee} {mismatch.subject}: {mismatch.detail}" for mismatch in mismatches
     ]
     example = _example_request_id(result, len(plan.nodes))
     if example is not None:
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -96,37 +96,39 @@
         self.assertEqual(caller.sent[failing_node], 1)
         return result
 
-    def broken_promises(self, live: LiveResult, *generations: GenerationEnded) -> list[str]:
+    def violated_guarantees(self, live: LiveResult, *generations: GenerationEnded) -> list[str]:
         result = AcceptanceResult(live=(live,), bookings=(), lookups_answered=0, lookups_failed=0)
         logs = DeploymentLogs(list(generations), [], [])
-        return [mismatch.promise for mismatch in verify(PLAN, result, logs)]
+        return [mismatch.guarantee for mismatch in verify(PLAN, result, logs)]
 
     async def test_rejection_by_the_stopping_node_is_retried_at_the_next_node(self) -> None:
         live = await self.send(REJECTED)
         self.assertEqual((live.request_id, live.failure), ("r-2", ""))
-        self.assertEqual(self.broken_promises(live), [])
+        self.assertEqual(self.violated_guarantees(live), [])
 
     async def test_rejected_request_that_ran_is_a_mismatch(self) -> None:
         live = await self.send(REJECTED)
-        self.assertEqual(self.broken_promises(live, make_generation("r-1")), ["refused_not_run"])
+        self.assertEqual(
+            self.violated_guarantees(live, make_generation("r-1")), ["refused_not_run"]
+        )
 
     async def test_interrupted_request_is_not_retried(self) -> None:
         live = await self.send(INTERRUPTED)
         self.assertEqual(live.failure, "backend_failed")
-        self.assertEqual(self.broken_promises(live), ["planned_stop"])
+        self.assertEqual(self.violated_guarantees(live), ["planned_stop"])
 
     async def test_rejections_by_other_nodes_or_with_other_codes_are_mismatches(self) -> None:
         overloaded = msgspec.structs.replace(REJECTED, code="overloaded")
-        self.assertEqual(self.broken_promises(await self.send(overloaded)), ["planned_stop"])
+        self.assertEqual(self.violated_guarantees(await self.send(overloaded)), ["planned_stop"])
         elsewhere = Rejection(node=RUNNING_NODE, request_id="r-1", code=REJECTED.code, detail="")
         self.assertEqual(
-            self.broken_promises(LiveResult(request_id="r-2", rejections=(elsewhere,))),
+            self.violated_guarantees(LiveResult(request_id="r-2", rejections=(elsewhere,))),
             ["planned_stop"],
         )
 
     async def test_request_that_every_node_rejects_has_failed(self) -> None:
         rejected_twice = LiveResult(request_id="r-1", failure="not_ready")
-        self.assertEqual(self.broken_promises(rejected_twice), ["planned_stop"])
+        self.assertEqual(self.violated_guarantees(rejected_twice), ["planned_stop"])
 
 
 if __name__ == "__main__":
