--- a/drumbay/cli/explain_logs.py
+++ b/drumbay/cli/explain_logs.py
@@ -25,7 +25,7 @@
     if explanation is None:
         typer.echo(f"no line names {subject_id}")
         raise typer.Exit(ExitCode.FAILED)
-    typer.echo(explanation.cause)
+    typer.echo(explanation.summary)
     for line in explanation.lines:
         typer.echo(_format_line(line, subject_id))
 
--- a/drumbay/explain/log_explanation.py
+++ b/drumbay/explain/log_explanation.py
@@ -16,9 +16,9 @@
 
 
 class LogExplanation(msgspec.Struct, frozen=True, kw_only=True):
-    """A summary of what happened, and the relevant log lines in order of time."""
+    """A summary of what happened, and the relevant log lines in chronological order."""
 
-    cause: str
+    summary: str
     lines: tuple[LogLine, ...]
 
 
@@ -32,42 +32,43 @@
         return None
     if any(line.get("item") == subject_id for line in subject_lines):
         return LogExplanation(
-            cause=_describe_item(subject_lines),
+            summary=_describe_item(subject_lines),
             lines=_add_reward_requests(subject_lines, all_lines),
         )
     if any(line.get("batch") == subject_id for line in subject_lines):
         return _explain_batch(subject_lines)
     return LogExplanation(
-        cause=_describe_request(subject_lines, all_lines), lines=tuple(subject_lines)
+        summary=_describe_request(subject_lines, all_lines), lines=tuple(subject_lines)
     )
 
 
 def _describe_request(subject_lines: Sequence[LogLine], all_lines: Sequence[LogLine]) -> str:
-    end = subject_lines[-1]
-    match end.event:
+    last = subject_lines[-1]
+    match last.event:
         case "request_served":
             return (
-                f"answered {end.get('status')} after {end.get('elapsed_seconds')} s,"
-                f" sent to {end.get('sent')} worker(s): {end.get('workers')}"
+                f"answered {last.get('status')} after {last.get('elapsed_seconds')} s,"
+                f" sent to {last.get('sent')} worker(s): {last.get('workers')}"
             )
         case "request_without_route":
             return (
-                f"no route for {end.get('host')}{end.get('path')} in configuration"
-                f" {end.get('configuration')} at {end.process}"
+                f"no route for {last.get('host')}{last.get('path')} in configuration"
+                f" {last.get('configuration')} at {last.process}"
             )
-        case "request_not_served" if end.get("error") == "held_back":
-            return f"held back: {_describe_worker_ends(end, all_lines)}"
+        case "request_not_served" if last.get("error") == "held_back":
+            return f"held back: {_describe_worker_ends(last, all_lines)}"
         case "request_not_served":
             return (
-                f"{end.get('error')} ({end.get('execution')}): {_describe_failure(end, all_lines)}"
+                f"{last.get('error')} ({last.get('execution')}):"
+                f" {_describe_failure(last, all_lines)}"
             )
         case _:
-            return f"the last that is known of it is {end.event}"
+            return f"the last that is known of it is {last.event}"
 
 
-def _describe_worker_ends(end: LogLine, all_lines: Sequence[LogLine]) -> str:
+def _describe_worker_ends(last: LogLine, all_lines: Sequence[LogLine]) -> str:
     """List the workers that ended while running any attempt of the same request."""
-    fingerprint = end.get("fingerprint")
+    fingerprint = last.get("fingerprint")
     ended = [
         f"{line.get('worker')} under {line.get('request')} at {line.process}"
         for line in all_lines
@@ -76,24 +77,24 @@
     return f"workers ended under it: {'; '.join(ended) or 'not in these logs'}"
 
 
-def _describe_failure(end: LogLine, all_lines: Sequence[LogLine]) -> str:
-    sent = int(end.get_number("sent"))
-    refusals = int(end.get_number("refusals"))
+def _describe_failure(last: LogLine, all_lines: Sequence[LogLine]) -> str:
+    sent = int(last.get_number("sent"))
+    refusals = int(last.get_number("refusals"))
     if not sent:
-        return f"no worker of {end.get('service')} could be used"
+        return f"no worker of {last.get('service')} could be used"
     if sent == refusals:
         return f"each of the {sent} sends was refused: full, loading or unreachable"
-    workers = set(end.get("workers").split(","))
+    workers = set(last.get("workers").split(","))
     related_failures = sum(
         1
         for line in all_lines
         if line.event == "request_not_served"
-        and line is not end
-        and abs(line.at - end.at) < RELATED_FAILURE_SECONDS
+        and line is not last
+        and abs(line.at - last.at) < RELATED_FAILURE_SECONDS
         and workers & set(line.get("workers").split(","))
     )
     return (
-        f"no whole answer within {end.get('elapsed_seconds')} s from {end.get('workers')};"
+        f"no whole answer within {last.get('elapsed_seconds')} s from {last.get('workers')};"
         f" {related_failures} other request(s) failed at the same workers"
         f" within {RELATED_FAILURE_SECONDS:g} s"
     )
@@ -140,7 +141,7 @@
 def _add_reward_requests(
     subject_lines: Sequence[LogLine], all_lines: Sequence[LogLine]
 ) -> tuple[LogLine, ...]:
-    """Return an item's lines and those of its reward requests, in order of time."""
+    """Return an item's lines and those of its reward requests, in chronological order."""
     requests = {line.get("request") for line in subject_lines if line.event == "reward_requested"}
     reward_lines = [
         line for line in all_lines if line.get("request") in requests and line not in subject_lines
@@ -172,7 +173,7 @@
     for _, lines in slowest:
         shown_lines.extend(lines)
     shown_lines.sort(key=lambda line: line.at)
-    return LogExplanation(cause="; ".join(parts), lines=tuple(shown_lines))
+    return LogExplanation(summary="; ".join(parts), lines=tuple(shown_lines))
 
 
 def _describe_milestones(subject_lines: Sequence[LogLine], accepted: LogLine) -> str:
@@ -187,7 +188,7 @@
 
 
 def _slowest_items(subject_lines: Sequence[LogLine]) -> list[tuple[str, list[LogLine]]]:
-    """Return the items with the latest log lines, and their lines."""
+    """Return the items whose last log line is latest, each with its lines."""
     by_item: dict[str, list[LogLine]] = {}
     for line in subject_lines:
         if line.get("item"):
--- a/drumbay/explain/recorder.py
+++ b/drumbay/explain/recorder.py
@@ -1,4 +1,4 @@
-"""Creates decision records with node, time and configuration revision."""
+"""Creates decision records, with the node, time and configuration revision of each decision."""
 
 from collections.abc import Callable
 
--- a/drumbay/explain/step_timing.py
+++ b/drumbay/explain/step_timing.py
@@ -1,7 +1,7 @@
 """Time breakdown of each training step, from log lines.
 
-A step is complete once as many groups are finished as its trainer waits for. The breakdown is that
-of the item that completes it: until its first run, complete text, score, and listed result.
+A step is complete once as many groups are finished as its trainer waits for. The breakdown covers
+the item that completes the step: its first run, complete text, score and listed result.
 """
 
 from collections.abc import Iterable, Sequence
--- a/drumbay/explain/store.py
+++ b/drumbay/explain/store.py
@@ -1,6 +1,6 @@
 """Bounded in-memory store of a node's own decision records.
 
-Records are kept encoded and compressed, which saves memory and garbage collection time.
+Records are stored encoded and compressed, which saves memory and garbage collection time.
 """
 
 import zlib
--- a/tests/test_explain_logs.py
+++ b/tests/test_explain_logs.py
@@ -101,38 +101,40 @@
         parsed = [parse_line(line, process) for line in text.splitlines()]
         return [line for line in parsed if line is not None]
 
-    def cause(self, subject_id: str) -> str:
+    def summary(self, subject_id: str) -> str:
         lines = self.lines(LOOKUPS) + self.lines(BATCH) + self.lines(OTHER_NODE, "n2")
         explanation = explain_from_logs(subject_id, lines)
         assert explanation is not None
-        return explanation.cause
+        return explanation.summary
 
     def test_requests(self) -> None:
-        self.assertEqual(self.cause("r1"), "answered 200 after 0.09 s, sent to 2 worker(s): w1,w2")
-        self.assertIn("no whole answer within 1.5 s from w1; 2 other", self.cause("r2"))
-        self.assertIn("each of the 3 sends was refused", self.cause("r4"))
-        self.assertIn("no_worker (not_run): no worker of s could be used", self.cause("r5"))
-        self.assertIn("no route for h/x in configuration 7 at n1", self.cause("r6"))
+        self.assertEqual(
+            self.summary("r1"), "answered 200 after 0.09 s, sent to 2 worker(s): w1,w2"
+        )
+        self.assertIn("no whole answer within 1.5 s from w1; 2 other", self.summary("r2"))
+        self.assertIn("each of the 3 sends was refused", self.summary("r4"))
+        self.assertIn("no_worker (not_run): no worker of s could be used", self.summary("r5"))
+        self.assertIn("no route for h/x in configuration 7 at n1", self.summary("r6"))
 
     def test_batch_job(self) -> None:
-        cause = self.cause("b1")
-        self.assertIn("listed whole after 5.10 s", cause)
-        self.assertIn("1 x batch_append_failed", cause)
-        self.assertIn("taken over from n1:1 by n2 after 3.00 s with 1 listed and 1 saved", cause)
+        summary = self.summary("b1")
+        self.assertIn("listed whole after 5.10 s", summary)
+        self.assertIn("1 x batch_append_failed", summary)
+        self.assertIn("taken over from n1:1 by n2 after 3.00 s with 1 listed and 1 saved", summary)
         self.assertIn(
             "item i2 done after 4.10 s in 2 run(s) on 2 worker(s); interrupted: 1 x broken,"
             " started 0.90 s late",
-            cause,
+            summary,
         )
 
     def test_item(self) -> None:
-        self.assertEqual(self.cause("i1"), "done after 0.99 s in 1 run(s) on 1 worker(s)")
+        self.assertEqual(self.summary("i1"), "done after 0.99 s in 1 run(s) on 1 worker(s)")
 
     def test_item_without_score(self) -> None:
         explanation = explain_from_logs("i3", self.lines(LOOKUPS) + self.lines(REWARD))
         assert explanation is not None
         self.assertEqual(
-            explanation.cause,
+            explanation.summary,
             "unfinished after 2.10 s in 1 run(s) on 1 worker(s); text whole after 1.00 s,"
             " 2 request(s) for its score, without one: 1 x not_served",
         )
@@ -163,7 +165,7 @@
     unittest.main()
 
 
-class HeldBackTest(unittest.TestCase):
+class HeldBackRequestTest(unittest.TestCase):
     def test_workers_that_ended_under_other_attempts_are_listed(self) -> None:
         text = f"""\
 time={DAY}01.000+00:00 level=warning event=worker_ended_under_request request=t1 fingerprint=f1 \
@@ -177,5 +179,5 @@
         explanation = explain_from_logs("t2", [line for line in lines if line is not None])
         assert explanation is not None
         self.assertEqual(
-            explanation.cause, "held back: workers ended under it: w1 under t1 at node-1"
+            explanation.summary, "held back: workers ended under it: w1 under t1 at node-1"
         )
