--- a/drumbay/cli/bench.py
+++ b/drumbay/cli/bench.py
@@ -1,4 +1,4 @@
-"""``drumbay bench``: benchmarks of this program."""
+"""``drumbay bench``: benchmarks of drumbay."""
 
 import sys
 from typing import Annotated
--- a/drumbay/cli/bench_sharing.py
+++ b/drumbay/cli/bench_sharing.py
@@ -1,4 +1,4 @@
-"""``drumbay bench sharing``: engines shared by live traffic and a trainer, in virtual time."""
+"""``drumbay bench sharing``: live traffic and a trainer on shared engines, in virtual time."""
 
 from typing import Annotated
 
--- a/drumbay/cli/client.py
+++ b/drumbay/cli/client.py
@@ -26,7 +26,7 @@
 REQUEST_TIMEOUT_SECONDS = 30.0
 
 NOT_SENT_ERRORS: tuple[type[OSError], ...] = (ConnectionRefusedError, socket.gaierror, ssl.SSLError)
-"""Errors that occur before any byte is sent; others may occur after the whole request."""
+"""Errors that occur before any byte is sent; others may occur after the request was sent."""
 
 RecordT = TypeVar("RecordT")
 
--- a/drumbay/cli/errors.py
+++ b/drumbay/cli/errors.py
@@ -53,12 +53,12 @@
 
 
 class OutcomeUnknownError(DrumbayError):
-    """A change was sent but not answered, so it may have been applied."""
+    """A change was sent but got no response, so it may have been applied."""
 
     code = "outcome_unknown"
 
     def __init__(self, operation_id: str, detail: str) -> None:
-        """Include the operation id with which the outcome can be queried."""
+        """Add the command that queries the outcome to the message."""
         super().__init__(f"{detail}; ask with: drumbay operation {operation_id}")
         self.operation_id = operation_id
 
--- a/drumbay/cli/operators.py
+++ b/drumbay/cli/operators.py
@@ -1,4 +1,4 @@
-"""Operator commands: apply, get, describe, delete, operation, status."""
+"""Operator commands: apply, get, describe, delete, operation and status."""
 
 import secrets
 from pathlib import Path
@@ -69,7 +69,7 @@
                 outcome = client.apply(body)
                 changes.append(Change(kind=kind, name=resource.name, outcome=outcome))
         finally:
-            # After an error, the changes before it have been applied.
+            # Also after an error: the changes before it have been applied.
             _print_changes(changes, output)
         _exit_if_unknown(changes)
 
@@ -190,11 +190,11 @@
         type(resource).__name__,
         resource.name,
         str(item.mod_revision),
-        _summary(item),
+        _summarize(item),
     )
 
 
-def _summary(item: ResourceBody) -> str:
+def _summarize(item: ResourceBody) -> str:
     resource = item.resource
     backends = getattr(resource, "backends", None)
     if backends is not None:
--- a/drumbay/cli/output.py
+++ b/drumbay/cli/output.py
@@ -34,7 +34,7 @@
 
 
 def print_record(record: object, output: OutputFormat) -> None:
-    """Print a typed record as JSON or YAML."""
+    """Print a record as JSON or YAML."""
     if output is OutputFormat.YAML:
         typer.echo(msgspec.yaml.encode(record).decode(), nl=False)
         return
--- a/drumbay/cli/schema.py
+++ b/drumbay/cli/schema.py
@@ -66,7 +66,7 @@
     OUTPUT = "output"
 
 
-_TYPES: dict[SchemaSubject, tuple[type[msgspec.Struct], ...]] = {
+_TYPES_BY_SUBJECT: dict[SchemaSubject, tuple[type[msgspec.Struct], ...]] = {
     SchemaSubject.RESOURCES: RESOURCE_TYPES,
     SchemaSubject.SETTINGS: (NodeSettings,),
     SchemaSubject.HTTP: HTTP_TYPES,
@@ -93,7 +93,7 @@
 def schema_of(subject: SchemaSubject) -> dict[str, Any]:
     """Return one schema document that accepts any of the subject's records."""
     references, definitions = msgspec.json.schema_components(
-        _TYPES[subject], ref_template=REFERENCE_TEMPLATE
+        _TYPES_BY_SUBJECT[subject], ref_template=REFERENCE_TEMPLATE
     )
     return {
         "$schema": SCHEMA_DIALECT,
