--- a/drumbay/clock.py
+++ b/drumbay/clock.py
@@ -28,8 +28,8 @@
 class BootTimeEventLoop(asyncio.SelectorEventLoop):
     """An event loop whose timers include the time in suspension.
 
-    The kernel's wait does not include it, so a timer that expired during suspension runs with the
-    first other timer or event after it; a node has a timer every quarter of a second.
+    The kernel's wait does not count that time. A timer that expired during suspension therefore
+    runs only when the next event or other timer wakes the loop; nodes have frequent timers.
     """
 
     def time(self) -> float:
--- a/drumbay/identifiers.py
+++ b/drumbay/identifiers.py
@@ -39,7 +39,7 @@
 """Revision of the key-value service; it increases with every change."""
 
 Epoch = NewType("Epoch", int)
-"""Number of a replica set configuration; it only increases."""
+"""Number of a replica set configuration; it increases with every change."""
 
 Cursor = NewType("Cursor", int)
 """Position of a batch in a sample stream, from 0."""
--- a/drumbay/settings.py
+++ b/drumbay/settings.py
@@ -242,7 +242,7 @@
 
 
 def _resolve_file_paths(file: Path, settings: NodeSettings) -> NodeSettings:
-    """Resolve the paths of certificate files relative to the settings file.
+    """Return the settings with certificate paths resolved relative to the settings file.
 
     Raises:
         SettingsError: One of them cannot be read.
