--- a/drumbay/report/command.py
+++ b/drumbay/report/command.py
@@ -31,7 +31,7 @@
     """Write the page.
 
     Raises:
-        ReportInputError: A file holds no report, or the page cannot be written.
+        ReportInputError: A file is not a report, or the page cannot be written.
         NothingToCompareError: The requested sides have no runs to compare.
     """
     first_label, second_label = _labels(options)
--- a/drumbay/report/comparison.py
+++ b/drumbay/report/comparison.py
@@ -1,4 +1,4 @@
-"""Compares runs in pairs of equal series and seed."""
+"""Compares pairs of runs that have the same series and seed."""
 
 import math
 from collections.abc import Iterable
@@ -54,7 +54,7 @@
 
 
 def direction_of(figure: str) -> Direction:
-    """Return which values of a figure are better, judged by its name."""
+    """Return which values of a figure are better, according to its name."""
     # Lower-is-better words take precedence, as in "refused_requests_per_second".
     if any(part in figure for part in _LOWER_IS_BETTER):
         return Direction.LOWER
@@ -142,7 +142,7 @@
 
 
 def compare_with_baseline(file: RunFile, baseline: str) -> tuple[Comparison, ...]:
-    """Compare each variant of a report with the variant of the same parent named ``baseline``.
+    """Compare each variant of a report with the variant ``baseline`` of the same parent series.
 
     Raises:
         NothingToCompareError: There is no such variant.
--- a/drumbay/report/page.py
+++ b/drumbay/report/page.py
@@ -93,7 +93,7 @@
 
 
 def _series_plots(file: RunFile) -> list[str]:
-    """Plot the figures that have a better direction and differ between runs."""
+    """Plot the figures that differ between runs and whose better direction is known."""
     plots = []
     for name in _figure_names(file.runs):
         values = {run.values[name] for run in file.runs if name in run.values}
--- a/drumbay/report/plots.py
+++ b/drumbay/report/plots.py
@@ -1,4 +1,7 @@
-"""Plots of a report as SVG text; needs matplotlib."""
+"""Plots of a report as SVG text; needs matplotlib.
+
+A figure is a number of a run, as in :mod:`drumbay.report.runs`; ``mpl_figure`` is matplotlib's.
+"""
 
 import io
 from collections.abc import Sequence
@@ -39,7 +42,7 @@
     """Return a scatter plot of pairs; unchanged pairs are on the diagonal."""
     with mpl.rc_context(_STYLE):
         title = f"{comparison.figure}\n{comparison.series}"
-        figure, axes = _new_axes(title, PAIRS_HEIGHT_INCHES)
+        mpl_figure, axes = _new_axes(title, PAIRS_HEIGHT_INCHES)
         values = [value for pair in comparison.pairs for value in (pair.first, pair.second)]
         low, high = _limits(values)
         axes.plot((low, high), (low, high), color="#999999", linewidth=1, zorder=1)
@@ -58,7 +61,7 @@
         axes.yaxis.set_major_formatter(FuncFormatter(_format_tick))
         axes.set_xlabel(first)
         axes.set_ylabel(second)
-        return _to_svg(figure)
+        return _to_svg(mpl_figure)
 
 
 def plot_series(figure_name: str, series: Sequence[str], runs: Sequence[Run]) -> str:
@@ -66,7 +69,7 @@
     with mpl.rc_context(_STYLE):
         height = SERIES_HEIGHT_INCHES + ROW_HEIGHT_INCHES * len(series)
         width = WIDTH_INCHES + LABEL_INCHES_PER_CHARACTER * max(map(len, series))
-        figure, axes = _new_axes(figure_name, height, width)
+        mpl_figure, axes = _new_axes(figure_name, height, width)
         max_value = 0.0
         for row, name in enumerate(series):
             values = sorted(
@@ -85,20 +88,20 @@
         axes.set_yticks(range(len(series)), series)
         axes.set_ylim(len(series) - 0.5, -0.5)
         axes.set_xlim(min(0.0, axes.get_xlim()[0]), max_value * (1 + MARGIN_FRACTION) or 1.0)
-        return _to_svg(figure)
+        return _to_svg(mpl_figure)
 
 
 def _new_axes(
     title: str, height_inches: float, width_inches: float = WIDTH_INCHES
 ) -> tuple[Figure, Axes]:
-    figure = Figure(figsize=(width_inches, height_inches), layout="constrained")
-    axes = figure.add_subplot()
+    mpl_figure = Figure(figsize=(width_inches, height_inches), layout="constrained")
+    axes = mpl_figure.add_subplot()
     axes.set_title(title, fontsize=9, loc="left")
     axes.grid(color=GRID_COLOR, linewidth=0.6)
     axes.set_axisbelow(True)
     axes.xaxis.set_major_locator(MaxNLocator(5))
     axes.xaxis.set_major_formatter(FuncFormatter(_format_tick))
-    return figure, axes
+    return mpl_figure, axes
 
 
 def _format_tick(value: float, position: int | None) -> str:
@@ -121,9 +124,9 @@
     return BETTER_COLOR if is_better else WORSE_COLOR
 
 
-def _to_svg(figure: Figure) -> str:
+def _to_svg(mpl_figure: Figure) -> str:
     buffer = io.StringIO()
-    figure.savefig(buffer, format="svg", metadata={"Date": None})
+    mpl_figure.savefig(buffer, format="svg", metadata={"Date": None})
     text = buffer.getvalue()
     # Removes the XML prologue, which is not valid inside HTML.
     return text[text.index("<svg") :]
--- a/drumbay/report/runs.py
+++ b/drumbay/report/runs.py
@@ -1,9 +1,9 @@
 """Reads runs and their figures from the JSON of ``drumbay simulate --json`` and benchmarks.
 
 No report schema is assumed: every number inside a run becomes a figure named by its dotted
-path. A run is an object with a ``seed``, or an entry of a ``runs`` list that is as long as the
-enclosing ``seeds`` list. A report without seeds is one run. Numbers outside of runs are
-parameters of the whole report and are ignored.
+path. A run is an object with a ``seed``, or an entry of a ``runs`` list as long as the nearest
+enclosing ``seeds`` list, which gives the seeds. A report without either is one run. Numbers
+outside of runs are parameters of the whole report and are ignored.
 """
 
 import hashlib
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -146,7 +146,7 @@
         (run,) = file.runs
         self.assertEqual(run.values, {"calls": 5.0, "p99_milliseconds": 1.5})
 
-    def test_direction_is_judged_by_the_name(self) -> None:
+    def test_direction_is_derived_from_the_name(self) -> None:
         self.assertEqual(direction_of("idle_shares.drafts"), Direction.LOWER)
         self.assertEqual(direction_of("fresh_share"), Direction.HIGHER)
         self.assertEqual(direction_of("virtual_seconds"), Direction.NEITHER)
