--- a/drumbay/delivery/service.py
+++ b/drumbay/delivery/service.py
@@ -278,7 +278,7 @@
         log_event("batch_refused", stream=stream, cursor=cursor, oldest_version=oldest_version)
         self._on_work_changed(stream)
 
-    async def checkpointed(self, stream: StreamName, cursor: Cursor) -> None:
+    async def trim_to_checkpoint(self, stream: StreamName, cursor: Cursor) -> None:
         """Trim the log after the trainer stored ``cursor`` as its next cursor in a checkpoint.
 
         Raises:
--- a/drumbay/node/request_services.py
+++ b/drumbay/node/request_services.py
@@ -42,7 +42,7 @@
         application_client: ApplicationClient,
         directory: BackendDirectory,
         recorder: DecisionRecorder,
-        once: AtMostOnceRunner,
+        at_most_once_runner: AtMostOnceRunner,
         random: Random,
         is_ready: Callable[[], bool],
         metrics: NodeMetrics | None = None,
@@ -58,7 +58,13 @@
             clock, engine_client, self.dispatcher, self.gate, retry_budget, is_ready
         )
         self.applications = ApplicationRequestService(
-            clock, application_client, self.dispatcher, self.gate, retry_budget, once, is_ready
+            clock,
+            application_client,
+            self.dispatcher,
+            self.gate,
+            retry_budget,
+            at_most_once_runner,
+            is_ready,
         )
 
     def live_route_name(self, model: str) -> str:
--- a/drumbay/node/streams.py
+++ b/drumbay/node/streams.py
@@ -63,7 +63,7 @@
         node_id: This node.
         ownership: Leases with fencing tokens.
         delivery: The replicated log of the owned streams.
-        worker: Generates samples of the owned streams.
+        sample_generator: Generates samples of the owned streams.
         address_of: Returns the address of a live node.
         task_owner: Owns the background tasks.
         metrics: Counts of pulls rejected as stale.
@@ -77,7 +77,7 @@
         node_id: NodeId,
         ownership: OwnershipManager,
         delivery: DeliveryService,
-        worker: SampleGenerator,
+        sample_generator: SampleGenerator,
         address_of: Callable[[NodeId], Address | None],
         task_owner: TaskOwner,
         metrics: NodeMetrics | None = None,
@@ -89,7 +89,7 @@
         self._node_id = node_id
         self._ownership = ownership
         self._delivery = delivery
-        self._sample_generator = worker
+        self._sample_generator = sample_generator
         self._address_of = address_of
         self._task_owner = task_owner
         self._streams: frozenset[StreamName] = frozenset()
@@ -254,7 +254,7 @@
         return PullReply(batch=batch)
 
     async def _handle_checkpoint(self, request: CheckpointRequest) -> StreamAcknowledgement:
-        operation = self._delivery.checkpointed(request.stream, request.cursor)
+        operation = self._delivery.trim_to_checkpoint(request.stream, request.cursor)
         await self._run_as_owner(request.stream, operation)
         return StreamAcknowledgement(owner=self._node_id)
 
--- a/tests/requests_world.py
+++ b/tests/requests_world.py
@@ -140,7 +140,7 @@
             application_client=MemoryApplicationClient(self.clock, servers_by_url, self.network),
             directory=self.directory,
             recorder=self.recorder,
-            once=DirectRunner(),
+            at_most_once_runner=DirectRunner(),
             random=Random(SEED),
             is_ready=lambda: self.is_ready,
             metrics=metrics,
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -286,7 +286,7 @@
         for cursor in range(16):
             await trainer.pull(owner, cursor, 1)
         bytes_before = cluster.replicas[0].acceptors[STREAM].retained_bytes
-        await owner.checkpointed(STREAM, Cursor(16))
+        await owner.trim_to_checkpoint(STREAM, Cursor(16))
         await cluster.clock.sleep(1)
         self.assertLess(cluster.replicas[0].acceptors[STREAM].retained_bytes, bytes_before)
         cluster.replicas = [cluster.start_replica(index) for index in range(3)]
@@ -326,7 +326,7 @@
         finish_missing(owner, 1, "first")
         for cursor in range(12):
             await trainer.pull(owner, cursor, 1)
-        await owner.checkpointed(STREAM, Cursor(12))
+        await owner.trim_to_checkpoint(STREAM, Cursor(12))
         cluster.replace_replica(2)
         await trainer.pull(owner, 12, 1)
         await cluster.clock.sleep(1)
--- a/tests/test_delivery_epochs.py
+++ b/tests/test_delivery_epochs.py
@@ -183,7 +183,7 @@
                 node_id=NodeId("n1"),
                 ownership=cast(OwnershipManager, PermanentOwnership()),
                 delivery=owner,
-                worker=IdleWorker(),
+                sample_generator=IdleWorker(),
                 address_of=lambda _node_id: None,
                 task_owner=node.task_owner,
             )
--- a/tests/test_stream_ownership.py
+++ b/tests/test_stream_ownership.py
@@ -32,7 +32,7 @@
             node_id=NodeId("node-1"),
             ownership=self.ownership,
             delivery=self.delivery,
-            worker=mock.Mock(),
+            sample_generator=mock.Mock(),
             address_of=lambda node_id: Address("10.0.0.1", 1),
             task_owner=TaskOwner(),
         )
