--- a/drumbay/bench/sharing_run.py
+++ b/drumbay/bench/sharing_run.py
@@ -18,7 +18,7 @@
 from drumbay.simulation.gateway import NodeRun
 from drumbay.simulation.history import History
 from drumbay.simulation.latency import LatencyModel
-from drumbay.simulation.load import BurstClock, generate_arrivals
+from drumbay.simulation.load import BurstSchedule, generate_arrivals
 from drumbay.simulation.scenario import PoolKind, Scenario
 from drumbay.simulation.simulation_clock import virtual_now
 from drumbay.simulation.trace import Trace
@@ -220,7 +220,7 @@
 
     async def _send_live(self, until_seconds: float) -> None:
         random = self._random_for("live")
-        bursts = BurstClock(random, self._scenario.load)
+        bursts = BurstSchedule(random, self._scenario.load)
         rate = self._load.live_per_second
         await generate_arrivals(random, rate, bursts, until_seconds, self._complete)
         await asyncio.sleep(max(0.0, until_seconds - virtual_now()))
--- a/drumbay/simulation/callers.py
+++ b/drumbay/simulation/callers.py
@@ -52,14 +52,14 @@
             )
         )
 
-    def record_returned(self, outcome: RequestOutcome, answer: bytes = b"") -> RequestOutcome:
+    def record_returned(self, outcome: RequestOutcome, response: bytes = b"") -> RequestOutcome:
         """Record the outcome."""
         self._history.add(
             RequestReturned(
                 time_seconds=virtual_now(),
                 invocation_id=self.invocation_id,
                 outcome=outcome,
-                answer=answer,
+                answer=response,
             )
         )
         return outcome
@@ -153,7 +153,7 @@
     ) -> RequestOutcome:
         invocation.record_invoked(repeatable=repeatable)
         try:
-            answer = await self._gateway.call(
+            response = await self._gateway.call(
                 invocation.node_id,
                 lambda run: _run_application(
                     run, invocation.operation_id, path_prefix, repeatable=repeatable
@@ -162,7 +162,7 @@
             )
         except DrumbayError as error:
             return invocation.record_returned(outcome_of(error))
-        digest = answer_digest(answer.body).encode()
+        digest = answer_digest(response.body).encode()
         return invocation.record_returned(RequestOutcome.ANSWERED, digest)
 
 
--- a/drumbay/simulation/checkers/at_most_once.py
+++ b/drumbay/simulation/checkers/at_most_once.py
@@ -16,11 +16,11 @@
             continue
         first = first_executions.setdefault(started.operation_id, started)
         if first is not started:
-            violations.append(_describe(first, started))
+            violations.append(_violation(first, started))
     return tuple(violations)
 
 
-def _describe(first: ExecutionStarted, second: ExecutionStarted) -> Violation:
+def _violation(first: ExecutionStarted, second: ExecutionStarted) -> Violation:
     return Violation(
         promise=Promise.AT_MOST_ONCE,
         subject=second.operation_id,
--- a/drumbay/simulation/checkers/configuration.py
+++ b/drumbay/simulation/checkers/configuration.py
@@ -72,11 +72,11 @@
             for change in accepted:
                 due = max(change.time_seconds, span.start_seconds) + limits.configuration_seconds
                 if due <= span.end_seconds and revisions.at(due) < change.revision:
-                    violations.append(_late_change(node_id, change, due))
+                    violations.append(_late_change_violation(node_id, change, due))
     return tuple(violations)
 
 
-def _late_change(node_id: NodeId, change: ConfigurationAccepted, due: float) -> Violation:
+def _late_change_violation(node_id: NodeId, change: ConfigurationAccepted, due: float) -> Violation:
     return Violation(
         promise=Promise.CONFIGURATION_IN_FORCE,
         subject=node_id,
--- a/drumbay/simulation/checkers/leaving_backends.py
+++ b/drumbay/simulation/checkers/leaving_backends.py
@@ -28,11 +28,11 @@
         else:
             since = leaving_since.get(event.backend_id)
             if since is not None and event.time_seconds > since + limits.leaving_seconds:
-                violations.append(_describe(event, since))
+                violations.append(_violation(event, since))
     return tuple(violations)
 
 
-def _describe(started: ExecutionStarted, since: float) -> Violation:
+def _violation(started: ExecutionStarted, since: float) -> Violation:
     delay = started.time_seconds - since
     return Violation(
         promise=Promise.LEAVING_BACKENDS,
--- a/drumbay/simulation/checkers/planned_stop.py
+++ b/drumbay/simulation/checkers/planned_stop.py
@@ -24,21 +24,21 @@
     returns = {returned.invocation_id: returned for returned in history.of(RequestReturned)}
     violations = []
     for stop in history.of(PlannedStopStarted):
-        stopped_until = _next_disturbance(history, stop)
+        next_disturbance_at = _next_disturbance(history, stop)
         for invoked in history.of(RequestInvoked):
             if invoked.node_id != stop.node_id or invoked.time_seconds > stop.time_seconds:
                 continue
             returned = returns.get(invoked.invocation_id)
             if returned is None or returned.outcome is not RequestOutcome.CUT_OFF:
                 continue
-            if stop.time_seconds <= returned.time_seconds < stopped_until:
+            if stop.time_seconds <= returned.time_seconds < next_disturbance_at:
                 detail = f"cut off by the planned stop of {stop.node_id}"
                 violations.append(_violation(invoked.operation_id, returned.time_seconds, detail))
     return tuple(violations)
 
 
 def _next_disturbance(history: History, stop: PlannedStopStarted) -> float:
-    """Return the time of the first injected fault after the stop began, else infinity."""
+    """Return the time of the first injected fault after the stop began, or infinity."""
     times = [
         disturbed.time_seconds
         for disturbed in history.of(NodeDisturbed)
--- a/drumbay/simulation/checkers/refused_not_run.py
+++ b/drumbay/simulation/checkers/refused_not_run.py
@@ -28,7 +28,7 @@
     for started in history.of(ExecutionStarted):
         invocations = invoked_by_operation.get(started.operation_id, [])
         if _contradicts_refusal(started, invocations, refused):
-            violations.append(_describe(started))
+            violations.append(_violation(started))
     return tuple(violations)
 
 
@@ -43,7 +43,7 @@
     )
 
 
-def _describe(started: ExecutionStarted) -> Violation:
+def _violation(started: ExecutionStarted) -> Violation:
     return Violation(
         promise=Promise.REFUSED_NOT_RUN,
         subject=started.operation_id,
--- a/drumbay/simulation/checkers/sample_versions.py
+++ b/drumbay/simulation/checkers/sample_versions.py
@@ -33,7 +33,7 @@
         if mismatch is not None:
             return mismatch
     length = total_length(sample.spans)
-    if not log.has_length(sample.operation_id, length):
+    if not log.finished_with_length(sample.operation_id, length):
         return f"no engine ended it after {length} tokens"
     return None
 
@@ -46,7 +46,7 @@
             token_id=token_id,
             weight_version=span.weight_version,
         )
-        if log.was_produced_by(token):
+        if log.was_produced_with_version(token):
             continue
         versions = log.versions_of(operation_id, token.index, token_id)
         return (
--- a/drumbay/simulation/checkers/staleness.py
+++ b/drumbay/simulation/checkers/staleness.py
@@ -14,7 +14,7 @@
     log = TokenLog(history)
     violations = []
     for sample in history.of(SampleConsumed):
-        age = _oldest_age(log, sample)
+        age = _max_token_age(log, sample)
         if age > limits.max_staleness_versions:
             violations.append(
                 Violation(
@@ -30,7 +30,7 @@
     return tuple(violations)
 
 
-def _oldest_age(log: TokenLog, sample: SampleConsumed) -> int:
+def _max_token_age(log: TokenLog, sample: SampleConsumed) -> int:
     oldest = int(sample.trainer_version)
     for span in sample.spans:
         for offset, token_id in enumerate(span.token_ids):
--- a/drumbay/simulation/checkers/token_log.py
+++ b/drumbay/simulation/checkers/token_log.py
@@ -48,7 +48,7 @@
         """Return whether an engine produced this token at this index."""
         return (operation_id, index, token_id) in self._versions
 
-    def was_produced_by(self, token: Token) -> bool:
+    def was_produced_with_version(self, token: Token) -> bool:
         """Return whether an engine produced this token with its weight version."""
         return token in self._tokens
 
@@ -56,7 +56,7 @@
         """Return the weight versions that produced a token, ordered by time."""
         return self._versions.get((operation_id, index, token_id), [])
 
-    def has_length(self, operation_id: str, length: int) -> bool:
+    def finished_with_length(self, operation_id: str, length: int) -> bool:
         """Return whether an engine finished the operation after ``length`` tokens."""
         return (operation_id, length) in self._lengths
 
--- a/drumbay/simulation/checkers/whole_answers.py
+++ b/drumbay/simulation/checkers/whole_answers.py
@@ -18,11 +18,11 @@
     operations = {
         invoked.invocation_id: invoked.operation_id for invoked in history.of(RequestInvoked)
     }
-    return _check_answers(history, operations) + _check_completions(history, operations)
+    return _check_responses(history, operations) + _check_completions(history, operations)
 
 
-def _check_answers(history: History, operations: dict[str, str]) -> tuple[Violation, ...]:
-    answers_by_operation = _collect_answers(history)
+def _check_responses(history: History, operations: dict[str, str]) -> tuple[Violation, ...]:
+    responses_by_operation = _collect_responses(history)
     completions = {returned.invocation_id for returned in history.of(CompletionReturned)}
     violations = []
     for returned in history.of(RequestReturned):
@@ -31,20 +31,20 @@
         if returned.invocation_id in completions:
             continue
         operation_id = operations.get(returned.invocation_id, returned.invocation_id)
-        if returned.answer not in answers_by_operation.get(operation_id, ()):
+        if returned.answer not in responses_by_operation.get(operation_id, ()):
             detail = f"no back end gave this answer of {len(returned.answer)} bytes to it"
             violations.append(_violation(operation_id, returned.time_seconds, detail))
     return tuple(violations)
 
 
-def _collect_answers(history: History) -> dict[str, list[bytes]]:
+def _collect_responses(history: History) -> dict[str, list[bytes]]:
     started = {started.execution_id: started for started in history.of(ExecutionStarted)}
-    answers: dict[str, list[bytes]] = {}
+    responses: dict[str, list[bytes]] = {}
     for finished in history.of(ExecutionFinished):
         execution = started.get(finished.execution_id)
         if execution is not None:
-            answers.setdefault(execution.operation_id, []).append(finished.answer)
-    return answers
+            responses.setdefault(execution.operation_id, []).append(finished.answer)
+    return responses
 
 
 def _check_completions(history: History, operations: dict[str, str]) -> tuple[Violation, ...]:
@@ -70,7 +70,7 @@
             if not log.was_produced(operation_id, index, token_id):
                 return f"no engine produced its token {index}"
     length = total_length(returned.spans)
-    if not log.has_length(operation_id, length):
+    if not log.finished_with_length(operation_id, length):
         return f"no engine ended it after {length} tokens"
     return None
 
--- a/drumbay/simulation/fault_plan.py
+++ b/drumbay/simulation/fault_plan.py
@@ -83,14 +83,16 @@
 ) -> FaultPlan:
     """Draw the faults of one run; all end before the fault-free time at its end."""
     sampler = _FaultSampler(random, targets, schedule)
-    latest = run_seconds - schedule.quiet_seconds
+    faults_end_at = run_seconds - schedule.quiet_seconds
     faults: list[AnyFault] = []
     kinds = sampler.possible_kinds()
     now = schedule.first_seconds
-    while kinds and now < latest:
+    while kinds and now < faults_end_at:
         faults += sampler.draw_arrival(kinds, now)
         now += random.expovariate(1.0 / schedule.mean_interval_seconds)
-    truncated = [_truncate(fault, latest) for fault in faults if fault.at_seconds < latest]
+    truncated = [
+        _truncate(fault, faults_end_at) for fault in faults if fault.at_seconds < faults_end_at
+    ]
     truncated.sort(key=lambda fault: fault.at_seconds)
     return FaultPlan(faults=_limit_disk_losses(truncated, schedule.disk_repair_seconds))
 
@@ -110,8 +112,8 @@
     return tuple(kept)
 
 
-def _truncate(fault: AnyFault, latest: float) -> AnyFault:
-    duration = min(fault.duration_seconds, latest - fault.at_seconds)
+def _truncate(fault: AnyFault, end_seconds: float) -> AnyFault:
+    duration = min(fault.duration_seconds, end_seconds - fault.at_seconds)
     return msgspec.structs.replace(fault, duration_seconds=duration)
 
 
--- a/drumbay/simulation/faults.py
+++ b/drumbay/simulation/faults.py
@@ -187,7 +187,7 @@
 
     faults: tuple[AnyFault, ...]
 
-    def until_seconds(self) -> float:
+    def end_seconds(self) -> float:
         """Return the virtual time at which the last fault ends."""
         ends = (fault.at_seconds + fault.duration_seconds for fault in self.faults)
         return max(ends, default=0.0)
--- a/drumbay/simulation/load.py
+++ b/drumbay/simulation/load.py
@@ -7,7 +7,7 @@
 from drumbay.simulation.scenario import LoadSection
 
 
-class BurstClock:
+class BurstSchedule:
     """Bursts of load at random times."""
 
     def __init__(self, random: Random, load: LoadSection) -> None:
@@ -16,7 +16,7 @@
         self._load = load
         self._starts_at = self._draw_gap()
 
-    def factor(self, now: float) -> float:
+    def rate_factor(self, now: float) -> float:
         """Return the rate factor at a time; times must not decrease."""
         while now >= self._starts_at + self._load.burst_seconds:
             self._starts_at += self._load.burst_seconds + self._draw_gap()
@@ -29,7 +29,7 @@
 async def generate_arrivals(
     random: Random,
     rate_per_second: float,
-    bursts: BurstClock,
+    bursts: BurstSchedule,
     until_seconds: float,
     on_arrival: Callable[[int], Awaitable[None]],
 ) -> None:
@@ -40,7 +40,7 @@
     tasks = []
     number = 0
     while True:
-        rate = rate_per_second * bursts.factor(loop.time())
+        rate = rate_per_second * bursts.rate_factor(loop.time())
         await asyncio.sleep(random.expovariate(rate))
         if loop.time() >= until_seconds:
             break
--- a/drumbay/simulation/observation.py
+++ b/drumbay/simulation/observation.py
@@ -149,8 +149,8 @@
     operation_id: str
 
 
-def _written_keys(platform: SimulatedPlatform) -> Iterator[tuple[LoggedChange, KeyValue]]:
-    """Yield every write with the committed change it belongs to."""
+def _iterate_writes(platform: SimulatedPlatform) -> Iterator[tuple[LoggedChange, KeyValue]]:
+    """Yield every committed write with its change."""
     for entry in platform.key_value.log:
         if isinstance(entry, LoggedChange):
             for event in entry.events:
@@ -160,7 +160,7 @@
 
 def _read_commits(platform: SimulatedPlatform) -> list[_Commit]:
     commits = []
-    for change, item in _written_keys(platform):
+    for change, item in _iterate_writes(platform):
         if not _is_resource(item.key):
             continue
         stored = msgspec.msgpack.decode(item.value, type=StoredRecord)
@@ -176,7 +176,7 @@
 
 
 def _add_replica_sets(history: History, platform: SimulatedPlatform) -> None:
-    for change, item in _written_keys(platform):
+    for change, item in _iterate_writes(platform):
         if item.key == REPLICA_SET_KEY:
             committed = msgspec.msgpack.decode(item.value, type=ReplicaSet)
             history.add(
--- a/drumbay/simulation/observed_engine.py
+++ b/drumbay/simulation/observed_engine.py
@@ -14,28 +14,28 @@
 
     Attributes:
         requests: Received requests by attempt.
-        active: Number of open streams.
+        open_stream_count: Number of open streams.
         closed_at_seconds: Time at which either side closed the stream, by attempt.
     """
 
     requests: dict[AttemptId, GenerationRequest]
-    active: int
+    open_stream_count: int
     closed_at_seconds: dict[AttemptId, float]
 
     def start_recording(self) -> None:
         """Initialize the recording; must be called before the first request."""
         self.requests = {}
-        self.active = 0
+        self.open_stream_count = 0
         self.closed_at_seconds = {}
 
     async def generate(self, request: GenerationRequest) -> AsyncGenerator[TokenChunk]:
         """Run one attempt; see the base class."""
         self.requests[request.attempt_id] = request
-        self.active += 1
+        self.open_stream_count += 1
         try:
             async with aclosing(super().generate(request)) as chunks:
                 async for chunk in chunks:
                     yield chunk
         finally:
-            self.active -= 1
+            self.open_stream_count -= 1
             self.closed_at_seconds[request.attempt_id] = virtual_now()
--- a/drumbay/simulation/platform.py
+++ b/drumbay/simulation/platform.py
@@ -22,7 +22,7 @@
 _SLOW_LATENCY_SECONDS = 0.7
 _LIMITED_RATE_PER_SECOND = 3.0
 _LIMITED_BURST = 3
-_LOST_ANSWER_PROBABILITY = 0.5
+_LOST_RESPONSE_PROBABILITY = 0.5
 
 Worker = ObservedEngine | ApplicationModel
 
@@ -89,7 +89,7 @@
         """Return the number of running and queued requests of a back end."""
         worker = self.worker(backend)
         if isinstance(worker, ObservedEngine):
-            return worker.active
+            return worker.open_stream_count
         return worker.running + worker.waiting
 
     def disturb_key_value(self, conditions: tuple[KeyValueCondition, ...]) -> None:
@@ -121,12 +121,12 @@
     slow = KeyValueCondition.SLOW in conditions
     latency = _SLOW_LATENCY_SECONDS if slow else KEY_VALUE_LATENCY_SECONDS
     limited = KeyValueCondition.RATE_LIMITED in conditions
-    answers_lost = KeyValueCondition.ANSWERS_LOST in conditions
+    responses_lost = KeyValueCondition.ANSWERS_LOST in conditions
     return KeyValueFaults(
         outage=KeyValueCondition.OUTAGE in conditions,
         request_delay_seconds=latency,
         answer_delay_seconds=latency,
-        lost_answer_probability=_LOST_ANSWER_PROBABILITY if answers_lost else 0.0,
+        lost_answer_probability=_LOST_RESPONSE_PROBABILITY if responses_lost else 0.0,
         rate_limit_per_second=_LIMITED_RATE_PER_SECOND if limited else KEY_VALUE_RATE_PER_SECOND,
         rate_limit_burst=_LIMITED_BURST if limited else KEY_VALUE_BURST,
         watches_broken=KeyValueCondition.WATCHES_BROKEN in conditions,
--- a/drumbay/simulation/runner.py
+++ b/drumbay/simulation/runner.py
@@ -87,7 +87,7 @@
 
 
 class _Totals(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures taken at the end of the virtual time of a run."""
+    """Totals at the end of the virtual time of a run."""
 
     digest: str
     events: int
--- a/drumbay/simulation/transport.py
+++ b/drumbay/simulation/transport.py
@@ -20,7 +20,7 @@
 from drumbay.simulation.process import SimulatedProcess
 
 _ESTABLISHED_CONNECTION_PROBABILITY = 0.5
-"""Probability that a call over a cut path used an open connection: its outcome is unknown."""
+"""Probability that a call over a cut path used an open connection, so its outcome is unknown."""
 
 
 class MissingHandlerError(DrumbayError):
--- a/drumbay/simulation/virtual_time.py
+++ b/drumbay/simulation/virtual_time.py
@@ -22,7 +22,7 @@
 CLOCK_RESOLUTION_SECONDS = 1e-6
 """Timers due within this span fire together; must be below every simulated latency."""
 
-_LOOP_OWN_REGISTRATIONS = 1
+_WAKE_UP_PIPE_REGISTRATIONS = 1
 
 
 class _LoopOnlySelector(selectors.SelectSelector):
@@ -34,7 +34,7 @@
         Raises:
             RealInputOutputError: Something else was registered.
         """
-        if len(self.get_map()) >= _LOOP_OWN_REGISTRATIONS:
+        if len(self.get_map()) >= _WAKE_UP_PIPE_REGISTRATIONS:
             raise RealInputOutputError("simulated code opened a real socket")
         return super().register(fileobj, events, data)
 
--- a/drumbay/simulation/workload.py
+++ b/drumbay/simulation/workload.py
@@ -11,7 +11,7 @@
 from drumbay.simulation.concurrent_operators import ConcurrentOperators
 from drumbay.simulation.deployment import Deployment, initial_resources
 from drumbay.simulation.history import History
-from drumbay.simulation.load import BurstClock, generate_arrivals
+from drumbay.simulation.load import BurstSchedule, generate_arrivals
 from drumbay.simulation.maintenance import Maintenance
 from drumbay.simulation.scenario import PoolKind, PoolSection, Scenario
 from drumbay.simulation.trainers import SimulatedTrainer
@@ -144,5 +144,5 @@
         send: Callable[[int], Coroutine[Any, Any, None]],
     ) -> Coroutine[Any, Any, None]:
         random = self._random_for(purpose)
-        bursts = BurstClock(random, self._scenario.load)
+        bursts = BurstSchedule(random, self._scenario.load)
         return generate_arrivals(random, rate_per_second, bursts, until_seconds, send)
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -382,7 +382,7 @@
 
 
 def random_history(random: Random, *, corrupt: bool) -> list[RegisterOperation]:
-    """Run up to five operations on a real register, each at a point within its span."""
+    """Apply up to five operations to a register, each at a point within its span."""
     points = sorted(random.uniform(0, 10) for _ in range(random.randint(1, 5)))
     value: str | None = None
     history = []
@@ -393,14 +393,14 @@
         written = random.choice(["x", "y"])
         if kind is not READ and succeeded:
             value = written
-        shown = value if kind is READ else written
+        reported = value if kind is READ else written
         if corrupt and kind is READ and random.random() < 0.5:
-            shown = random.choice([None, "x", "y"])
-        # Only a write's outcome can be left open: the others claim something about it.
-        open_ended = kind is WRITE and random.random() < 0.3
-        end = None if open_ended else point + random.uniform(0, 4)
+            reported = random.choice([None, "x", "y"])
+        # Only a write can stay without a return: the results of the others must be known.
+        never_returns = kind is WRITE and random.random() < 0.3
+        end = None if never_returns else point + random.uniform(0, 4)
         begin = point - random.uniform(0, 4)
-        history.append(operation(kind, begin, end, shown, expected, succeeded))
+        history.append(operation(kind, begin, end, reported, expected, succeeded))
     return history
 
 
--- a/tests/test_simulation_faults.py
+++ b/tests/test_simulation_faults.py
@@ -124,7 +124,7 @@
         plan = draw_fault_plan(Random(1), TARGETS, schedule, 3600.0)
         types = {type(fault).__name__ for fault in plan.faults}
         self.assertGreaterEqual(len(types), len(FaultKind))
-        self.assertLessEqual(plan.until_seconds(), 3600.0 - schedule.quiet_seconds)
+        self.assertLessEqual(plan.end_seconds(), 3600.0 - schedule.quiet_seconds)
 
     def test_complete_plan_can_be_injected(self) -> None:
         schedule = FaultSchedule(mean_interval_seconds=5.0)
@@ -157,7 +157,7 @@
         self.assertEqual([change for change in changes if change[1] == "start n1"], changes[2:])
         self.assertEqual(changes[2][0], 12.0)
 
-    def test_overlapping_freezes_wake_the_host_at_the_end_of_the_last(self) -> None:
+    def test_overlapping_freezes_resume_the_host_at_the_end_of_the_last(self) -> None:
         first = FreezeHost(at_seconds=1.0, duration_seconds=5.0, host="n1")
         second = FreezeHost(at_seconds=2.0, duration_seconds=10.0, host="n1")
         self.assertEqual(inject(first, second)[-1], (12.0, "wake n1"))
--- a/tests/test_simulation_promises.py
+++ b/tests/test_simulation_promises.py
@@ -1,6 +1,6 @@
 """Each promise is broken without the mechanism that ensures it, and holds with it.
 
-Both runs have the same seed, load and faults and are judged by the history checkers.
+Both runs have the same seed, load and faults; the history checkers report the violations.
 """
 
 import unittest
--- a/tests/test_slow_disks.py
+++ b/tests/test_slow_disks.py
@@ -42,7 +42,7 @@
 BUSY_COMMIT_SECONDS = 2.1
 
 SUCCESSOR_SECONDS = 30.0
-"""Limit for replacing a paused owner, including its lease; as in ``tests.test_processes``."""
+"""Time limit for replacing a paused owner, including its lease."""
 
 LEASE_SECONDS = 15.0
 RETRY_SECONDS = 0.5
