--- a/drumbay/standins/batch_slots.py
+++ b/drumbay/standins/batch_slots.py
@@ -91,16 +91,16 @@
     def record(self, sample: LoadSample) -> None:
         """Append a sample and drop those that can no longer be reported."""
         self._samples.append(sample)
-        self._discard(sample.time_seconds - self._lag_seconds)
+        self._discard_before(sample.time_seconds - self._lag_seconds)
 
     def report(self, now: float) -> LoadSample:
         """Return the load as of ``now`` minus the lag."""
-        moment = now - self._lag_seconds
-        self._discard(moment)
-        if not self._samples or self._samples[0].time_seconds > moment:
-            return LoadSample(time_seconds=moment, running=0, waiting=0)
+        reported_at = now - self._lag_seconds
+        self._discard_before(reported_at)
+        if not self._samples or self._samples[0].time_seconds > reported_at:
+            return LoadSample(time_seconds=reported_at, running=0, waiting=0)
         return self._samples[0]
 
-    def _discard(self, moment: float) -> None:
-        while len(self._samples) > 1 and self._samples[1].time_seconds <= moment:
+    def _discard_before(self, time_seconds: float) -> None:
+        while len(self._samples) > 1 and self._samples[1].time_seconds <= time_seconds:
             self._samples.popleft()
--- a/drumbay/standins/cache_transfer.py
+++ b/drumbay/standins/cache_transfer.py
@@ -79,7 +79,7 @@
         """Return a descriptor of the current cache of an attempt.
 
         Raises:
-            UnknownAttemptError: The cache is not held.
+            UnknownAttemptError: The engine has no cache for the attempt.
             MixedVersionsError: The weights changed while it was computed.
         """
         generation = self._completions.get(attempt_id)
--- a/drumbay/standins/engine_model.py
+++ b/drumbay/standins/engine_model.py
@@ -194,7 +194,7 @@
 
         Raises:
             BackendNotReachedError: The process is down.
-            UnknownAttemptError: The cache is not held.
+            UnknownAttemptError: The engine has no cache for the attempt.
             MixedVersionsError: The weights changed while it was computed.
         """
         process = await self._running_process()
--- a/drumbay/standins/engine_orders.py
+++ b/drumbay/standins/engine_orders.py
@@ -27,7 +27,7 @@
     Attributes:
         model: Model that is loaded.
         version: Version that produces tokens.
-        claimed_version: Version that the engine reports.
+        reported_version: Version that the engine reports.
         highest_fence: Newest fence seen.
         role: Role last set by an order.
         adapters: Loaded adapters, in the order of loading.
@@ -37,13 +37,13 @@
         """Create the state after a process start."""
         self.model = model
         self.version = version
-        self.claimed_version = version
+        self.reported_version = version
         self.highest_fence = highest_fence
         self.role: str | None = None
         self.adapters: list[str] = []
         self._load_count = 0
 
-    def admit(self, order: FencedOrder) -> None:
+    def accept_fence(self, order: FencedOrder) -> None:
         """Check the fence of an order and record it.
 
         Raises:
@@ -83,7 +83,7 @@
         self._weight_source = weight_source
 
     async def execute(self, order: FencedOrder) -> OrderOutcome:
-        """Execute an admitted order.
+        """Execute an order whose fence was accepted.
 
         Raises:
             StaleFenceError: A newer fence arrived while the order ran.
@@ -113,7 +113,7 @@
         weights = self._weights
         load_number = weights.begin_load()
         if order.model == weights.model and version == weights.version:
-            weights.claimed_version = version
+            weights.reported_version = version
             return OrderOutcome.DONE
         if self._weight_source is not None:
             await self._weight_source.fetch(order.model, version, self._context.backend_id)
@@ -122,7 +122,7 @@
         if self._context.faults.should_inject(FaultKind.SWAP_FAILS):
             raise BackendError(f"version {version} could not be loaded")
         if self._context.faults.should_inject(FaultKind.SWAP_FAILS_ACKNOWLEDGED):
-            weights.claimed_version = version
+            weights.reported_version = version
             return OrderOutcome.FAILED_ACKNOWLEDGED
         await self._swap(order, version, load_number)
         return OrderOutcome.DONE
@@ -137,6 +137,6 @@
             weights.check_current(order, load_number)
             weights.model = order.model
             weights.version = version
-            weights.claimed_version = version
+            weights.reported_version = version
         finally:
             self._context.swap_gate.release(hold_name)
--- a/drumbay/standins/engine_process.py
+++ b/drumbay/standins/engine_process.py
@@ -83,7 +83,7 @@
         generation = Generation(request, self.boot_id, self._slots.enqueue(request.priority))
         generation.cache_imported = self.cache_transfers.consume_import(request)
         self.cache_transfers.retain(generation)
-        self._apply_answer_faults(generation)
+        self._apply_response_faults(generation)
         self._previous_request = request
         self._generations[request.attempt_id] = generation
         self._context.log.append(
@@ -137,7 +137,7 @@
             backend_id=self._context.backend_id,
             boot_id=self.boot_id,
             model=self.weights.model,
-            weight_version=self.weights.claimed_version,
+            weight_version=self.weights.reported_version,
             highest_fence=self.weights.highest_fence,
             running=load.running,
             waiting=load.waiting,
@@ -152,7 +152,7 @@
         if request.model != self.weights.model:
             return "model_not_loaded"
         version = request.weight_version
-        if version is not None and version != self.weights.claimed_version:
+        if version is not None and version != self.weights.reported_version:
             return "version_not_loaded"
         if request.attempt_id in self._generations:
             return "attempt_id_in_use"
@@ -160,7 +160,7 @@
             return "overloaded"
         return self.cache_transfers.refusal_reason(request)
 
-    def _apply_answer_faults(self, generation: Generation) -> None:
+    def _apply_response_faults(self, generation: Generation) -> None:
         faults = self._context.faults
         generation.truncated = faults.should_inject(FaultKind.TRUNCATED_ANSWER)
         generation.delay_pending = faults.should_inject(FaultKind.LATE_ANSWER)
--- a/drumbay/standins/execution_log.py
+++ b/drumbay/standins/execution_log.py
@@ -246,7 +246,7 @@
         self._total += 1
 
     def records(self) -> tuple[AnyExecutionRecord, ...]:
-        """Return the records still held, oldest first."""
+        """Return the records that were not dropped, oldest first."""
         return tuple(self._records)
 
     def page(self, first: int, count: int) -> ExecutionLogPage:
@@ -254,5 +254,5 @@
         dropped = self._total - len(self._records)
         start = max(first, dropped)
         offset = start - dropped
-        chosen = tuple(itertools.islice(self._records, offset, offset + count))
-        return ExecutionLogPage(first=start, total=self._total, records=chosen)
+        page_records = tuple(itertools.islice(self._records, offset, offset + count))
+        return ExecutionLogPage(first=start, total=self._total, records=page_records)
--- a/drumbay/standins/faults.py
+++ b/drumbay/standins/faults.py
@@ -74,7 +74,7 @@
             self._armed.pop(command.fault, None)
 
     def should_inject(self, fault: FaultKind) -> bool:
-        """Return whether to inject a fault now; a limited fault is used up by one."""
+        """Return whether to inject a fault now, and count the injection against its limit."""
         if fault not in self._armed:
             return False
         remaining = self._armed[fault]
--- a/drumbay/standins/kv_faults.py
+++ b/drumbay/standins/kv_faults.py
@@ -90,7 +90,7 @@
         self._generator = generator
         self._faults = KeyValueFaults()
         self._bucket: TokenBucket | None = None
-        self._remaining_lost_answers = 0
+        self._remaining_lost_responses = 0
         self._remaining_lost_requests = 0
 
     @property
@@ -101,7 +101,7 @@
     def set_faults(self, faults: KeyValueFaults, now: float) -> None:
         """Replace the active faults; the loss counters and the rate limit are reset."""
         self._faults = faults
-        self._remaining_lost_answers = faults.lost_answers
+        self._remaining_lost_responses = faults.lost_answers
         self._remaining_lost_requests = faults.lost_requests
         self._bucket = None
         if faults.rate_limit_per_second is not None:
@@ -151,8 +151,8 @@
         if self._remaining_lost_requests > 0:
             self._remaining_lost_requests -= 1
             return EmulatedWriteOutcome.REQUEST_LOST
-        if self._remaining_lost_answers > 0:
-            self._remaining_lost_answers -= 1
+        if self._remaining_lost_responses > 0:
+            self._remaining_lost_responses -= 1
             return EmulatedWriteOutcome.ANSWER_LOST
         return self._draw_random_outcome()
 
--- a/drumbay/standins/kv_watch.py
+++ b/drumbay/standins/kv_watch.py
@@ -9,7 +9,7 @@
 from drumbay.kv.interface import WatchBatch
 from drumbay.standins.kv_model import KeyValueModel
 
-MINIMUM_WAIT_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 """Prevents a busy loop when the clock rounds a wait down to zero."""
 
 
@@ -25,7 +25,7 @@
     without a change an empty batch is yielded, which counts as an operation.
 
     Raises:
-        WatchCompactedError: The next revision to deliver is no longer held.
+        WatchCompactedError: The next revision to deliver is already compacted.
         KeyValueUnavailableError: A fault broke the watch.
     """
     changed = asyncio.Event()
@@ -57,7 +57,7 @@
         await changed.wait()
         return
     wake_at = deadline if expiry is None else min(expiry, deadline)
-    timeout_seconds = max(wake_at - model.now(), MINIMUM_WAIT_SECONDS)
+    timeout_seconds = max(wake_at - model.now(), MIN_WAIT_SECONDS)
     try:
         await model.clock.wait_for(changed.wait(), timeout_seconds)
     except DeadlineExceededError:
--- a/drumbay/standins/order_queue.py
+++ b/drumbay/standins/order_queue.py
@@ -49,7 +49,7 @@
             BackendError: The order failed.
         """
         try:
-            self._weights.admit(order)
+            self._weights.accept_fence(order)
         except StaleFenceError:
             self._log(order, OrderOutcome.STALE_FENCE)
             raise
--- a/drumbay/standins/process_context.py
+++ b/drumbay/standins/process_context.py
@@ -55,8 +55,8 @@
 
     async def work(self, seconds: float) -> None:
         """Spend time on work, longer with the fault ``slow``, and wait while frozen."""
-        slowed = SLOW_FACTOR if self.faults.should_inject(FaultKind.SLOW) else 1.0
-        await self.clock.sleep(seconds * slowed)
+        slowdown = SLOW_FACTOR if self.faults.should_inject(FaultKind.SLOW) else 1.0
+        await self.clock.sleep(seconds * slowdown)
         await self.freeze_gate.wait_open()
 
     def start_run(self) -> BootId:
--- a/drumbay/standins/process_gate.py
+++ b/drumbay/standins/process_gate.py
@@ -3,7 +3,7 @@
 import asyncio
 
 FREEZE_HOLD = "freeze"
-"""Hold placed while a process is frozen."""
+"""Name of the hold that a frozen process has."""
 
 
 class ProcessGate:
--- a/drumbay/standins/token_source.py
+++ b/drumbay/standins/token_source.py
@@ -35,9 +35,9 @@
 
 def token_text(token: int) -> str:
     """Return the text of a token: a space and a two-syllable word."""
-    first, rest = divmod(token, len(_SYLLABLES))
-    second = first % len(_SYLLABLES)
-    return f" {_SYLLABLES[rest]}{_SYLLABLES[second]}"
+    quotient, first = divmod(token, len(_SYLLABLES))
+    second = quotient % len(_SYLLABLES)
+    return f" {_SYLLABLES[first]}{_SYLLABLES[second]}"
 
 
 def tokens_digest(tokens: Iterable[int]) -> str:
--- a/drumbay/standins/worker_pool.py
+++ b/drumbay/standins/worker_pool.py
@@ -102,7 +102,7 @@
         self._listeners: list[Callable[[Worker], None]] = []
         self._removal_listeners: list[Callable[[BackendId], None]] = []
         self._end_listeners: list[Callable[[Worker], None]] = []
-        self._replaced: set[BackendId] = set()
+        self._replaced_ids: set[BackendId] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self.long_texts = False
         self.failing_requests: set[str] = set()
@@ -187,7 +187,7 @@
     async def probe(self, worker: Worker) -> ProbeResult:
         """Probe whether a process listens at the address of a worker."""
         emulated = self._workers.get(worker.worker_id)
-        if worker.worker_id in self._replaced:
+        if worker.worker_id in self._replaced_ids:
             return ProbeResult.ACCEPTS
         if emulated is not None and emulated.has_stopped:
             return ProbeResult.REFUSES
@@ -249,7 +249,7 @@
         return _make_text(request_id, self._event_count_of(request_id))
 
     async def _connect(self, worker: Worker) -> EmulatedWorker:
-        if worker.worker_id in self._replaced:
+        if worker.worker_id in self._replaced_ids:
             raise WorkerMisdirectedError("another worker has the address")
         emulated = self._workers.get(worker.worker_id)
         if emulated is not None and emulated.has_stopped:
@@ -330,7 +330,7 @@
         ended_id = emulated.worker.worker_id
         await self._clock.sleep(REPLACEMENT_SECONDS)
         del self._workers[ended_id]
-        self._replaced.add(ended_id)
+        self._replaced_ids.add(ended_id)
         name, _, number = ended_id.partition("~")
         successor = msgspec.structs.replace(
             emulated.worker,
--- a/tests/test_engine_truth.py
+++ b/tests/test_engine_truth.py
@@ -36,16 +36,16 @@
 )
 
 
-async def find_mismatches_across_a_swap(bench: EngineHarness) -> list[AttemptId]:
+async def find_mismatches_across_a_swap(harness: EngineHarness) -> list[AttemptId]:
     """Return the attempts whose response differs from the log or the expected tokens."""
     requests = [request(f"a{number}", 40 + 40 * number) for number in range(24)]
-    generations = (bench.generate(item) for item in requests)
-    await asyncio.gather(bench.load(2, 1), *generations)
-    ended = bench.ended()
+    generations = (harness.generate(item) for item in requests)
+    await asyncio.gather(harness.load(2, 1), *generations)
+    ended = harness.ended()
     return [
         item.attempt_id
         for item in requests
-        if not matches_log(bench.responses[item.attempt_id], ended[item.attempt_id], item)
+        if not matches_log(harness.responses[item.attempt_id], ended[item.attempt_id], item)
     ]
 
 
@@ -64,9 +64,11 @@
 class ExecutionLogTest(unittest.TestCase):
     def test_responses_match_the_log_across_a_weight_swap(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness()
-            self.assertEqual(await find_mismatches_across_a_swap(bench), [])
-            versions = {span.weight_version for end in bench.ended().values() for span in end.spans}
+            harness = EngineHarness()
+            self.assertEqual(await find_mismatches_across_a_swap(harness), [])
+            versions = {
+                span.weight_version for end in harness.ended().values() for span in end.spans
+            }
             self.assertEqual(versions, {1, 2})
 
         run(scenario)
@@ -86,59 +88,59 @@
 
         async def scenario() -> None:
             with mock.patch("drumbay.standins.engine_process.EngineDecoder", NextVersionDecoder):
-                bench = EngineHarness()
-            self.assertEqual(len(await find_mismatches_across_a_swap(bench)), 24)
+                harness = EngineHarness()
+            self.assertEqual(len(await find_mismatches_across_a_swap(harness)), 24)
 
         run(scenario)
 
     def test_acknowledged_swap_without_effect_is_visible_in_stamps_and_log_only(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness()
-            bench.arm(FaultKind.SWAP_FAILS_ACKNOWLEDGED)
-            await bench.load(2, 1)
-            status = await bench.client.status(ADDRESS, timeout_seconds=1.0)
+            harness = EngineHarness()
+            harness.arm(FaultKind.SWAP_FAILS_ACKNOWLEDGED)
+            await harness.load(2, 1)
+            status = await harness.client.status(ADDRESS, timeout_seconds=1.0)
             self.assertEqual(status.weight_version, 2)
-            chunks = await bench.generate(request("a", weight_version=WeightVersion(2)))
+            chunks = await harness.generate(request("a", weight_version=WeightVersion(2)))
             self.assertEqual({chunk.weight_version for chunk in chunks}, {1})
-            orders = [r for r in bench.engine.log.records() if isinstance(r, OrderHandled)]
+            orders = [r for r in harness.engine.log.records() if isinstance(r, OrderHandled)]
             self.assertEqual([r.outcome for r in orders], [OrderOutcome.FAILED_ACKNOWLEDGED])
 
         run(scenario)
 
     def test_refused_requests_did_not_run(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness(EngineParameters(max_batch=2, max_waiting=2))
+            harness = EngineHarness(EngineParameters(max_batch=2, max_waiting=2))
             names = [f"a{number}" for number in range(8)]
             results = await asyncio.gather(
-                *(bench.generate(request(name)) for name in names), return_exceptions=True
+                *(harness.generate(request(name)) for name in names), return_exceptions=True
             )
             refused = {
                 name
                 for name, result in zip(names, results, strict=True)
                 if isinstance(result, BackendRefusedError)
             }
-            records = bench.engine.log.records()
+            records = harness.engine.log.records()
             logged = {r.attempt_id for r in records if isinstance(r, GenerationRefused)}
             self.assertEqual(len(refused), 4)
             self.assertEqual(logged, refused)
-            self.assertTrue(refused.isdisjoint(bench.ended()))
+            self.assertTrue(refused.isdisjoint(harness.ended()))
 
         run(scenario)
 
     def test_crash_breaks_streams_and_logs_the_produced_tokens(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness()
-            stream = asyncio.ensure_future(bench.generate(request("a", 400)))
+            harness = EngineHarness()
+            stream = asyncio.ensure_future(harness.generate(request("a", 400)))
             await asyncio.sleep(1.0)
-            first_boot = bench.engine.boot_id
-            bench.engine.crash()
+            first_boot = harness.engine.boot_id
+            harness.engine.crash()
             with self.assertRaises(ExchangeBrokenError):
                 await stream
-            record = bench.ended()[AttemptId("a")]
+            record = harness.ended()[AttemptId("a")]
             self.assertEqual(record.outcome, GenerationOutcome.CRASHED)
-            self.assertEqual(record.spans, spans_of(bench.responses[AttemptId("a")]))
-            bench.engine.restart()
-            chunks = await bench.generate(request("b"))
+            self.assertEqual(record.spans, spans_of(harness.responses[AttemptId("a")]))
+            harness.engine.restart()
+            chunks = await harness.generate(request("b"))
             self.assertNotEqual(chunks[0].boot_id, first_boot)
 
         run(scenario)
@@ -153,18 +155,18 @@
 
     def test_generations_continue_after_a_disconnect_until_cancelled(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness()
+            harness = EngineHarness()
             streams = [
-                asyncio.ensure_future(bench.generate(request(name, 400))) for name in ("a", "b")
+                asyncio.ensure_future(harness.generate(request(name, 400))) for name in ("a", "b")
             ]
             await asyncio.sleep(1.0)
-            bench.network.drop_responses(URL)
+            harness.network.drop_responses(URL)
             results = await asyncio.gather(*streams, return_exceptions=True)
             self.assertTrue(all(isinstance(r, ExchangeBrokenError) for r in results))
-            self.assertEqual(bench.ended(), {})
-            await bench.client.cancel(ADDRESS, AttemptId("b"))
+            self.assertEqual(harness.ended(), {})
+            await harness.client.cancel(ADDRESS, AttemptId("b"))
             await asyncio.sleep(60.0)
-            outcomes = {name: record.outcome for name, record in bench.ended().items()}
+            outcomes = {name: record.outcome for name, record in harness.ended().items()}
             expected = {"a": GenerationOutcome.FINISHED, "b": GenerationOutcome.CANCELLED}
             self.assertEqual(outcomes, expected)
 
@@ -174,43 +176,43 @@
 class FencedOrderTest(unittest.TestCase):
     def test_stale_fence_is_refused_before_and_during_a_load(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness()
-            slow_load = asyncio.ensure_future(bench.load(2, 5))
+            harness = EngineHarness()
+            slow_load = asyncio.ensure_future(harness.load(2, 5))
             await asyncio.sleep(0.5)
             with self.assertRaises(StaleFenceError):
-                await bench.load(3, 4)
-            await bench.load(4, 6)
+                await harness.load(3, 4)
+            await harness.load(4, 6)
             with self.assertRaises(StaleFenceError):
                 await slow_load
-            self.assertEqual(bench.engine.actual_version, 4)
+            self.assertEqual(harness.engine.actual_version, 4)
 
         run(scenario)
 
     def test_order_continues_after_a_disconnect(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness()
-            bench.network.drop_responses(URL)
+            harness = EngineHarness()
+            harness.network.drop_responses(URL)
             with self.assertRaises(ExchangeBrokenError):
-                await bench.load(2, 1)
-            self.assertEqual(bench.engine.actual_version, 2)
+                await harness.load(2, 1)
+            self.assertEqual(harness.engine.actual_version, 2)
 
         run(scenario)
 
     def test_order_with_a_lost_response_takes_effect(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness()
-            bench.arm(FaultKind.ORDER_ANSWER_LOST)
+            harness = EngineHarness()
+            harness.arm(FaultKind.ORDER_ANSWER_LOST)
             with self.assertRaises(ExchangeBrokenError):
-                await bench.load(2, 1)
-            self.assertEqual(bench.engine.actual_version, 2)
+                await harness.load(2, 1)
+            self.assertEqual(harness.engine.actual_version, 2)
 
         run(scenario)
 
     def test_request_for_an_unloaded_version_is_refused(self) -> None:
         async def scenario() -> None:
-            bench = EngineHarness()
+            harness = EngineHarness()
             with self.assertRaises(BackendRefusedError) as caught:
-                await bench.generate(request("a", weight_version=WeightVersion(2)))
+                await harness.generate(request("a", weight_version=WeightVersion(2)))
             self.assertEqual(caught.exception.reason, "version_not_loaded")
 
         run(scenario)
--- a/tests/test_version_loading.py
+++ b/tests/test_version_loading.py
@@ -25,9 +25,11 @@
         directory.replace_all(pool.entries())
         return directory
 
-    def plan_loads(self, directory: WorkerDirectory, **named: int) -> list[tuple[str, str, int]]:
+    def plan_loads(
+        self, directory: WorkerDirectory, **announced: int
+    ) -> list[tuple[str, str, int]]:
         planner = VersionPlanner(LoadPolicy(min_concurrent_loads=10))
-        versions = {model: WeightVersion(version) for model, version in named.items()}
+        versions = {model: WeightVersion(version) for model, version in announced.items()}
         loads = planner.plan(versions, directory.all_records().values(), 0.0)
         return [(load.worker_id, load.model, load.version) for load in loads]
 
@@ -39,11 +41,11 @@
     def test_latest_version_is_loaded_everywhere_after_a_delay(self) -> None:
         directory = self.make_directory(a=2, b=2, c=1, d=1)
         planner = VersionPlanner(LoadPolicy(min_concurrent_loads=10))
-        named = {"m": WeightVersion(2)}
+        announced = {"m": WeightVersion(2)}
         records = list(directory.all_records().values())
-        self.assertEqual(planner.plan(named, records, 0.0), ())
-        self.assertEqual(planner.plan(named, records, 14.9), ())
-        self.assertEqual(len(planner.plan(named, records, 15.0)), 2)
+        self.assertEqual(planner.plan(announced, records, 0.0), ())
+        self.assertEqual(planner.plan(announced, records, 14.9), ())
+        self.assertEqual(len(planner.plan(announced, records, 15.0)), 2)
 
     def test_workers_without_usable_versions_load_first(self) -> None:
         directory = self.make_directory(a=2, b=2, c=1, d=1)
@@ -53,21 +55,21 @@
     def test_concurrent_loads_are_limited(self) -> None:
         directory = self.make_directory(a=1, b=1, c=1, d=1)
         planner = VersionPlanner(LoadPolicy())
-        named = {"m": WeightVersion(2)}
+        announced = {"m": WeightVersion(2)}
         records = list(directory.all_records().values())
-        first = planner.plan(named, records, 0.0)
+        first = planner.plan(announced, records, 0.0)
         self.assertEqual(len(first), 2)
         for load in first:
             planner.record_load_started(load.worker_id)
-        self.assertEqual(planner.plan(named, records, 0.1), ())
+        self.assertEqual(planner.plan(announced, records, 0.1), ())
 
     def test_concurrent_load_limit_grows_with_the_worker_count(self) -> None:
         for worker_count, expected_loads in ((3, 2), (6, 2), (23, 9), (24, 10)):
             directory = self.make_directory(**{f"w{number}": 1 for number in range(worker_count)})
             planner = VersionPlanner(LoadPolicy(full_rollout_after_seconds=0.0))
             records = list(directory.all_records().values())
-            named = {"m": WeightVersion(2), "n": WeightVersion(2)}
-            self.assertEqual(len(planner.plan(named, records, 0.0)), expected_loads)
+            announced = {"m": WeightVersion(2), "n": WeightVersion(2)}
+            self.assertEqual(len(planner.plan(announced, records, 0.0)), expected_loads)
 
 
 class LeaderTest(unittest.TestCase):
