--- a/drumbay/bench/closed_loop.py
+++ b/drumbay/bench/closed_loop.py
@@ -31,7 +31,7 @@
     Attributes:
         concurrency: Number of workers.
         requests: Number of measured requests.
-        warmup_requests: Number of unmeasured requests before.
+        warmup_requests: Number of requests sent before the measurement.
         max_seconds: Time limit; requests in flight are completed.
     """
 
@@ -92,8 +92,8 @@
     return value / baseline if baseline > 0.0 else float("nan")
 
 
-class _Workers:
-    """Workers that share a number of requests."""
+class _LoadWorkers:
+    """Concurrent workers that together send a given number of requests."""
 
     def __init__(self, clock: Clock, send: SendRequest) -> None:
         self._clock = clock
@@ -145,7 +145,7 @@
         parameters: Bounds of the run.
         process_ids: Processes whose CPU time is measured.
     """
-    workers = _Workers(clock, send)
+    workers = _LoadWorkers(clock, send)
     concurrency = parameters.concurrency
     await workers.run(concurrency, parameters.warmup_requests, parameters.max_seconds)
     cpu_before = cpu_seconds(process_ids)
@@ -171,7 +171,7 @@
 def cpu_seconds(pids: tuple[int, ...]) -> float:
     """Return the total user and system CPU time of processes."""
     total = 0.0
-    for number in pids:
-        times = psutil.Process(number).cpu_times()
+    for pid in pids:
+        times = psutil.Process(pid).cpu_times()
         total += times.user + times.system
     return total
--- a/drumbay/bench/forwarding.py
+++ b/drumbay/bench/forwarding.py
@@ -107,7 +107,7 @@
 
 
 class _RequestSender:
-    """Creates senders of requests that check the response status."""
+    """Creates functions that send one request and check the status of the response."""
 
     def __init__(self, connector: HttpConnector, name: str) -> None:
         self._connector = connector
@@ -192,16 +192,16 @@
 
     async def compare(
         self,
-        straight: Callable[[int], Awaitable[None]],
-        through_node: Callable[[int], Awaitable[None]],
+        send_directly: Callable[[int], Awaitable[None]],
+        send_through_node: Callable[[int], Awaitable[None]],
         backend_process: int,
     ) -> ForwardingComparison:
         baseline = await run_closed_loop(
-            straight, self._clock, self._parameters, (backend_process,)
+            send_directly, self._clock, self._parameters, (backend_process,)
         )
         before = cpu_seconds(self._node_processes[1:])
         result = await run_closed_loop(
-            through_node, self._clock, self._parameters, self._node_processes[:1]
+            send_through_node, self._clock, self._parameters, self._node_processes[:1]
         )
         # The CPU time of the other nodes includes the warm-up requests.
         other_nodes_cpu_seconds = cpu_seconds(self._node_processes[1:]) - before
@@ -245,23 +245,23 @@
     clock = SystemClock()
     connector = HttpConnector()
     comparison = _LoadComparison(clock, parameters, targets.node_processes)
-    straight = _RequestSender(connector, "straight")
+    direct = _RequestSender(connector, "straight")
     via_node = _RequestSender(connector, "through-node")
     application_via_node = targets.node + APPLICATION_PREFIX
     try:
         idle = await measure_idle(clock, targets.node_processes, idle_seconds)
         lookups = await comparison.compare(
-            straight.lookup(targets.application),
+            direct.lookup(targets.application),
             via_node.lookup(application_via_node),
             targets.application_process,
         )
         bookings = await comparison.compare(
-            straight.booking(targets.application),
+            direct.booking(targets.application),
             via_node.booking(application_via_node),
             targets.application_process,
         )
         completions = await comparison.compare(
-            straight.completion(targets.engine, targets.model, targets.tokens),
+            direct.completion(targets.engine, targets.model, targets.tokens),
             via_node.completion(targets.node, targets.model, targets.tokens),
             targets.engine_process,
         )
--- a/drumbay/bench/ownership_cluster.py
+++ b/drumbay/bench/ownership_cluster.py
@@ -225,11 +225,11 @@
         Raises:
             TimeoutError: The resource got no owner within the limit.
         """
-        ends_at = self.model.now() + limit_seconds
-        while self.model.now() < ends_at:
-            found = self.claims([name])
-            if found:
-                return self.nodes[found[0].node]
+        deadline = self.model.now() + limit_seconds
+        while self.model.now() < deadline:
+            claims = self.claims([name])
+            if claims:
+                return self.nodes[claims[0].node]
             await asyncio.sleep(0.05)
         raise TimeoutError(f"{name} has no owner after {limit_seconds} s")
 
@@ -277,11 +277,8 @@
     }
     invalid: list[OwnershipClaim] = []
     for claim in claims:
-        period_of_fence = periods_by_fence.get((claim.name, claim.fence))
-        if (
-            period_of_fence is None
-            or not period_of_fence.start_seconds <= claim.at_seconds < period_of_fence.end_seconds
-        ):
+        period = periods_by_fence.get((claim.name, claim.fence))
+        if period is None or not period.start_seconds <= claim.at_seconds < period.end_seconds:
             invalid.append(claim)
     return invalid
 
@@ -289,9 +286,9 @@
 def find_stale_orders(accepted: Sequence[AcceptedOrder]) -> list[AcceptedOrder]:
     """Return the orders that were accepted after one with a newer fence."""
     newest_fence = Fence(0)
-    found: list[AcceptedOrder] = []
+    stale: list[AcceptedOrder] = []
     for order in accepted:
         if order.fence < newest_fence:
-            found.append(order)
+            stale.append(order)
         newest_fence = max(newest_fence, order.fence)
-    return found
+    return stale
--- a/drumbay/bench/rollout_model.py
+++ b/drumbay/bench/rollout_model.py
@@ -127,7 +127,7 @@
     ready_at: float
 
 
-class EngineModel:
+class BatchingEngine:
     """An engine that decodes a batch in chunks, at a rate that depends on the batch size."""
 
     def __init__(self, name: str) -> None:
@@ -147,7 +147,7 @@
         self._parameters = parameters
         self._variant = variant
         self._random = random.Random(seed)
-        self._group_median = [
+        self._group_medians = [
             self._random.lognormvariate(0, parameters.group_sigma) * parameters.median_tokens
             for _ in range(parameters.groups)
         ]
@@ -161,7 +161,7 @@
             max_open_steps=variant.submitted_ahead + variant.deferrable_steps,
         )
         self._engines = {
-            BackendId(f"engine-{index}"): EngineModel(f"engine-{index}")
+            BackendId(f"engine-{index}"): BatchingEngine(f"engine-{index}")
             for index in range(parameters.engines)
         }
         self._target_tokens: dict[SampleKey, int] = {}
@@ -178,8 +178,8 @@
     @property
     def pending_tokens(self) -> int:
         """Return the number of generated tokens that may still be consumed."""
-        held = [sample.spans for e in self._engines.values() for sample in e.running.values()]
-        running = sum(span.token_count for spans in held for span in spans)
+        span_lists = [sample.spans for e in self._engines.values() for sample in e.running.values()]
+        running = sum(span.token_count for spans in span_lists for span in spans)
         return running + sum(len(sample.token_ids) for sample in self._owner.ready.values())
 
     def run(self) -> None:
@@ -199,11 +199,11 @@
                     self._cancel_sample(key)
 
     def _start_sample(self, dispatch: Dispatch) -> None:
-        held = self._partial_spans.pop(dispatch.key, [])
-        kept = [span for span in held if span.first_index < dispatch.kept_tokens]
+        partial_spans = self._partial_spans.pop(dispatch.key, [])
+        kept_spans = [span for span in partial_spans if span.first_index < dispatch.kept_tokens]
         prefill_seconds = self._batch_rate.prefill_seconds(dispatch.kept_tokens + 64)
         running = RunningSample(
-            dispatch=dispatch, spans=kept, ready_at=self._environment.now + prefill_seconds
+            dispatch=dispatch, spans=kept_spans, ready_at=self._environment.now + prefill_seconds
         )
         self._engines[dispatch.backend_id].running[dispatch.key] = running
 
@@ -213,7 +213,7 @@
             if running is not None:
                 self._partial_spans[key] = running.spans
 
-    def _report_engine(self, engine: EngineModel) -> None:
+    def _report_engine(self, engine: BatchingEngine) -> None:
         drains = engine.loading and self._variant.drains_before_load
         self._handle(
             EngineReported(
@@ -228,7 +228,7 @@
             yield self._environment.timeout(TICK_INTERVAL_SECONDS)
             self._handle(Tick())
 
-    def _decode(self, engine: EngineModel) -> SimulationProcess:
+    def _decode(self, engine: BatchingEngine) -> SimulationProcess:
         while True:
             now = self._environment.now
             batch = [sample for sample in engine.running.values() if sample.ready_at <= now]
@@ -242,22 +242,22 @@
                 if engine.running.get(sample.dispatch.key) is sample:
                     self._generate_chunk(engine, sample)
 
-    def _generate_chunk(self, engine: EngineModel, sample: RunningSample) -> None:
+    def _generate_chunk(self, engine: BatchingEngine, sample: RunningSample) -> None:
         key, attempt = sample.dispatch.key, sample.dispatch.attempt
-        held = sum(span.token_count for span in sample.spans)
-        produced = min(CHUNK_TOKENS, self._target_tokens[key] - held)
+        first_index = sum(span.token_count for span in sample.spans)
+        produced = min(CHUNK_TOKENS, self._target_tokens[key] - first_index)
         engine.generated_tokens += produced
         span = TokenSpan(
             weight_version=engine.version,
             boot_id=BootId(engine.backend_id),
             attempt_id=AttemptId(str(attempt)),
-            first_index=held,
+            first_index=first_index,
             token_count=produced,
         )
         _append_span(sample.spans, span)
         spans = tuple(sample.spans)
         self._handle(ChunkReceived(key=key, attempt=attempt, version=engine.version, spans=spans))
-        finished = held + produced == self._target_tokens[key]
+        finished = first_index + produced == self._target_tokens[key]
         if finished and engine.running.get(key) is sample:
             del engine.running[key]
             self._handle(SampleFinished(key=key, attempt=attempt))
@@ -270,7 +270,7 @@
         for group in self._random.sample(range(parameters.groups), group_count):
             for _ in range(parameters.siblings_per_group):
                 spread = self._random.lognormvariate(0, parameters.sibling_sigma)
-                target = max(8, min(MAX_TOKENS, int(self._group_median[group] * spread)))
+                target = max(8, min(MAX_TOKENS, int(self._group_medians[group] * spread)))
                 self._target_tokens[SampleKey(step, len(prompts))] = target
                 prompts.append(RolloutPrompt(text="", group=str(group), max_tokens=MAX_TOKENS))
         entry = self._owner.decide_submit(step, prompts)
@@ -319,14 +319,16 @@
         self._owner.apply_chosen(decision.entry)
         return decision.entry
 
-    def _forecast(self, next_step: int, at: float, upcoming_version: WeightVersion) -> None:
+    def _forecast(
+        self, next_step: int, next_collection_at: float, upcoming_version: WeightVersion
+    ) -> None:
         forecast = StalenessForecast(
             oldest_accepted=self._oldest_accepted(self._version),
             next_oldest_accepted=self._oldest_accepted(upcoming_version),
             newest_version=self._version,
             next_version=upcoming_version,
             next_step=next_step,
-            next_collection_at=at,
+            next_collection_at=next_collection_at,
             interval_seconds=self._step_seconds,
             deferrable_steps=self._variant.deferrable_steps,
         )
@@ -350,7 +352,7 @@
             if not engine.loading:
                 self._environment.process(self._load_weights(engine))
 
-    def _load_weights(self, engine: EngineModel) -> SimulationProcess:
+    def _load_weights(self, engine: BatchingEngine) -> SimulationProcess:
         engine.loading = True
         self._report_engine(engine)
         while self._variant.drains_before_load and engine.running:
--- a/drumbay/bench/sharing.py
+++ b/drumbay/bench/sharing.py
@@ -45,7 +45,7 @@
 )
 
 
-class SharingFigures(msgspec.Struct, frozen=True, kw_only=True):
+class SharingMetrics(msgspec.Struct, frozen=True, kw_only=True):
     """Results of one run; times in seconds.
 
     Attributes:
@@ -78,7 +78,7 @@
 
     deployment: str
     variant: str
-    runs: tuple[SharingFigures, ...]
+    runs: tuple[SharingMetrics, ...]
     first_token_p50_ratio: float
     first_token_p99_ratio: float
     total_p50_ratio: float
@@ -98,7 +98,7 @@
     selected = [v for v in others if not variant_names or v.name in variant_names]
     reports: list[SharingVariantReport] = []
     for name in deployment_names:
-        baseline_runs: tuple[SharingFigures, ...] = ()
+        baseline_runs: tuple[SharingMetrics, ...] = ()
         for variant in (baseline, *selected):
             runs = tuple(_summarize(seed, _run(name, variant, seed, base_load)) for seed in seeds)
             baseline_runs = baseline_runs or runs
@@ -120,7 +120,7 @@
     return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
-def _summarize(seed: int, run: SharingRun) -> SharingFigures:
+def _summarize(seed: int, run: SharingRun) -> SharingMetrics:
     first_token_times = [
         outcome.first_token_seconds
         for outcome in run.live
@@ -128,7 +128,7 @@
     ]
     total_times = [outcome.total_seconds for outcome in run.live if not outcome.failure]
     failures = Counter(outcome.failure for outcome in run.live if outcome.failure)
-    return SharingFigures(
+    return SharingMetrics(
         seed=seed,
         requests=len(run.live),
         first_token_p50=percentile(first_token_times, MEDIAN),
@@ -145,10 +145,10 @@
 def _report(
     deployment: str,
     variant: SharingVariant,
-    runs: tuple[SharingFigures, ...],
-    baseline: tuple[SharingFigures, ...],
+    runs: tuple[SharingMetrics, ...],
+    baseline: tuple[SharingMetrics, ...],
 ) -> SharingVariantReport:
-    def ratio(metric: Callable[[SharingFigures], float]) -> float:
+    def ratio(metric: Callable[[SharingMetrics], float]) -> float:
         pairs = zip(runs, baseline, strict=True)
         return statistics.fmean(metric(run) / metric(baseline_run) for run, baseline_run in pairs)
 
@@ -176,7 +176,7 @@
 def _row(report: SharingVariantReport) -> str:
     runs = report.runs
 
-    def mean(metric: Callable[[SharingFigures], float]) -> float:
+    def mean(metric: Callable[[SharingMetrics], float]) -> float:
         return statistics.fmean(metric(run) for run in runs)
 
     p99_values = [run.first_token_p99 for run in runs]
--- a/drumbay/bench/sharing_run.py
+++ b/drumbay/bench/sharing_run.py
@@ -245,12 +245,12 @@
             await self._cluster.gateway.call(node_id, read, CALL_TIMEOUT_SECONDS)
         except DrumbayError as error:
             failure = error.code
-        first = first_token_at[0] - started_at if first_token_at else None
-        if first is not None:
-            first += self._cluster.gateway.client_latency_seconds
+        first_token_seconds = first_token_at[0] - started_at if first_token_at else None
+        if first_token_seconds is not None:
+            first_token_seconds += self._cluster.gateway.client_latency_seconds
         self._live.append(
             LiveOutcome(
-                first_token_seconds=first,
+                first_token_seconds=first_token_seconds,
                 total_seconds=virtual_now() - started_at,
                 failure=failure,
             )
--- a/drumbay/bench/weights_cluster.py
+++ b/drumbay/bench/weights_cluster.py
@@ -49,13 +49,13 @@
     async def order(self, order: FencedOrder) -> EngineStatus:
         """Record an order and execute it."""
         clock = self._context.clock
-        load = ReceivedOrder(
+        received = ReceivedOrder(
             engine=self.backend_id,
             fence=order.fence,
             version=order.weight_version,
             started_at=clock.monotonic(),
         )
-        self.loads.append(load)
+        self.loads.append(received)
         return await super().order(order)
 
 
@@ -64,7 +64,7 @@
 
     Attributes:
         host: The machine.
-        lease_fence: Fence that the node assumes to hold; ``None`` if it is not the owner.
+        lease_fence: Fence under which the node sends orders; ``None`` if it is not the owner.
         records: Decision records of the node.
         service: The weight rollout service.
     """
@@ -217,7 +217,7 @@
 
     def peak_loading_engines(self) -> int:
         """Return the maximum number of engines that executed orders concurrently."""
-        # The engine log has the end of an order, also if its sender was killed meanwhile.
+        # The engine log has the end of every order, even if the sender was killed before it.
         ends = {
             (engine.backend_id, entry.fence): entry.time_seconds
             for engine in self.engines
@@ -225,11 +225,11 @@
             if isinstance(entry, OrderHandled)
         }
         changes: list[tuple[float, int, BackendId]] = []
-        for load in self.loads:
-            changes.append((load.started_at, 1, load.engine))
-            ended_at = ends.get((load.engine, load.fence))
+        for order in self.loads:
+            changes.append((order.started_at, 1, order.engine))
+            ended_at = ends.get((order.engine, order.fence))
             if ended_at is not None:
-                changes.append((ended_at, -1, load.engine))
+                changes.append((ended_at, -1, order.engine))
         changes.sort(key=lambda change: (change[0], change[1]))
         active_orders: dict[BackendId, int] = {}
         peak = 0
