--- a/drumbay/bench/sharing_run.py
+++ b/drumbay/bench/sharing_run.py
@@ -18,7 +18,7 @@
 from drumbay.simulation.gateway import NodeRun
 from drumbay.simulation.history import History
 from drumbay.simulation.latency import LatencyModel
-from drumbay.simulation.load import BurstClock, generate_arrivals
+from drumbay.simulation.load import BurstSchedule, generate_arrivals
 from drumbay.simulation.scenario import PoolKind, Scenario
 from drumbay.simulation.simulation_clock import virtual_now
 from drumbay.simulation.trace import Trace
@@ -220,7 +220,7 @@
 
     async def _send_live(self, until_seconds: float) -> None:
         random = self._random_for("live")
-        bursts = BurstClock(random, self._scenario.load)
+        bursts = BurstSchedule(random, self._scenario.load)
         rate = self._load.live_per_second
         await generate_arrivals(random, rate, bursts, until_seconds, self._complete)
         await asyncio.sleep(max(0.0, until_seconds - virtual_now()))
@@ -245,12 +245,12 @@
             await self._cluster.gateway.call(node_id, read, CALL_TIMEOUT_SECONDS)
         except DrumbayError as error:
             failure = error.code
-        first = first_token_at[0] - started_at if first_token_at else None
-        if first is not None:
-            first += self._cluster.gateway.client_latency_seconds
+        first_token_seconds = first_token_at[0] - started_at if first_token_at else None
+        if first_token_seconds is not None:
+            first_token_seconds += self._cluster.gateway.client_latency_seconds
         self._live.append(
             LiveOutcome(
-                first_token_seconds=first,
+                first_token_seconds=first_token_seconds,
                 total_seconds=virtual_now() - started_at,
                 failure=failure,
             )
