--- a/drumbay/bench/rollout.py
+++ b/drumbay/bench/rollout.py
@@ -45,7 +45,7 @@
 BASELINE_NAME = "baseline"
 
 
-class RunFigures(msgspec.Struct, frozen=True, kw_only=True):
+class RunMetrics(msgspec.Struct, frozen=True, kw_only=True):
     """Results of one run.
 
     Attributes:
@@ -69,7 +69,7 @@
     """Results of one variant for all seeds, with its mean ratios to the baseline."""
 
     name: str
-    runs: tuple[RunFigures, ...]
+    runs: tuple[RunMetrics, ...]
     idle_share_ratio: float
     staleness_ratio: float
     seconds_per_step_ratio: float
@@ -125,7 +125,7 @@
     return tuple(variants)
 
 
-def run_variant(parameters: RolloutModelParameters, variant: Variant, seed: int) -> RunFigures:
+def run_variant(parameters: RolloutModelParameters, variant: Variant, seed: int) -> RunMetrics:
     """Run one variant with one seed."""
     model = RolloutModel(parameters, variant, seed)
     model.run()
@@ -135,7 +135,7 @@
     staleness = list(staleness_of(steps))
     consumed_tokens = sum(step.token_count for step in model.steps)
     unused_tokens = model.generated_tokens - consumed_tokens - model.pending_tokens
-    return RunFigures(
+    return RunMetrics(
         idle_share=total_waited / total_seconds,
         mean_staleness_versions=statistics.fmean(staleness),
         fresh_share=staleness.count(0) / len(staleness),
@@ -174,7 +174,7 @@
         steps=steps,
         warm_up_steps=warm_up_steps,
     )
-    baseline_runs: tuple[RunFigures, ...] = ()
+    baseline_runs: tuple[RunMetrics, ...] = ()
     reports: list[VariantReport] = []
     for variant in variants_for(deployment):
         runs = tuple(run_variant(parameters, variant, seed) for seed in seeds)
@@ -184,7 +184,7 @@
 
 
 def _report(
-    variant: Variant, runs: tuple[RunFigures, ...], baseline: tuple[RunFigures, ...]
+    variant: Variant, runs: tuple[RunMetrics, ...], baseline: tuple[RunMetrics, ...]
 ) -> VariantReport:
     pairs = list(zip(runs, baseline, strict=True))
     return VariantReport(
--- a/drumbay/standins/emulator_server.py
+++ b/drumbay/standins/emulator_server.py
@@ -61,7 +61,7 @@
         """Pause all work."""
         ...
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the work."""
         ...
 
@@ -78,7 +78,7 @@
 
     Attributes:
         action: Action to take.
-        recover_after_seconds: Delay until the process restarts or thaws.
+        recover_after_seconds: Delay until the process restarts or resumes.
     """
 
     action: ProcessAction
@@ -155,7 +155,7 @@
             self._process.crash()
             return
         self._process.freeze()
-        self._tasks.spawn(self._thaw(command.recover_after_seconds), "thaw")
+        self._tasks.spawn(self._resume_later(command.recover_after_seconds), "thaw")
 
     def _handle_crash(self) -> None:
         if self._http is not None:
@@ -168,9 +168,9 @@
         self._process.restart()
         self.start()
 
-    async def _thaw(self, after_seconds: float) -> None:
+    async def _resume_later(self, after_seconds: float) -> None:
         await self._clock.sleep(after_seconds)
-        self._process.thaw()
+        self._process.resume()
 
     async def _close_connections(self) -> None:
         http = self._http
--- a/drumbay/standins/engine_model.py
+++ b/drumbay/standins/engine_model.py
@@ -105,7 +105,7 @@
         self._context.log_crash(self.boot_id)
         self._process.abort()
         # Wakes callers that wait for a frozen process, so that they see the crash.
-        self.thaw()
+        self.resume()
 
     def restart(self) -> None:
         """Restart the process with the initial weights and an empty cache."""
@@ -118,9 +118,9 @@
         """Pause all work; requests are still accepted but get no response."""
         self._context.freeze()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the work of a frozen process."""
-        self._context.thaw()
+        self._context.resume()
 
     async def close(self) -> None:
         """Stop the process and all background tasks."""
--- a/drumbay/standins/kv_faults.py
+++ b/drumbay/standins/kv_faults.py
@@ -73,7 +73,7 @@
         return True
 
 
-class FaultInjector:
+class KeyValueFaultInjector:
     """Decides the outcome of each operation from the active faults.
 
     Attributes:
--- a/drumbay/standins/kv_model.py
+++ b/drumbay/standins/kv_model.py
@@ -27,7 +27,7 @@
     WatchCompactedError,
     WatchEvent,
 )
-from drumbay.standins.kv_faults import FaultInjector, KeyValueFaults
+from drumbay.standins.kv_faults import KeyValueFaultInjector, KeyValueFaults
 from drumbay.standins.kv_records import (
     ChangeCause,
     LeaseAction,
@@ -80,7 +80,7 @@
             history_limit: Maximum number of revisions kept for watches; older ones are compacted.
             log_renewals: Whether lease renewals are logged.
         """
-        self.injector = FaultInjector(generator or random.Random(0))
+        self.injector = KeyValueFaultInjector(generator or random.Random(0))
         self.log: list[LogEntry] = []
         self.clock = clock
         self._history_limit = history_limit
--- a/drumbay/standins/process_context.py
+++ b/drumbay/standins/process_context.py
@@ -49,7 +49,7 @@
         """Pause all work; requests are still accepted but get no response."""
         self.freeze_gate.hold(FREEZE_HOLD)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the work of a frozen process."""
         self.freeze_gate.release(FREEZE_HOLD)
 
--- a/drumbay/standins/service_model.py
+++ b/drumbay/standins/service_model.py
@@ -175,7 +175,7 @@
             if task is not asyncio.current_task():
                 task.cancel()
         # Wakes callers that wait for a frozen process, so that they see the crash.
-        self._context.thaw()
+        self._context.resume()
 
     def restart(self) -> None:
         """Restart the process."""
@@ -186,9 +186,9 @@
         """Pause all work; requests are still accepted but get no response."""
         self._context.freeze()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the work of a frozen process."""
-        self._context.thaw()
+        self._context.resume()
 
     async def close(self) -> None:
         """Stop the process and all background tasks."""
--- a/drumbay/standins/simple_process.py
+++ b/drumbay/standins/simple_process.py
@@ -33,7 +33,7 @@
         if self.crashed:
             return
         self.crashed = True
-        self.thaw()
+        self.resume()
         if self._on_crash is not None:
             self._on_crash()
 
@@ -45,6 +45,6 @@
         """Pause all work."""
         self._gate.hold(FREEZE_HOLD)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the work."""
         self._gate.release(FREEZE_HOLD)
--- a/drumbay/standins/worker_pool.py
+++ b/drumbay/standins/worker_pool.py
@@ -86,7 +86,7 @@
         clock: Clock,
         *,
         seconds_per_event: float = 0.05,
-        answer_seconds: float = 0.03,
+        response_seconds: float = 0.03,
         load_seconds: float = 0.9,
         reports_start_times: bool = False,
     ) -> None:
@@ -96,7 +96,7 @@
         self.keep_ids = False
         self.discovery_delay_seconds = 0.0
         self._seconds_per_event = seconds_per_event
-        self._answer_seconds = answer_seconds
+        self._response_seconds = response_seconds
         self._load_seconds = load_seconds
         self._workers: dict[BackendId, EmulatedWorker] = {}
         self._listeners: list[Callable[[Worker], None]] = []
@@ -202,7 +202,7 @@
         emulated = await self._connect(worker)
         run = self._begin_run(emulated, request)
         try:
-            await self._work(emulated, request, self._answer_seconds * emulated.faults.slowdown)
+            await self._work(emulated, request, self._response_seconds * emulated.faults.slowdown)
             if emulated.faults.failing or request.request_id in self.failing_requests:
                 raise WorkerFailedError("500")
             run.events = 1
--- a/tests/process_deployment.py
+++ b/tests/process_deployment.py
@@ -58,7 +58,7 @@
         """Return the log of a process."""
         return (self.folder / f"{name}.log").read_text(errors="replace")
 
-    def start_standin(self, name: str, kind: str, *arguments: str) -> str:
+    def start_emulator(self, name: str, kind: str, *arguments: str) -> str:
         """Start an emulator process and return its URL."""
         address = free_address()
         self._urls[name] = f"http://{address}"
--- a/tests/serving_world.py
+++ b/tests/serving_world.py
@@ -133,7 +133,7 @@
         world.workers.add_removal_listener(self.directory.remove)
         self.batches = self.node.batches
         self.leader = self.node.leader
-        self.named = self.node.announced_versions
+        self.announced = self.node.announced_versions
         world.peers.nodes[self.address] = self
 
     def lead(self) -> None:
--- a/tests/test_backend_http.py
+++ b/tests/test_backend_http.py
@@ -397,7 +397,7 @@
         call.cancel()
         await asyncio.gather(call, return_exceptions=True)
         await wait_until(lambda: self.connector.in_flight == 0)
-        self.engine.thaw()
+        self.engine.resume()
 
     async def test_crash_breaks_streams_and_later_requests_are_not_reached(self) -> None:
         stream = asyncio.ensure_future(self.generate("a", 100_000))
--- a/tests/test_batches.py
+++ b/tests/test_batches.py
@@ -170,10 +170,10 @@
                     world.workers[f"worker-{number}"].versions["m"] = WeightVersion(2)
                 for entry in world.workers.entries():
                     node.directory.put(entry)
-                node.named.announce("m", WeightVersion(2))
+                node.announced.announce("m", WeightVersion(2))
                 await node.batches.submit(batch_spec(minimum_version=1))
                 await asyncio.sleep(1.0)
-                node.named.announce("m", WeightVersion(named))
+                node.announced.announce("m", WeightVersion(named))
                 await node.batches.end(BATCH)
                 await asyncio.sleep(0.1)
                 self.assertEqual(len(world.workers.runs), 12)
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -116,7 +116,7 @@
                 await harness.client.status(ADDRESS, timeout_seconds=30.0)
             before = len(harness.responses[AttemptId("a")])
             self.assertFalse(stream.done())
-            harness.engine.thaw()
+            harness.engine.resume()
             self.assertGreater(len(await stream), before)
 
         run(scenario)
--- a/tests/test_kv_memory.py
+++ b/tests/test_kv_memory.py
@@ -5,7 +5,7 @@
 
 from drumbay.kv.interface import KeyValueStore
 from drumbay.kv.memory import MemoryKeyValueStore
-from drumbay.standins.kv_faults import EmulatedWriteOutcome, FaultInjector, KeyValueFaults
+from drumbay.standins.kv_faults import EmulatedWriteOutcome, KeyValueFaultInjector, KeyValueFaults
 from tests.kv_contract import RESPONSE_TIMEOUT_SECONDS, KeyValueContract
 
 
@@ -19,7 +19,7 @@
         faults = KeyValueFaults(lost_answer_probability=0.5, lost_request_probability=0.25)
         runs: list[list[EmulatedWriteOutcome]] = []
         for _ in range(2):
-            injector = FaultInjector(random.Random(7))
+            injector = KeyValueFaultInjector(random.Random(7))
             injector.set_faults(faults, 0.0)
             runs.append([injector.draw_write_outcome() for _ in range(50)])
         self.assertEqual(runs[0], runs[1])
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -77,7 +77,7 @@
                 node.lead()
             await asyncio.sleep(1.0)
             for node in world.nodes:
-                node.named.announce("m", WeightVersion(2))
+                node.announced.announce("m", WeightVersion(2))
             await asyncio.sleep(0.5)
             loads = [
                 sorted(
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -70,9 +70,9 @@
     async def asyncSetUp(self) -> None:
         self.deployment = Deployment()
         self.addCleanup(self.deployment.close)
-        key_value = self.deployment.start_standin("key-value", "key-value")
+        key_value = self.deployment.start_emulator("key-value", "key-value")
         arguments = ("--name", "engine-1", "--model", MODEL, "--step-seconds", STEP_SECONDS)
-        self.deployment.start_standin("engine-1", "engine", *arguments)
+        self.deployment.start_emulator("engine-1", "engine", *arguments)
         self.deployment.start_nodes(key_value, lame_duck_seconds=(0.5, TIMEOUT_SECONDS, 0.5))
         await self.deployment.wait_ready()
         await self.deployment.apply(
--- a/tests/test_platform_serving.py
+++ b/tests/test_platform_serving.py
@@ -133,7 +133,7 @@
         self.model = KeyValueModel(clock, generator=random.Random(1))
         self.store = PlatformStoreServer(self.model)
         self.addAsyncCleanup(self.store.close)
-        self.workers = EmulatedWorkerPool(clock, seconds_per_event=0.005, answer_seconds=0.005)
+        self.workers = EmulatedWorkerPool(clock, seconds_per_event=0.005, response_seconds=0.005)
         self.workers.add("w1", "lookups")
         self.workers.add("w2", "engines", {"m": WeightVersion(1)})
         for worker in self.workers.entries():
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -89,11 +89,11 @@
         deployment = Deployment()
         self.deployment = deployment
         self.addCleanup(deployment.close)
-        key_value = deployment.start_standin("key-value", "key-value")
+        key_value = deployment.start_emulator("key-value", "key-value")
         for name in ENGINES:
             arguments = ("--name", name, "--model", MODEL, "--step-seconds", "0.02")
-            deployment.start_standin(name, "engine", *arguments)
-        deployment.start_standin("application-1", "application", "--service-seconds", "0.2")
+            deployment.start_emulator(name, "engine", *arguments)
+        deployment.start_emulator("application-1", "application", "--service-seconds", "0.2")
         deployment.start_nodes(key_value)
         await deployment.wait_ready()
         await deployment.apply(
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -15,7 +15,7 @@
     DEPLOYMENTS,
     DeploymentReport,
     RolloutBenchReport,
-    RunFigures,
+    RunMetrics,
     VariantReport,
 )
 from drumbay.cli.errors import ExitCode
@@ -51,8 +51,8 @@
 def benchmark_report() -> RolloutBenchReport:
     """Return a benchmark report with two variants; the second has less idle time."""
 
-    def figures(idle_share: float) -> RunFigures:
-        return RunFigures(
+    def figures(idle_share: float) -> RunMetrics:
+        return RunMetrics(
             idle_share=idle_share,
             mean_staleness_versions=0.5,
             fresh_share=0.5,
--- a/tests/test_serving_simulation.py
+++ b/tests/test_serving_simulation.py
@@ -179,7 +179,7 @@
     async def announce_version(self) -> None:
         for node in self.nodes:
             if node is not None:
-                node.named.announce("m", WeightVersion(node.named.newest_of("m") + 1))
+                node.announced.announce("m", WeightVersion(node.announced.newest_of("m") + 1))
 
     async def run(self) -> list[str]:
         """Run the simulation and return all violations."""
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -56,7 +56,7 @@
 class IdleConnectionsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         clock = SystemClock()
-        self.pool = EmulatedWorkerPool(clock, answer_seconds=0.025)
+        self.pool = EmulatedWorkerPool(clock, response_seconds=0.025)
         self.client = PlatformWorkerClient(clock)
         self.addCleanup(self.client.close)
         self.directory = WorkerDirectory()
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -138,7 +138,7 @@
         self.assertAlmostEqual(windows.now(), self.clock.wall(), delta=0.1)
 
     async def request_times_out(self) -> None:
-        workers = EmulatedWorkerPool(self.clock, answer_seconds=0.5)
+        workers = EmulatedWorkerPool(self.clock, response_seconds=0.5)
         workers.add("lookup-1", LOOKUPS)
         forwarder = forwarder_of(self.clock, workers)
         calling = asyncio.ensure_future(
--- a/tests/test_version_loading.py
+++ b/tests/test_version_loading.py
@@ -80,7 +80,7 @@
             await asyncio.sleep(1.0)
             for version in (2, 3, 4):
                 for node in world.nodes:
-                    node.named.announce("m", WeightVersion(version))
+                    node.announced.announce("m", WeightVersion(version))
                 await asyncio.sleep(4.0)
                 versions = [entry.versions["m"] for entry in world.workers.entries()]
                 self.assertEqual(max(versions), version)
@@ -98,7 +98,7 @@
                 node.lead()
             await asyncio.sleep(1.0)
             for node in world.nodes:
-                node.named.announce("m", WeightVersion(2))
+                node.announced.announce("m", WeightVersion(2))
             await asyncio.sleep(0.5)
             leader = next(
                 node
@@ -107,7 +107,7 @@
             )
             await leader.kill()
             for node in world.nodes:
-                node.named.announce("m", WeightVersion(3))
+                node.announced.announce("m", WeightVersion(3))
             await asyncio.sleep(33.0)
             orders = world.workers.orders
             holders = [logged.order.holder for logged in orders]
@@ -129,7 +129,7 @@
                 node.lead()
             await asyncio.sleep(1.0)
             for node in world.nodes:
-                node.named.announce("m", WeightVersion(2))
+                node.announced.announce("m", WeightVersion(2))
             await asyncio.sleep(0.5)
             now = world.clock.monotonic()
             leader = next(n for n in world.nodes if n.leader.fence(now) is not None)
@@ -137,7 +137,7 @@
             self.assertEqual(len(ordered_at), 2)
             await leader.kill()
             for node in world.nodes:
-                node.named.announce("m", WeightVersion(3))
+                node.announced.announce("m", WeightVersion(3))
             await asyncio.sleep(10.0)
             successor_orders = [
                 o for o in world.workers.orders if o.order.holder != str(leader.address)
@@ -160,13 +160,13 @@
                 node.lead()
             await asyncio.sleep(1.0)
             for node in world.nodes:
-                node.named.announce("m", WeightVersion(2))
+                node.announced.announce("m", WeightVersion(2))
             await asyncio.sleep(0.5)
             now = world.clock.monotonic()
             leader = next(node for node in world.nodes if node.leader.fence(now) is not None)
             await leader.leader.resign()
             for node in world.nodes:
-                node.named.announce("m", WeightVersion(3))
+                node.announced.announce("m", WeightVersion(3))
             await leader.kill()
             await asyncio.sleep(33.0)
             orders = world.workers.orders
@@ -199,7 +199,7 @@
             await asyncio.sleep(1.0)
             world.model.set_faults(KeyValueFaults(outage=True))
             await asyncio.sleep(LEASE_SECONDS)
-            world.nodes[0].named.announce("m", WeightVersion(2))
+            world.nodes[0].announced.announce("m", WeightVersion(2))
             await asyncio.sleep(5.0)
             self.assertEqual(world.workers.orders, [])
             world.model.set_faults(KeyValueFaults())
@@ -217,10 +217,10 @@
             late_worker = world.workers["worker-1"]
             late_worker.faults.orders_unanswered = True
             late_worker.faults.orders_late_seconds = 5.0
-            world.nodes[0].named.announce("m", WeightVersion(2))
+            world.nodes[0].announced.announce("m", WeightVersion(2))
             await asyncio.sleep(1.0)
             late_worker.faults.orders_unanswered = False
-            world.nodes[0].named.announce("m", WeightVersion(3))
+            world.nodes[0].announced.announce("m", WeightVersion(3))
             await asyncio.sleep(33.0)
             self.assertEqual(late_worker.versions["m"], 3)
             outcomes = [o.outcome for o in world.workers.orders if o.worker_id == "worker-1"]
--- a/tests/test_worker_starts.py
+++ b/tests/test_worker_starts.py
@@ -493,7 +493,7 @@
                 node.lead()
             await asyncio.sleep(1.0)
             for node in world.nodes:
-                node.named.announce(MODEL, WeightVersion(2))
+                node.announced.announce(MODEL, WeightVersion(2))
             await asyncio.sleep(0.5)
             loading = world.workers["worker-1"]
             self.assertTrue(loading.busy)
@@ -515,7 +515,7 @@
             node = world.nodes[0]
             node.lead()
             await asyncio.sleep(1.0)
-            node.named.announce(MODEL, WeightVersion(2))
+            node.announced.announce(MODEL, WeightVersion(2))
             await asyncio.sleep(0.5)
             loading = world.workers["worker-1"]
             self.assertTrue(loading.busy)
@@ -541,7 +541,7 @@
             world.workers.status = remove_and_report  # type: ignore[method-assign]
             node.lead()
             await asyncio.sleep(1.0)
-            node.named.announce(MODEL, WeightVersion(2))
+            node.announced.announce(MODEL, WeightVersion(2))
             await asyncio.sleep(1.0)
             self.assertEqual(world.workers.orders, [])
 
